--- a/cli/src/commands/demo.rs
+++ b/cli/src/commands/demo.rs
@@ -73,7 +73,7 @@
     configure(&runtime, &stand_ins)?;
     wait_until_ready(&daemon)?;
     print!("{}", welcome(daemon.addresses().callers));
-    stop_on_signals(daemon.stopper())?;
+    stop_on_signals(daemon.stop_handle())?;
     ended(daemon.wait())
 }
 
--- a/cli/src/commands/serve.rs
+++ b/cli/src/commands/serve.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Context;
 use copperweir_lib::daemon::Daemon;
-use copperweir_lib::daemon::Ending;
-use copperweir_lib::daemon::Stopper;
+use copperweir_lib::daemon::StopHandle;
+use copperweir_lib::daemon::StopOutcome;
 use copperweir_lib::protocol::settings::Settings;
 use flexi_logger::DeferredNow;
 use flexi_logger::Logger;
@@ -52,15 +52,15 @@
     }
     let _logger = start_logger(&settings.log)?;
     let daemon = Daemon::start(settings)?;
-    stop_on_signals(daemon.stopper())?;
+    stop_on_signals(daemon.stop_handle())?;
     ended(daemon.wait())
 }
 
 /// What the ending of a box means for the command.
-pub fn ended(ending: Ending) -> Result<(), CommandError> {
+pub fn ended(ending: StopOutcome) -> Result<(), CommandError> {
     match ending {
-        Ending::Done | Ending::Cut(0) => Ok(()),
-        Ending::Cut(requests) => Err(CommandError::Cut(requests)),
+        StopOutcome::Done | StopOutcome::Cut(0) => Ok(()),
+        StopOutcome::Cut(requests) => Err(CommandError::Cut(requests)),
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// Turns SIGTERM and SIGINT into a planned stop.
-pub fn stop_on_signals(stopper: Stopper) -> Result<(), CommandError> {
+pub fn stop_on_signals(stop_handle: StopHandle) -> Result<(), CommandError> {
     let runtime = crate::client::runtime()?;
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
         runtime.block_on(async move {
@@ -95,7 +95,7 @@
                     _ = terminate.recv() => {}
                     _ = interrupt.recv() => {}
                 }
-                stopper.stop_async().await;
+                stop_handle.stop_async().await;
             }
         });
     })?;
--- a/cli/src/commands/show.rs
+++ b/cli/src/commands/show.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use anyhow::Context;
-use copperweir_lib::daemon::operators::Status;
+use copperweir_lib::daemon::operator_api::Status;
 use copperweir_lib::protocol::config::document::Document;
 use lexopt::Arg;
 use lexopt::Parser;
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -9,7 +9,7 @@
 pub mod dispatch;
 pub mod forward;
 pub mod once;
-pub mod operators;
+pub mod operator_api;
 pub mod peer;
 pub mod pools;
 pub mod relay;
@@ -81,7 +81,7 @@
 
 /// How a box ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum StopOutcome {
     /// Everything in progress was finished.
     Done,
     /// Requests in progress were cut.
@@ -132,31 +132,31 @@
     }
 
     /// Something that asks for a planned stop; asking a second time means at once.
-    pub fn stopper(&self) -> Stopper {
-        Stopper { events: self.shared.control.clone() }
+    pub fn stop_handle(&self) -> StopHandle {
+        StopHandle { events: self.shared.control.clone() }
     }
 
     /// Waits until the box has stopped.
-    pub fn wait(self) -> Ending {
+    pub fn wait(self) -> StopOutcome {
         let stage = self.control.join().unwrap_or(Stage::Cut);
         let in_flight = self.shared.in_flight.load(Ordering::Acquire);
         for thread in self.traffic {
             let _ = thread.join();
         }
         match stage {
-            Stage::Done => Ending::Done,
-            _ => Ending::Cut(in_flight),
+            Stage::Done => StopOutcome::Done,
+            _ => StopOutcome::Cut(in_flight),
         }
     }
 }
 
 /// Asks a box to stop.
 #[derive(Clone)]
-pub struct Stopper {
+pub struct StopHandle {
     events: mpsc::Sender<control::Event>,
 }
 
-impl Stopper {
+impl StopHandle {
     /// Asks; a second time means at once.
     pub fn stop(&self) {
         let _ = self.events.blocking_send(control::Event::Stop);
@@ -173,7 +173,7 @@
 }
 
 /// Ordered by the time of the start, so that a replaced box supersedes the one before.
-pub(crate) fn draw_incarnation() -> Incarnation {
+pub(crate) fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let random = rand::rng().random_range(0..1u64 << RANDOM_BITS);
     ((since.as_millis() as u64) << RANDOM_BITS) | random
@@ -185,7 +185,7 @@
     control: mpsc::Sender<control::Event>,
 ) -> Result<Shared, StartError> {
     let now = clock::now();
-    let incarnation = draw_incarnation();
+    let incarnation = new_incarnation();
     let counters = Arc::new(Counters::default());
     let snapshot = Snapshot {
         configuration: Arc::new(Configuration::default()),
@@ -331,7 +331,7 @@
     let state = Arc::clone(&shared);
     let for_callers = move |request| caller::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
-    let for_operators = move |request| operators::handle(Arc::clone(&state), request);
+    let for_operators = move |request| operator_api::handle(Arc::clone(&state), request);
     let service = PeerServer::new(peer::Service::new(shared))
         .max_decoding_message_size(peer_transport::MAX_MESSAGE)
         .max_encoding_message_size(peer_transport::MAX_MESSAGE);
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -35,7 +35,7 @@
 use crate::coordination::presence;
 use crate::coordination::retries::Budget;
 use crate::coordination::watchers;
-use crate::daemon::Ending;
+use crate::daemon::StopOutcome;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::fleet::BoxRecord;
 use crate::protocol::platform::PlatformError;
@@ -117,7 +117,7 @@
         mut self,
         sender: mpsc::Sender<Event>,
         mut events: mpsc::Receiver<Event>,
-    ) -> Ending {
+    ) -> StopOutcome {
         let keeper = lease::keep(self.store.clone(), self.record.subscribe(), sender);
         let keeper = tokio::spawn(keeper);
         tokio::spawn(quarantine::keep(Arc::clone(&self.shared), self.store.clone()));
@@ -128,8 +128,8 @@
         let stage = self.drain.stage();
         let in_flight = self.shared.in_flight.load(Ordering::Acquire);
         let ending = match stage {
-            Stage::Done => Ending::Done,
-            _ => Ending::Cut(in_flight),
+            Stage::Done => StopOutcome::Done,
+            _ => StopOutcome::Cut(in_flight),
         };
         if stage == Stage::Done && timer::timeout(FLUSH_TIMEOUT, self.stop.closed()).await.is_err()
         {
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -59,10 +59,10 @@
 use crate::coordination::quota;
 use crate::coordination::quota::Quotas;
 use crate::coordination::throttle::Throttles;
-use crate::daemon::Ending;
 use crate::daemon::StartError;
+use crate::daemon::StopOutcome;
 use crate::daemon::bind;
-use crate::daemon::draw_incarnation;
+use crate::daemon::new_incarnation;
 use crate::protocol::RegionId;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::fleet::BoxRecord;
@@ -104,7 +104,7 @@
 
 /// A running gateway.
 pub struct Gateway {
-    control: JoinHandle<Ending>,
+    control: JoinHandle<StopOutcome>,
     traffic: JoinHandle<()>,
     events: mpsc::Sender<Event>,
     listen: Listen,
@@ -207,8 +207,8 @@
     }
 
     /// Waits until the gateway has stopped.
-    pub fn wait(self) -> Ending {
-        let ending = self.control.join().unwrap_or(Ending::Cut(0));
+    pub fn wait(self) -> StopOutcome {
+        let ending = self.control.join().unwrap_or(StopOutcome::Cut(0));
         if self.traffic.join().is_err() {
             log::error!("event=traffic_failed");
         }
@@ -270,7 +270,7 @@
 fn own_record(settings: &Settings) -> BoxRecord {
     BoxRecord {
         name: settings.name.clone(),
-        incarnation: draw_incarnation(),
+        incarnation: new_incarnation(),
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
         callers: settings.listen.callers,
--- a/lib/src/operators/apply.rs
+++ b/lib/src/operators/apply.rs
@@ -1,9 +1,11 @@
-//! Applies configuration files as a whole.
+//! Applies a set of configuration files as one change.
 //!
-//! Reads the stored configuration, replaces the files, checks everything, and
-//! writes by compare-and-swap. Of two operators who race, one wins and the
-//! other learns which version stands. A lost answer is resolved by reading
-//! back and looking for this change's id among the latest ones.
+//! Reads the stored configuration, replaces the given files, validates the
+//! result and writes it by compare-and-swap. If two operators apply
+//! concurrently, one succeeds and the other gets a conflict that names the
+//! current version. If the response to the write is lost, the stored
+//! configuration is read back and searched for this change's id among the
+//! latest changes.
 
 use std::time::Duration;
 
@@ -18,26 +20,26 @@
 use crate::protocol::platform::Store;
 use crate::transport::timer;
 
-/// Reads of the store after a lost answer.
-const READ_BACKS: u32 = 5;
-/// Time between them.
-const READ_BACK_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum number of reads of the store after a lost response.
+const READ_BACK_ATTEMPTS: u32 = 5;
+/// Time between these reads.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why files were not applied, or may not have been.
+/// Why files were not applied, or why it is unknown whether they were.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
-    /// The files, with those already in force, do not pass the check.
+    /// The files, combined with the stored ones, failed validation.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// Another operator came first.
-    #[error("based on version {based_on}, but version {stands} stands now")]
+    /// Another operator changed the configuration first.
+    #[error("based on version {based_on}, but the current version is {current}")]
     Conflict {
         /// Version that this change was made from.
         based_on: Version,
-        /// Version that stands.
-        stands: Version,
+        /// Current version in the store.
+        current: Version,
     },
-    /// The store cannot be used; nothing was changed.
+    /// The store is unavailable; nothing was changed.
     #[error("nothing was changed: {0}")]
     Platform(PlatformError),
     /// The change may have taken effect.
@@ -45,52 +47,58 @@
     Unresolved(PlatformError, String),
 }
 
-/// Applies files; `id` tells this change from all others.
+/// Applies `files` to the stored configuration and returns the new version.
+/// `id` identifies this change uniquely.
 pub async fn apply(store: &impl Store, files: &Files, id: &str) -> Result<Version, ApplyError> {
     let entry = store.get(KEY).await.map_err(ApplyError::Platform)?;
-    let (current, revision) = read(entry)?;
+    let (current, revision) = decode_entry(entry)?;
     let next = current.with_files(files, id);
     next.check()?;
     let value = String::from_utf8_lossy(&next.encode()?).into_owned();
     let put = Put { value, expect: revision, lease: None, life_ms: None };
     match store.put(KEY, put).await {
         Ok(_) => Ok(next.version),
-        Err(PlatformError::Conflict(_)) => read_back(store, id, current.version, false).await,
-        Err(PlatformError::Lost(_)) => read_back(store, id, current.version, true).await,
+        Err(PlatformError::Conflict(_)) => {
+            resolve_uncertain_write(store, id, current.version, false).await
+        }
+        Err(PlatformError::Lost(_)) => {
+            resolve_uncertain_write(store, id, current.version, true).await
+        }
         Err(error) => Err(ApplyError::Platform(error)),
     }
 }
 
-fn read(entry: Option<Entry>) -> Result<(Document, u64), ApplyError> {
+fn decode_entry(entry: Option<Entry>) -> Result<(Document, u64), ApplyError> {
     match entry {
         None => Ok((Document::default(), 0)),
         Some(entry) => Ok((Document::decode(entry.value.as_bytes())?, entry.revision)),
     }
 }
 
-/// Finds out whether the change was made. `lost` says that the write may still
-/// be under way, so that its absence proves nothing unless another version stands.
-async fn read_back(
+/// Determines whether the change was written. If `may_be_in_flight` is set, the
+/// write may still reach the store, so a missing change is a conflict only if
+/// another version has been stored.
+async fn resolve_uncertain_write(
     store: &impl Store,
     id: &str,
     based_on: Version,
-    lost: bool,
+    may_be_in_flight: bool,
 ) -> Result<Version, ApplyError> {
-    let mut last = PlatformError::Lost("the change is not there yet".to_owned());
-    for _ in 0..READ_BACKS {
+    let mut last_error = PlatformError::Lost("the change is not there yet".to_owned());
+    for _ in 0..READ_BACK_ATTEMPTS {
         match store.get(KEY).await {
-            Err(error) => last = error,
+            Err(error) => last_error = error,
             Ok(entry) => {
-                let (stands, _) = read(entry)?;
-                if let Some(version) = stands.version_of(id) {
+                let (stored, _) = decode_entry(entry)?;
+                if let Some(version) = stored.version_of(id) {
                     return Ok(version);
                 }
-                if stands.version > based_on || !lost {
-                    return Err(ApplyError::Conflict { based_on, stands: stands.version });
+                if stored.version > based_on || !may_be_in_flight {
+                    return Err(ApplyError::Conflict { based_on, current: stored.version });
                 }
             }
         }
-        timer::sleep(READ_BACK_PAUSE).await;
+        timer::sleep(READ_BACK_INTERVAL).await;
     }
-    Err(ApplyError::Unresolved(last, id.to_owned()))
+    Err(ApplyError::Unresolved(last_error, id.to_owned()))
 }
--- a/lib/src/operators/mod.rs
+++ b/lib/src/operators/mod.rs
@@ -1,3 +1,4 @@
-//! What operators' commands do, without a terminal.
+//! The logic behind the operators' commands; the terminal interface is in the
+//! CLI crate.
 
 pub mod apply;
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use copperweir_lib::coordination::invariant;
 use copperweir_lib::daemon::Daemon;
-use copperweir_lib::daemon::Ending;
+use copperweir_lib::daemon::StopOutcome;
 use copperweir_lib::operators::apply::ApplyError;
 use copperweir_lib::operators::apply::apply;
 use copperweir_lib::protocol::Version;
@@ -294,15 +294,19 @@
     /// Ends a box at once, whatever it has in progress.
     pub fn kill_box(&mut self, region: usize, number: usize) {
         let Some(daemon) = self.boxes.remove(&(region, number)) else { return };
-        daemon.stopper().stop();
-        daemon.stopper().stop();
+        daemon.stop_handle().stop();
+        daemon.stop_handle().stop();
         daemon.wait();
     }
 
     /// Asks a box to stop; the result comes when it has.
-    pub fn stop_box(&mut self, region: usize, number: usize) -> std::thread::JoinHandle<Ending> {
+    pub fn stop_box(
+        &mut self,
+        region: usize,
+        number: usize,
+    ) -> std::thread::JoinHandle<StopOutcome> {
         let daemon = self.boxes.remove(&(region, number)).expect("a running box");
-        daemon.stopper().stop();
+        daemon.stop_handle().stop();
         std::thread::spawn(move || daemon.wait())
     }
 
@@ -402,8 +406,8 @@
     fn drop(&mut self) {
         let boxes = std::mem::take(&mut self.boxes);
         for daemon in boxes.values() {
-            daemon.stopper().stop();
-            daemon.stopper().stop();
+            daemon.stop_handle().stop();
+            daemon.stop_handle().stop();
         }
         for (_, daemon) in boxes {
             daemon.wait();
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -7,7 +7,7 @@
 use common::Fleet;
 use common::Plan;
 use common::eventually;
-use copperweir_lib::daemon::Ending;
+use copperweir_lib::daemon::StopOutcome;
 use copperweir_lib::operators::apply::ApplyError;
 use copperweir_standin::engine;
 use copperweir_standin::platform;
@@ -155,7 +155,7 @@
     for result in &results {
         match result {
             Ok(version) => assert!(*version > 1),
-            Err(ApplyError::Conflict { based_on, stands }) => assert!(stands > based_on),
+            Err(ApplyError::Conflict { based_on, current }) => assert!(current > based_on),
             Err(error) => panic!("{error}"),
         }
     }
@@ -208,7 +208,7 @@
         let reply = fleet.block_on(stream).expect("a task").expect("a whole answer");
         assert!(reply.body.ends_with(b"data: [DONE]\n\n"));
     }
-    assert_eq!(stopping.join().expect("a stop"), Ending::Done);
+    assert_eq!(stopping.join().expect("a stop"), StopOutcome::Done);
 }
 
 #[test]
