--- a/cli/benches/failures.rs
+++ b/cli/benches/failures.rs
@@ -43,12 +43,12 @@
     }
 
     fn version(&self, (region, number): (usize, usize)) -> u64 {
-        let status = self.get(self.fleet.plan.operators(region, number), "/status");
+        let status = self.get(self.fleet.plan.operators_address(region, number), "/status");
         status.and_then(|reply| reply.json()["version"].as_u64()).unwrap_or(0)
     }
 
     fn boxes_known(&self, (region, number): (usize, usize)) -> usize {
-        let reply = self.get(self.fleet.plan.callers(region, number), "/v1/boxes");
+        let reply = self.get(self.fleet.plan.callers_address(region, number), "/v1/boxes");
         reply.and_then(|reply| reply.json()["boxes"].as_array().map(Vec::len)).unwrap_or(0)
     }
 
@@ -105,7 +105,7 @@
                 prompt += 1;
                 let body =
                     json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": prompt});
-                self.fleet.complete(self.fleet.plan.callers(0, number), &[], &body);
+                self.fleet.complete(self.fleet.plan.callers_address(0, number), &[], &body);
             }
             if engine.completions() > seen {
                 (last, seen) = (began.elapsed(), engine.completions());
@@ -118,12 +118,12 @@
 
     /// From the end of a cut to the newest configuration in the region.
     fn rejoined(&self) -> Duration {
-        self.fleet.cut_region(2, true);
+        self.fleet.set_region_cut(2, true);
         std::thread::sleep(SETTLE);
         let file = self.fleet.plan.configuration();
         let version = self.fleet.apply("main", &file).expect("applied");
         std::thread::sleep(SETTLE);
-        self.fleet.cut_region(2, false);
+        self.fleet.set_region_cut(2, false);
         self.until(|| (0..3).all(|number| self.version((2, number)) >= version))
     }
 
@@ -136,7 +136,7 @@
             fields.iter().sum::<f64>() / TICKS
         };
         let bytes = |at: &(usize, usize)| {
-            let reply = self.get(self.fleet.plan.operators(at.0, at.1), "/counters");
+            let reply = self.get(self.fleet.plan.operators_address(at.0, at.1), "/counters");
             let text = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
             let text = text.unwrap_or_default();
             let value = text.lines().find_map(|line| line.strip_prefix("heartbeat_bytes "));
@@ -153,7 +153,7 @@
             let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
             println!(
                 "idle {}: {:.2}% of a core, {:.0} bytes/s of heartbeats, resident {}",
-                common::name(at.0, at.1),
+                common::box_name(at.0, at.1),
                 (cost(at) - cpu) / seconds * 100.0,
                 (bytes(at) - sent) / seconds,
                 resident.unwrap_or_default().trim(),
--- a/cli/tests/test_processes.rs
+++ b/cli/tests/test_processes.rs
@@ -62,7 +62,8 @@
     let client = Client::default();
     let mut filing = 0;
     while !stop.load(Ordering::Relaxed) {
-        let at = plan.callers(rng.random_range(0..plan.regions), rng.random_range(0..plan.boxes));
+        let at = plan
+            .callers_address(rng.random_range(0..plan.regions), rng.random_range(0..plan.boxes));
         match rng.random_range(0..3) {
             0 => complete(&client, at, &mut rng, &ledger).await,
             _ => {
@@ -94,7 +95,7 @@
     // With a key the caller may try again, at any box.
     let tries = if key.is_some() { 3 } else { 1 };
     for attempt in 0..tries {
-        let elsewhere = plan.callers(rng.random_range(0..plan.regions), 0);
+        let elsewhere = plan.callers_address(rng.random_range(0..plan.regions), 0);
         let to = if attempt == 0 { at } else { elsewhere };
         let mut headers = vec![("copperweir-timeout-ms", "3000")];
         headers.extend(key.as_deref().map(|key| ("idempotency-key", key)));
@@ -174,9 +175,9 @@
             boxes.start_one(at.0, at.1);
         }
         _ => {
-            fleet.cut_region(at.0, true);
+            fleet.set_region_cut(at.0, true);
             pause(rng, 4000);
-            fleet.cut_region(at.0, false);
+            fleet.set_region_cut(at.0, false);
         }
     }
     if second {
@@ -193,7 +194,7 @@
     fleet.apply("main", &plan.configuration()).expect("applied");
     let mut boxes = Boxes::start(plan);
     let ready = |region, number| {
-        let at = plan.callers(region, number);
+        let at = plan.callers_address(region, number);
         let reply = fleet.block_on(send(&fleet.client, at, Method::GET, "/readyz", &[], ""));
         reply.is_ok_and(|reply| reply.status == StatusCode::OK)
     };
@@ -215,7 +216,7 @@
     let version = fleet.apply("main", &plan.configuration()).expect("applied");
     eventually("the change is in force on nine boxes", || {
         all().all(|(region, number)| {
-            let at = plan.operators(region, number);
+            let at = plan.operators_address(region, number);
             let reply = fleet.block_on(send(&fleet.client, at, Method::GET, "/status", &[], ""));
             reply.is_ok_and(|reply| reply.json()["version"] == version)
         })
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -41,13 +41,13 @@
 use tokio::runtime::Runtime;
 
 pub const REGIONS: [&str; 3] = ["north", "south", "west"];
-const PATIENCE: Duration = Duration::from_secs(30);
+const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a test wants to run against.
 #[derive(Clone, Copy)]
 pub struct Plan {
     /// Second number of the loopback addresses; unique among all tests.
-    pub test: u8,
+    pub test_id: u8,
     pub regions: usize,
     pub boxes: usize,
     pub engines: usize,
@@ -56,47 +56,47 @@
 }
 
 impl Plan {
-    pub fn new(test: u8) -> Plan {
+    pub fn new(test_id: u8) -> Plan {
         let speed =
             Speed { slots: 8, token: Duration::from_millis(2), prefill: Duration::from_millis(1) };
-        Plan { test, regions: 1, boxes: 1, engines: 1, speed, checks_epochs: true }
+        Plan { test_id, regions: 1, boxes: 1, engines: 1, speed, checks_epochs: true }
     }
 
     fn address(&self, third: usize, fourth: usize, port: u16) -> SocketAddr {
         let (third, fourth) = (third as u8, fourth as u8);
-        SocketAddr::from(([127, self.test, third, fourth], port))
+        SocketAddr::from(([127, self.test_id, third, fourth], port))
     }
 
-    fn platform(&self) -> SocketAddr {
+    fn platform_address(&self) -> SocketAddr {
         self.address(0, 1, 7000)
     }
 
     /// The platform, as a region reaches it.
-    fn platform_link(&self, region: usize) -> SocketAddr {
+    fn platform_link_address(&self, region: usize) -> SocketAddr {
         self.address(0, 10 + region, 7000)
     }
 
-    pub fn engine(&self, region: usize, engine: usize) -> SocketAddr {
+    pub fn engine_address(&self, region: usize, engine: usize) -> SocketAddr {
         self.address(region + 1, 100 + engine, 9000)
     }
 
-    pub fn service(&self, region: usize) -> SocketAddr {
+    pub fn service_address(&self, region: usize) -> SocketAddr {
         self.address(region + 1, 200, 9000)
     }
 
-    pub fn callers(&self, region: usize, number: usize) -> SocketAddr {
+    pub fn callers_address(&self, region: usize, number: usize) -> SocketAddr {
         self.address(region + 1, number + 1, 8001)
     }
 
-    pub fn peers(&self, region: usize, number: usize) -> SocketAddr {
+    pub fn peers_address(&self, region: usize, number: usize) -> SocketAddr {
         self.address(region + 1, number + 1, 8002)
     }
 
-    pub fn operators(&self, region: usize, number: usize) -> SocketAddr {
+    pub fn operators_address(&self, region: usize, number: usize) -> SocketAddr {
         self.address(region + 1, number + 1, 8003)
     }
 
-    fn link(&self, from: usize, to: usize, number: usize) -> SocketAddr {
+    fn link_address(&self, from: usize, to: usize, number: usize) -> SocketAddr {
         self.address(100 + 10 * from + to, number + 1, 8002)
     }
 
@@ -110,20 +110,22 @@
         let all = || (0..self.regions).flat_map(|r| (0..self.boxes).map(move |n| (r, n)));
         let seeds: Vec<String> = all()
             .filter(|at| *at != (region, number))
-            .map(|(r, n)| self.peers(r, n).to_string())
+            .map(|(r, n)| self.peers_address(r, n).to_string())
             .collect();
         let routes: BTreeMap<String, String> = all()
             .filter(|(r, _)| *r != region)
-            .map(|(r, n)| (self.peers(r, n).to_string(), self.link(region, r, n).to_string()))
+            .map(|(r, n)| {
+                (self.peers_address(r, n).to_string(), self.link_address(region, r, n).to_string())
+            })
             .collect();
         let text = json!({
-            "box": name(region, number),
+            "box": box_name(region, number),
             "region": REGIONS[region],
             "failure_domain": "a",
-            "callers": self.callers(region, number).to_string(),
-            "peers": self.peers(region, number).to_string(),
-            "operators": self.operators(region, number).to_string(),
-            "platform": self.platform_link(region).to_string(),
+            "callers": self.callers_address(region, number).to_string(),
+            "peers": self.peers_address(region, number).to_string(),
+            "operators": self.operators_address(region, number).to_string(),
+            "platform": self.platform_link_address(region).to_string(),
             "peer_secret": "a secret for the tests",
             "seeds": seeds,
             "peer_routes": routes,
@@ -145,14 +147,14 @@
             for engine in 0..self.engines {
                 let server = json!({
                     "region": region_name, "failure_domain": "a",
-                    "address": self.engine(region, engine).to_string(),
+                    "address": self.engine_address(region, engine).to_string(),
                     "slots": self.speed.slots, "checks_epochs": self.checks_epochs,
                 });
                 engines.insert(format!("{}-engine-{engine}", region_name), server);
             }
             let server = json!({
                 "region": region_name, "failure_domain": "a",
-                "address": self.service(region).to_string(),
+                "address": self.service_address(region).to_string(),
             });
             services.insert(format!("{}-intake", region_name), server);
         }
@@ -176,7 +178,7 @@
     }
 }
 
-pub fn name(region: usize, number: usize) -> String {
+pub fn box_name(region: usize, number: usize) -> String {
     format!("{}-{number}", REGIONS[region])
 }
 
@@ -255,23 +257,23 @@
 
     fn start_stand_ins(&mut self) {
         let plan = self.plan;
-        self.runtime.spawn(self.platform.serve(self.listen(plan.platform())));
+        self.runtime.spawn(self.platform.serve(self.listen(plan.platform_address())));
         for region in 0..plan.regions {
             let link = Link::new(Duration::ZERO);
-            let listener = self.listen(plan.platform_link(region));
-            self.runtime.spawn(link.serve(listener, plan.platform()));
+            let listener = self.listen(plan.platform_link_address(region));
+            self.runtime.spawn(link.serve(listener, plan.platform_address()));
             self.platform_links.push(link);
             let engines: Vec<Engine> = (0..plan.engines).map(|_| Engine::new(plan.speed)).collect();
             for (number, engine) in engines.iter().enumerate() {
-                self.runtime.spawn(engine.serve(self.listen(plan.engine(region, number))));
+                self.runtime.spawn(engine.serve(self.listen(plan.engine_address(region, number))));
             }
             self.engines.push(engines);
-            self.runtime.spawn(self.service.serve(self.listen(plan.service(region))));
+            self.runtime.spawn(self.service.serve(self.listen(plan.service_address(region))));
             for other in (0..plan.regions).filter(|other| *other != region) {
                 let link = Link::new(Duration::from_millis(1));
                 for number in 0..plan.boxes {
-                    let listener = self.listen(plan.link(region, other, number));
-                    self.runtime.spawn(link.serve(listener, plan.peers(other, number)));
+                    let listener = self.listen(plan.link_address(region, other, number));
+                    self.runtime.spawn(link.serve(listener, plan.peers_address(other, number)));
                 }
                 self.links.insert((region, other), link);
             }
@@ -311,7 +313,7 @@
     }
 
     /// Cuts a region off from the others and from the platform, or mends that.
-    pub fn cut_region(&self, region: usize, cut: bool) {
+    pub fn set_region_cut(&self, region: usize, cut: bool) {
         self.platform_links[region].set_cut(cut);
         for ((from, to), link) in &self.links {
             if *from == region || *to == region {
@@ -321,7 +323,7 @@
     }
 
     pub fn apply(&self, file: &str, configuration: &Value) -> Result<Version, ApplyError> {
-        let store = Store::new(self.plan.platform(), Arc::new(Counters::default()));
+        let store = Store::new(self.plan.platform_address(), Arc::new(Counters::default()));
         let files = Files::from([(file.to_owned(), configuration.to_string())]);
         let id = format!("{file}-{:?}", Instant::now());
         self.runtime.block_on(apply(&store, &files, &id))
@@ -342,7 +344,7 @@
         let plan = self.plan;
         eventually("all boxes know each other", || {
             self.boxes.keys().all(|(region, number)| {
-                let boxes = self.boxes_at(plan.callers(*region, *number)).boxes;
+                let boxes = self.list_boxes(plan.callers_address(*region, *number)).boxes;
                 boxes.len() == self.boxes.len()
             })
         });
@@ -377,27 +379,27 @@
     }
 
     /// A filing through a box.
-    pub fn file(&self, to: SocketAddr, headers: &[(&str, &str)], id: &str) -> Reply {
+    pub fn submit_filing(&self, to: SocketAddr, headers: &[(&str, &str)], id: &str) -> Reply {
         let body = json!({"id": id}).to_string();
         self.send(to, Method::POST, "/services/intake/filings", headers, &body)
     }
 
     pub fn ticket(&self, at: SocketAddr) -> String {
-        self.boxes_at(at).ticket
+        self.list_boxes(at).ticket
     }
 
-    pub fn boxes_at(&self, at: SocketAddr) -> Boxes {
+    pub fn list_boxes(&self, at: SocketAddr) -> Boxes {
         serde_json::from_slice(&self.get(at, "/v1/boxes").body).expect("boxes")
     }
 
     pub fn counter(&self, region: usize, number: usize, counter: &str) -> u64 {
-        let reply = self.get(self.plan.operators(region, number), "/counters");
+        let reply = self.get(self.plan.operators_address(region, number), "/counters");
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("{counter} ")));
         line.and_then(|value| value.parse().ok()).unwrap_or_default()
     }
 
-    pub fn runs(&self, id: &str) -> u64 {
+    pub fn run_count(&self, id: &str) -> u64 {
         self.service.runs().get(id).copied().unwrap_or(0)
     }
 }
@@ -439,7 +441,7 @@
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "not in {PATIENCE:?}: {what}");
+        assert!(start.elapsed() < EVENTUALLY_TIMEOUT, "not in {EVENTUALLY_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -48,7 +48,7 @@
 #[test]
 fn completions_pass_through_whole() {
     let fleet = Fleet::start(Plan::new(10));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let body =
         json!({"model": "log", "max_tokens": 5, "messages": [{"role": "user", "content": "17"}]});
     let prompt = engine::hash(body.to_string().as_bytes());
@@ -73,7 +73,7 @@
 #[test]
 fn http2_is_spoken_too() {
     let fleet = Fleet::start(Plan::new(22));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let body = json!({"model": "log", "messages": [], "max_tokens": 3, "stream": true}).to_string();
     let text = fleet.block_on(async {
         let stream = TokioIo::new(tokio::net::TcpStream::connect(at).await.expect("a connection"));
@@ -92,7 +92,7 @@
 #[test]
 fn models_health_and_readiness_are_told() {
     let fleet = Fleet::start(Plan::new(11));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     assert_eq!(fleet.get(at, "/v1/models").json()["data"][0]["id"], "log");
     assert_eq!(fleet.get(at, "/healthz").status, StatusCode::OK);
     assert_eq!(fleet.get(at, "/readyz").status, StatusCode::OK);
@@ -104,7 +104,7 @@
 #[test]
 fn bad_input_gets_a_clear_answer() {
     let fleet = Fleet::start(Plan::new(12));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let post = |headers: &[(&str, &str)], body: &str| {
         fleet.send(at, Method::POST, "/v1/chat/completions", headers, body)
     };
@@ -136,7 +136,7 @@
 #[test]
 fn a_body_over_the_limit_is_refused_before_it_is_read() {
     let fleet = Fleet::start(Plan::new(13));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 999999999\r\n\r\n";
     let answer = raw(at, head);
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
@@ -145,7 +145,7 @@
 #[test]
 fn headers_that_never_end_do_not_hold_a_connection() {
     let fleet = Fleet::start(Plan::new(23));
-    let mut stream = TcpStream::connect(fleet.plan.callers(0, 0)).expect("a connection");
+    let mut stream = TcpStream::connect(fleet.plan.callers_address(0, 0)).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
     stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nx-").expect("a beginning");
     let mut answer = Vec::new();
@@ -157,7 +157,7 @@
 #[test]
 fn ambiguous_framing_never_reaches_a_backend_server() {
     let fleet = Fleet::start(Plan::new(14));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let start = "POST /services/intake/filings HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let two =
         format!("{start}content-length: 5\r\ncontent-length: 16\r\n\r\n{{\"id\":\"smuggled\"}}");
@@ -170,13 +170,13 @@
     let both =
         format!("{start}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{inner}");
     raw(at, &both);
-    assert_eq!(fleet.runs("smuggled"), 0);
+    assert_eq!(fleet.run_count("smuggled"), 0);
 }
 
 #[test]
 fn keys_teams_and_priorities_are_checked() {
     let fleet = Fleet::start(Plan::new(15));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let mut configuration = fleet.plan.configuration();
     configuration["teams"] = json!({
         "few": {"keys_sha256": [sha256("a-key")], "models": ["log"], "requests_per_second": 1000},
@@ -203,7 +203,7 @@
 #[test]
 fn a_stream_that_breaks_off_ends_with_an_error() {
     let fleet = Fleet::start(Plan::new(16));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let body =
         json!({"model": "log", "messages": [], "max_tokens": 50, "stream": true}).to_string();
     for faults in [
@@ -236,7 +236,7 @@
 #[test]
 fn an_engine_that_hangs_is_answered_for_at_the_deadline() {
     let fleet = Fleet::start(Plan::new(17));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     fleet.engines[0][0].set_faults(engine::Faults { hang: true, ..engine::Faults::default() });
     let reply = fleet.complete(
         at,
@@ -252,7 +252,7 @@
     let mut plan = Plan::new(21);
     plan.engines = 2;
     let fleet = Fleet::start(plan);
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let lose = |count| engine::Faults { lose_answers: count, ..engine::Faults::default() };
     // One answer is lost: the work may be repeated, and is, on the other engine.
     let body = json!({"model": "log", "messages": [], "max_tokens": 1});
@@ -271,7 +271,7 @@
 #[test]
 fn no_backend_server_means_an_answer_at_once_with_when_to_come_back() {
     let fleet = Fleet::start(Plan::new(18));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     fleet.engines[0][0].set_faults(engine::Faults { leaving: true, ..engine::Faults::default() });
     eventually("the leaving server is known", || {
         fleet.complete(at, &[], &json!({"model": "log", "messages": [], "max_tokens": 1})).code()
@@ -290,7 +290,7 @@
 #[test]
 fn a_team_over_its_limit_is_told_when_to_come_back() {
     let fleet = Fleet::start(Plan::new(19));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let mut configuration = fleet.plan.configuration();
     configuration["teams"]["anyone"]["requests_per_second"] = json!(5);
     fleet.apply("main", &configuration).expect("applied");
@@ -313,7 +313,7 @@
     plan.speed.slots = 1;
     plan.speed.token = Duration::from_millis(20);
     let fleet = Fleet::start(plan);
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let mut configuration = fleet.plan.configuration();
     configuration["pools"]["logs"]["queue_limit"] = json!(2);
     fleet.apply("main", &configuration).expect("applied");
--- a/lib/tests/test_once.rs
+++ b/lib/tests/test_once.rs
@@ -22,18 +22,18 @@
 #[test]
 fn the_same_key_gives_the_same_answer() {
     let fleet = Fleet::start(Plan::new(30));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     for key in ["a key", &fleet.ticket(at)] {
         let id = format!("filing-{}", key.len());
-        let first = fleet.file(at, &[("idempotency-key", key)], &id);
-        let second = fleet.file(at, &[("idempotency-key", key)], &id);
+        let first = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
+        let second = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
         assert_eq!(first.status, StatusCode::CREATED, "{first:?}");
         assert_eq!(second.body, first.body);
         assert_eq!(second.status, first.status);
-        assert_eq!(fleet.runs(&id), 1);
-        let other = fleet.file(at, &[("idempotency-key", key)], "another");
+        assert_eq!(fleet.run_count(&id), 1);
+        let other = fleet.submit_filing(at, &[("idempotency-key", key)], "another");
         assert_eq!((other.code().as_str(), ran(&other)), ("key_reused", "no"));
-        assert_eq!(fleet.runs("another"), 0);
+        assert_eq!(fleet.run_count("another"), 0);
     }
 }
 
@@ -44,14 +44,15 @@
     let fleet = Fleet::start(plan);
     fleet.wait_for_members();
     fleet.service.set_faults(service::Faults { slow_ms: 100, ..Default::default() });
-    let ticket = fleet.ticket(plan.callers(0, 1));
+    let ticket = fleet.ticket(plan.callers_address(0, 1));
     for key in ["one key", &ticket] {
         let id = format!("filing-{}", key.len());
         let replies = fleet.block_on(async {
             let mut sent = Vec::new();
             for attempt in 0..12 {
                 let (client, key) = (fleet.client.clone(), key.to_owned());
-                let (at, body) = (plan.callers(0, attempt % 3), json!({"id": id}).to_string());
+                let (at, body) =
+                    (plan.callers_address(0, attempt % 3), json!({"id": id}).to_string());
                 sent.push(tokio::spawn(async move {
                     let headers = [("idempotency-key", key.as_str())];
                     let path = "/services/intake/filings";
@@ -64,7 +65,7 @@
             }
             replies
         });
-        assert_eq!(fleet.runs(&id), 1, "{replies:?}");
+        assert_eq!(fleet.run_count(&id), 1, "{replies:?}");
         for reply in &replies {
             assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
         }
@@ -74,64 +75,64 @@
 #[test]
 fn a_lost_answer_of_the_service_is_not_tried_again() {
     let fleet = Fleet::start(Plan::new(32));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
     let ticket = fleet.ticket(at);
-    let first = fleet.file(at, &[("idempotency-key", &ticket)], "lost");
+    let first = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "lost");
     assert_eq!((first.code().as_str(), ran(&first)), ("backend_failed", "unknown"));
-    let second = fleet.file(at, &[("idempotency-key", &ticket)], "lost");
+    let second = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "lost");
     assert_eq!(ran(&second), "unknown");
-    assert_eq!(fleet.runs("lost"), 1);
+    assert_eq!(fleet.run_count("lost"), 1);
     // Without a key it is not tried again either.
     fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
-    assert_eq!(ran(&fleet.file(at, &[], "keyless")), "unknown");
-    assert_eq!(fleet.runs("keyless"), 1);
+    assert_eq!(ran(&fleet.submit_filing(at, &[], "keyless")), "unknown");
+    assert_eq!(fleet.run_count("keyless"), 1);
 }
 
 #[test]
 fn a_refusal_by_the_service_frees_the_key() {
     let fleet = Fleet::start(Plan::new(33));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     for key in ["a key", &fleet.ticket(at)] {
         let id = format!("filing-{}", key.len());
         fleet.service.set_faults(service::Faults { refuse: true, ..Default::default() });
-        let refused = fleet.file(at, &[("idempotency-key", key)], &id);
+        let refused = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
         assert_eq!(ran(&refused), "no", "{refused:?}");
-        assert_eq!(fleet.runs(&id), 0);
+        assert_eq!(fleet.run_count(&id), 0);
         fleet.service.set_faults(service::Faults::default());
         eventually("the service takes filings again", || {
-            fleet.file(at, &[("idempotency-key", key)], &id).status == StatusCode::CREATED
+            fleet.submit_filing(at, &[("idempotency-key", key)], &id).status == StatusCode::CREATED
         });
-        assert_eq!(fleet.runs(&id), 1);
+        assert_eq!(fleet.run_count(&id), 1);
     }
 }
 
 #[test]
 fn a_ticket_needs_no_store_and_a_bare_key_says_so() {
     let fleet = Fleet::start(Plan::new(34));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     fleet.platform.set_faults(platform::Faults { down: true, ..Default::default() });
-    let bare = fleet.file(at, &[("idempotency-key", "bare")], "bare");
+    let bare = fleet.submit_filing(at, &[("idempotency-key", "bare")], "bare");
     assert_eq!((bare.code().as_str(), ran(&bare)), ("store_unavailable", "no"));
     assert_eq!(bare.header("retry-after"), "5");
-    assert_eq!(fleet.runs("bare"), 0);
+    assert_eq!(fleet.run_count("bare"), 0);
     let ticket = fleet.ticket(at);
-    let reply = fleet.file(at, &[("idempotency-key", &ticket)], "with ticket");
+    let reply = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "with ticket");
     assert_eq!(reply.status, StatusCode::CREATED);
 }
 
 #[test]
 fn a_claim_whose_answer_is_lost_is_read_back() {
     let fleet = Fleet::start(Plan::new(35));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     // Announcements are writes too: lose enough answers that the claim's is among them.
     fleet.platform.set_faults(platform::Faults { lose_answers: 1000, ..Default::default() });
-    let reply = fleet.file(at, &[("idempotency-key", "lost claim")], "claimed");
+    let reply = fleet.submit_filing(at, &[("idempotency-key", "lost claim")], "claimed");
     assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
     fleet.platform.set_faults(platform::Faults::default());
-    let again = fleet.file(at, &[("idempotency-key", "lost claim")], "claimed");
+    let again = fleet.submit_filing(at, &[("idempotency-key", "lost claim")], "claimed");
     assert_eq!(again.body, reply.body);
-    assert_eq!(fleet.runs("claimed"), 1);
+    assert_eq!(fleet.run_count("claimed"), 1);
 }
 
 #[test]
@@ -140,15 +141,20 @@
     plan.regions = 2;
     plan.boxes = 2;
     let fleet = Fleet::start(plan);
-    eventually("the boxes know each other", || fleet.boxes_at(plan.callers(0, 0)).boxes.len() == 4);
-    for (key, id) in [("bare", "f1"), (fleet.ticket(plan.callers(0, 0)).as_str(), "f2")] {
-        let first = fleet.file(plan.callers(0, 0), &[("idempotency-key", key)], id);
+    eventually("the boxes know each other", || {
+        fleet.list_boxes(plan.callers_address(0, 0)).boxes.len() == 4
+    });
+    for (key, id) in [("bare", "f1"), (fleet.ticket(plan.callers_address(0, 0)).as_str(), "f2")] {
+        let first =
+            fleet.submit_filing(plan.callers_address(0, 0), &[("idempotency-key", key)], id);
         assert_eq!(first.status, StatusCode::CREATED, "{first:?}");
-        for at in [plan.callers(0, 1), plan.callers(1, 0), plan.callers(1, 1)] {
-            let again = fleet.file(at, &[("idempotency-key", key)], id);
+        for at in
+            [plan.callers_address(0, 1), plan.callers_address(1, 0), plan.callers_address(1, 1)]
+        {
+            let again = fleet.submit_filing(at, &[("idempotency-key", key)], id);
             assert_eq!(again.body, first.body, "{again:?}");
         }
-        assert_eq!(fleet.runs(id), 1);
+        assert_eq!(fleet.run_count(id), 1);
     }
 }
 
@@ -158,26 +164,32 @@
     plan.boxes = 2;
     let mut fleet = Fleet::start(plan);
     fleet.wait_for_members();
-    let (owner, other) = (plan.callers(0, 0), plan.callers(0, 1));
+    let (owner, other) = (plan.callers_address(0, 0), plan.callers_address(0, 1));
     let (used, unused) = (fleet.ticket(owner), fleet.ticket(owner));
-    assert_eq!(fleet.file(owner, &[("idempotency-key", &used)], "f1").status, StatusCode::CREATED);
-    assert_eq!(fleet.file(owner, &[("idempotency-key", "bare")], "f2").status, StatusCode::CREATED);
+    assert_eq!(
+        fleet.submit_filing(owner, &[("idempotency-key", &used)], "f1").status,
+        StatusCode::CREATED
+    );
+    assert_eq!(
+        fleet.submit_filing(owner, &[("idempotency-key", "bare")], "f2").status,
+        StatusCode::CREATED
+    );
     fleet.kill_box(0, 0);
     fleet.start_box(0, 0);
     fleet.wait_for_version(1);
     for at in [owner, other] {
         for (key, id) in [(used.as_str(), "f1"), ("bare", "f2"), (unused.as_str(), "f3")] {
-            let reply = fleet.file(at, &[("idempotency-key", key)], id);
+            let reply = fleet.submit_filing(at, &[("idempotency-key", key)], id);
             assert_eq!(ran(&reply), "unknown", "{id}: {reply:?}");
         }
     }
-    assert_eq!((fleet.runs("f1"), fleet.runs("f2"), fleet.runs("f3")), (1, 1, 0));
+    assert_eq!((fleet.run_count("f1"), fleet.run_count("f2"), fleet.run_count("f3")), (1, 1, 0));
 }
 
 #[test]
 fn a_caller_that_gives_up_finds_the_answer_later() {
     let fleet = Fleet::start(Plan::new(38));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     fleet.service.set_faults(service::Faults { slow_ms: 300, ..Default::default() });
     let ticket = fleet.ticket(at);
     fleet.block_on(async {
@@ -188,9 +200,9 @@
         let gone = tokio::time::timeout(Duration::from_millis(100), sending).await;
         assert!(gone.is_err());
     });
-    let reply = fleet.file(at, &[("idempotency-key", &ticket)], "slow");
+    let reply = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "slow");
     assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
-    assert_eq!(fleet.runs("slow"), 1);
+    assert_eq!(fleet.run_count("slow"), 1);
 }
 
 #[test]
@@ -201,19 +213,19 @@
     let mut configuration = plan.configuration();
     // Two servers of one service in one region; both file into the same book.
     configuration["services"]["intake"]["servers"] = json!({
-        "one": {"region": "north", "failure_domain": "a", "address": plan.service(0).to_string()},
-        "two": {"region": "north", "failure_domain": "a", "address": plan.service(1).to_string()},
+        "one": {"region": "north", "failure_domain": "a", "address": plan.service_address(0).to_string()},
+        "two": {"region": "north", "failure_domain": "a", "address": plan.service_address(1).to_string()},
     });
     fleet.apply("main", &configuration).expect("applied");
     fleet.wait_for_version(2);
-    let at = plan.callers(0, 0);
+    let at = plan.callers_address(0, 0);
     for round in 0..10 {
         fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
         let id = format!("lost-{round}");
         let key = fleet.ticket(at);
         let headers = [("idempotency-key", key.as_str())];
-        let reply = fleet.file(at, if round % 2 == 0 { &headers } else { &[] }, &id);
+        let reply = fleet.submit_filing(at, if round % 2 == 0 { &headers } else { &[] }, &id);
         assert_eq!(ran(&reply), "unknown", "{reply:?}");
-        assert_eq!(fleet.runs(&id), 1, "{id}");
+        assert_eq!(fleet.run_count(&id), 1, "{id}");
     }
 }
--- a/lib/tests/test_orders.rs
+++ b/lib/tests/test_orders.rs
@@ -45,7 +45,7 @@
         lapse_leases: true,
         ..Default::default()
     });
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let body = json!({"model": "log", "messages": [], "max_tokens": 1});
     assert_eq!(fleet.complete(at, &[], &body).status, http::StatusCode::OK);
     fleet.platform.set_faults(platform::Faults::default());
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -16,7 +16,7 @@
 
 /// A completion passed on to the first box of a region, as if by a peer.
 fn request(fleet: &Fleet, region: usize, model: &str) -> wire::ForwardRequest {
-    let status = fleet.get(fleet.plan.operators(region, 0), "/status").json();
+    let status = fleet.get(fleet.plan.operators_address(region, 0), "/status").json();
     let incarnation = status["incarnation"].as_str().unwrap_or_default();
     wire::ForwardRequest {
         request_id: "r-1".to_owned(),
@@ -37,7 +37,7 @@
 /// The kind of failure that a passed-on request is refused with; "ran" if it is run.
 fn refusal(fleet: &Fleet, region: usize, secret: &str, request: wire::ForwardRequest) -> String {
     let client = Client::new(secret, BTreeMap::new()).expect("a client");
-    let address = fleet.plan.peers(region, 0);
+    let address = fleet.plan.peers_address(region, 0);
     fleet.block_on(async {
         let mut frames = match client.forward(address, request).await {
             Ok(frames) => frames,
@@ -59,7 +59,7 @@
     let fleet = Fleet::start(Plan::new(80));
     let well = request(&fleet, 0, "log");
     assert_eq!(refusal(&fleet, 0, SECRET, well.clone()), "ran");
-    let back = wire::ForwardRequest { visited: vec![common::name(0, 0)], ..well.clone() };
+    let back = wire::ForwardRequest { visited: vec![common::box_name(0, 0)], ..well.clone() };
     assert_eq!(refusal(&fleet, 0, SECRET, back), "too_many_hops");
     let visited = ["a", "b", "c"].map(str::to_owned).to_vec();
     let far = wire::ForwardRequest { visited, ..well.clone() };
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -27,7 +27,7 @@
     fleet.wait_for_members();
     let bound = json!({"model": "log-first", "messages": [], "max_tokens": 2});
     for region in 0..3 {
-        let reply = fleet.complete(fleet.plan.callers(region, 0), &[], &bound);
+        let reply = fleet.complete(fleet.plan.callers_address(region, 0), &[], &bound);
         assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
         assert_eq!(reply.header("copperweir-region"), "north");
     }
@@ -39,16 +39,16 @@
 fn bound_work_is_refused_rather_than_run_elsewhere() {
     let fleet = Fleet::start(three_regions(51));
     fleet.wait_for_members();
-    fleet.cut_region(0, true);
+    fleet.set_region_cut(0, true);
     let bound = json!({"model": "log-first", "messages": [], "max_tokens": 2});
     let deadline = [("copperweir-timeout-ms", "3000")];
     for region in 1..3 {
-        let reply = fleet.complete(fleet.plan.callers(region, 0), &deadline, &bound);
+        let reply = fleet.complete(fleet.plan.callers_address(region, 0), &deadline, &bound);
         assert_ne!(reply.status, StatusCode::OK);
         assert!(!reply.header("copperweir-ran").is_empty());
     }
     eventually("the cut is known", || {
-        let reply = fleet.complete(fleet.plan.callers(1, 0), &deadline, &bound);
+        let reply = fleet.complete(fleet.plan.callers_address(1, 0), &deadline, &bound);
         reply.code() == "no_server" && reply.header("copperweir-ran") == "no"
     });
     assert_eq!(fleet.engines[1][0].completions() + fleet.engines[2][0].completions(), 0);
@@ -61,7 +61,7 @@
     fleet.engines[1][0].set_faults(engine::Faults { leaving: true, ..Default::default() });
     eventually("work goes to another region", || {
         let body = json!({"model": "log", "messages": [], "max_tokens": 2, "stream": true});
-        let reply = fleet.complete(fleet.plan.callers(1, 0), &[], &body);
+        let reply = fleet.complete(fleet.plan.callers_address(1, 0), &[], &body);
         reply.status == StatusCode::OK && reply.header("copperweir-region") != "south"
     });
 }
@@ -72,23 +72,23 @@
     let plan = fleet.plan;
     fleet.wait_for_members();
     // Cut off: no other region, no platform.
-    fleet.cut_region(0, true);
-    let at = plan.callers(0, 0);
-    eventually("the others are gone", || fleet.boxes_at(at).boxes.len() == 2);
+    fleet.set_region_cut(0, true);
+    let at = plan.callers_address(0, 0);
+    eventually("the others are gone", || fleet.list_boxes(at).boxes.len() == 2);
     for _ in 0..20 {
         let reply =
             fleet.complete(at, &[], &json!({"model": "log", "messages": [], "max_tokens": 2}));
         assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
     }
     let ticket = fleet.ticket(at);
-    let filed = fleet.file(at, &[("idempotency-key", &ticket)], "while cut off");
+    let filed = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "while cut off");
     assert_eq!(filed.status, StatusCode::CREATED, "{filed:?}");
     // A box that is replaced meanwhile gets the configuration from its peer.
     fleet.kill_box(0, 1);
     fleet.start_box(0, 1);
     eventually("the replaced box is ready", || fleet.is_ready(0, 1));
     let reply = fleet.complete(
-        plan.callers(0, 1),
+        plan.callers_address(0, 1),
         &[],
         &json!({"model": "log", "messages": [], "max_tokens": 2}),
     );
@@ -101,7 +101,7 @@
         (1..3).all(|region| (0..2).all(|number| fleet.version(region, number) == 2))
     });
     assert_eq!(fleet.version(0, 0), 1);
-    fleet.cut_region(0, false);
+    fleet.set_region_cut(0, false);
     fleet.wait_for_version(2);
     fleet.wait_for_members();
 }
@@ -180,8 +180,10 @@
     plan.boxes = 2;
     plan.speed.token = Duration::from_millis(20);
     let mut fleet = Fleet::start(plan);
-    eventually("the boxes know each other", || fleet.boxes_at(plan.callers(0, 1)).boxes.len() == 2);
-    let at = plan.callers(0, 0);
+    eventually("the boxes know each other", || {
+        fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 2
+    });
+    let at = plan.callers_address(0, 0);
     let (client, runtime) = (fleet.client.clone(), fleet.runtime.handle().clone());
     let body =
         json!({"model": "log", "messages": [], "max_tokens": 100, "stream": true}).to_string();
@@ -197,7 +199,7 @@
     std::thread::sleep(Duration::from_millis(200));
     let stopping = fleet.stop_box(0, 0);
     eventually("the other box no longer tells of it", || {
-        fleet.boxes_at(plan.callers(0, 1)).boxes.len() == 1
+        fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 1
     });
     eventually("the leaving box refuses new work", || {
         let reply =
@@ -223,7 +225,7 @@
     let ask = |number: usize, count: usize| {
         for at in 0..count {
             let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": number * 1000 + at});
-            let reply = fleet.complete(plan.callers(0, number), &[], &body);
+            let reply = fleet.complete(plan.callers_address(0, number), &[], &body);
             assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
         }
     };
@@ -248,7 +250,7 @@
         for prompt in 0..20 {
             last += 1;
             let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": last * 100 + prompt});
-            fleet.complete(plan.callers(0, 0), &[], &body);
+            fleet.complete(plan.callers_address(0, 0), &[], &body);
         }
         fleet.engines[0][0].completions() == before
     });
--- a/lib/tests/test_serve_rest.rs
+++ b/lib/tests/test_serve_rest.rs
@@ -18,13 +18,13 @@
 #[test]
 fn a_service_that_wants_rest_gets_nothing_and_callers_learn_when_to_come_back() {
     let fleet = Fleet::start(Plan::new(61));
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let patience = [("copperweir-timeout-ms", "500")];
     fleet.service.set_faults(Faults { refuse: true, rest_s: Some(2.5), ..Faults::default() });
     let begin = Instant::now();
     for number in 0..8 {
         let sent_at = Instant::now();
-        let reply = fleet.file(at, &patience, &format!("refused-{number}"));
+        let reply = fleet.submit_filing(at, &patience, &format!("refused-{number}"));
         assert!(reply.status.is_server_error(), "{reply:?}");
         assert_eq!(reply.header("copperweir-ran"), "no");
         assert!(sent_at.elapsed() < Duration::from_millis(400), "it is refused at once");
@@ -40,7 +40,7 @@
     std::thread::sleep(
         (begin + Duration::from_millis(2700)).saturating_duration_since(Instant::now()),
     );
-    assert_eq!(fleet.file(at, &patience, "served").status, StatusCode::CREATED);
+    assert_eq!(fleet.submit_filing(at, &patience, "served").status, StatusCode::CREATED);
 }
 
 /// A request was offered to four services that had just come into need, and failed before the one with room was
@@ -52,7 +52,7 @@
     let mut resting = Vec::new();
     for number in 0..8 {
         let service = Service::default();
-        let mut address = fleet.plan.service(0);
+        let mut address = fleet.plan.service_address(0);
         address.set_port(9001 + number);
         let listener = fleet.runtime.block_on(TcpListener::bind(address)).expect("an address");
         fleet.runtime.spawn(service.serve(listener));
@@ -63,7 +63,7 @@
     }
     fleet.apply("main", &configuration).expect("more services");
     fleet.wait_for_version(2);
-    let at = fleet.plan.callers(0, 0);
+    let at = fleet.plan.callers_address(0, 0);
     let patience = [("copperweir-timeout-ms", "5000")];
     // It has work already, so the others come before it.
     fleet.service.set_faults(Faults { slow_ms: 1000, ..Faults::default() });
@@ -71,13 +71,13 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for number in (0..).take_while(|_| !is_at_work()) {
-                fleet.file(at, &patience, &format!("busy-{number}"));
+                fleet.submit_filing(at, &patience, &format!("busy-{number}"));
             }
         });
         common::eventually("it is at work", is_at_work);
         for service in &resting {
             service.set_faults(Faults { refuse: true, rest_s: Some(3.0), ..Faults::default() });
         }
-        assert_eq!(fleet.file(at, &patience, "next").status, StatusCode::CREATED);
+        assert_eq!(fleet.submit_filing(at, &patience, "next").status, StatusCode::CREATED);
     });
 }
