--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -1,9 +1,9 @@
-//! How the configuration reaches a box: from the store, and from other boxes.
+//! Distribution of the configuration: from the store, and between boxes.
 //!
-//! Two boxes of a region watch the store; the others learn of a new version in
-//! heartbeats and fetch it from the box that told them. Every box also looks at
-//! the store once in a while, spread out, so that a region whose watchers are
-//! all gone is never stuck.
+//! In each region, two boxes watch the store. The others learn of a new version
+//! through heartbeats and fetch it from the box that announced it. Every box
+//! also polls the store at a low, randomized rate, so that a region whose
+//! watchers have all failed still receives new versions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,38 +27,40 @@
 use crate::state::counters::Counter;
 use crate::transport::timer;
 
-/// Boxes of a region that watch the store.
-const WATCHERS: usize = 2;
-/// Longest wait of one watch call.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Time between looks at the store by a box that does not watch.
-const LOOK_PERIOD: Duration = Duration::from_secs(60);
-/// Time before the next call after a failure.
-const RETRY_PERIOD: Duration = Duration::from_secs(2);
+/// Number of boxes per region that watch the store.
+const WATCHERS_PER_REGION: usize = 2;
+/// Maximum duration of one watch call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between polls of the store by a box that does not watch it.
+const POLL_INTERVAL: Duration = Duration::from_secs(60);
+/// Time until the next call after a failure.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Control {
-    /// A fresh box asks the store and the peers that its settings name.
-    pub(super) fn ask_for_configuration(&mut self) {
+    /// Queries the store, the platform's list and the seed peers for the
+    /// configuration at the start of the box.
+    pub(super) fn request_initial_configuration(&mut self) {
         self.rollout.asked();
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
             let entry = platform.get(KEY).await.ok().flatten();
             let document = entry.map(|entry| Bytes::from(entry.value));
-            let _ = events.send(Event::Document(document)).await;
-            let _ = events.send(Event::SourceDone).await;
+            let _ = events.send(Event::ConfigurationOffered(document)).await;
+            let _ = events.send(Event::ConfigurationSourceDone).await;
         });
-        // The list names peers to ask; until it has come, not all have been asked.
+        // The platform's list names further peers to query, so it counts as a source
+        // until it has been read.
         self.rollout.asked();
-        self.read_list(true);
+        self.read_platform_list(true);
         for seed in self.shared.settings.seeds.clone() {
-            self.ask_peer_at_start(seed);
+            self.request_configuration_from_peer(seed);
         }
     }
 
-    /// A fresh box asks one more peer.
-    pub(super) fn ask_peer_at_start(&mut self, address: SocketAddr) {
-        if address == self.shared.addresses.peers || !self.asked.insert(address) {
+    /// Queries one more peer for the configuration at the start of the box.
+    pub(super) fn request_configuration_from_peer(&mut self, address: SocketAddr) {
+        if address == self.shared.addresses.peers || !self.peers_asked.insert(address) {
             return;
         }
         self.rollout.asked();
@@ -66,83 +68,85 @@
         let events = self.events.clone();
         tokio::spawn(async move {
             let document = peers.fetch_configuration(address, 0).await.ok().flatten();
-            let _ = events.send(Event::Document(document)).await;
-            let _ = events.send(Event::SourceDone).await;
+            let _ = events.send(Event::ConfigurationOffered(document)).await;
+            let _ = events.send(Event::ConfigurationSourceDone).await;
         });
     }
 
-    /// Keeps a watch on the store while this box is one of its region's watchers.
+    /// Watches the store while this box is a watcher of its region, and polls
+    /// it otherwise.
     pub(super) fn watch_configuration(&self) {
         let platform = self.platform.clone();
         let events = self.events.clone();
-        let watching = Arc::clone(&self.watching);
+        let is_watcher = Arc::clone(&self.is_watcher);
         let mut rng = self.rng.clone();
         tokio::spawn(async move {
-            let mut after = 0;
+            let mut last_revision = 0;
             loop {
                 let jitter = rng.random_range(0.5..1.5);
-                let watches = watching.load(Ordering::Relaxed);
-                let answer = match watches {
-                    true => platform.watch(KEY, after, WATCH_WAIT).await,
+                let watches_store = is_watcher.load(Ordering::Relaxed);
+                let result = match watches_store {
+                    true => platform.watch(KEY, last_revision, WATCH_TIMEOUT).await,
                     false => platform.get(KEY).await,
                 };
-                let pause = match answer {
-                    Err(_) => RETRY_PERIOD.mul_f64(jitter),
+                let pause = match result {
+                    Err(_) => RETRY_INTERVAL.mul_f64(jitter),
                     Ok(entry) => {
                         if let Some(entry) = entry {
-                            after = after.max(entry.revision);
-                            let document = Event::Document(Some(Bytes::from(entry.value)));
-                            if events.send(document).await.is_err() {
+                            last_revision = last_revision.max(entry.revision);
+                            let event = Event::ConfigurationOffered(Some(Bytes::from(entry.value)));
+                            if events.send(event).await.is_err() {
                                 return;
                             }
                         }
-                        if watches { Duration::ZERO } else { LOOK_PERIOD.mul_f64(jitter) }
+                        if watches_store { Duration::ZERO } else { POLL_INTERVAL.mul_f64(jitter) }
                     }
                 };
-                wait(pause, &watching).await;
+                wait_or_become_watcher(pause, &is_watcher).await;
             }
         });
     }
 
-    /// Works out anew whether this box is one of the watchers.
-    pub(super) fn choose_watchers(&mut self, now: Instant) {
+    /// Determines whether this box is a watcher of its region.
+    pub(super) fn update_watcher_role(&mut self, now: Instant) {
         let region = &self.shared.settings.region;
         let names =
             self.exchange.membership.live_in(region, now).map(|member| member.name.as_str());
-        let watches = rendezvous::holds(&self.shared.settings.name, names, "watch", WATCHERS);
-        self.watching.store(watches, Ordering::Relaxed);
+        let is_chosen =
+            rendezvous::holds(&self.shared.settings.name, names, "watch", WATCHERS_PER_REGION);
+        self.is_watcher.store(is_chosen, Ordering::Relaxed);
     }
 
-    /// Fetches a newer version from a box that has it.
-    pub(super) fn fetch_from(&mut self, address: SocketAddr) {
-        if self.fetching.swap(true, Ordering::AcqRel) {
+    /// Fetches a newer version from another box.
+    pub(super) fn fetch_configuration_from(&mut self, address: SocketAddr) {
+        if self.fetch_in_progress.swap(true, Ordering::AcqRel) {
             return;
         }
         let peers = Arc::clone(&self.peers);
         let events = self.events.clone();
-        let fetching = Arc::clone(&self.fetching);
+        let fetch_in_progress = Arc::clone(&self.fetch_in_progress);
         let newer_than = self.rollout.version();
         tokio::spawn(async move {
             let document = peers.fetch_configuration(address, newer_than).await.ok().flatten();
-            fetching.store(false, Ordering::Release);
-            let _ = events.send(Event::Document(document)).await;
+            fetch_in_progress.store(false, Ordering::Release);
+            let _ = events.send(Event::ConfigurationOffered(document)).await;
         });
     }
 
     /// Fetches a version from any member that is known to have it.
-    pub(super) fn fetch_from_any(&mut self, version: Version) {
+    pub(super) fn fetch_version(&mut self, version: Version) {
         if version <= self.rollout.version() {
             return;
         }
         let now = clock::now();
-        let holder = self.exchange.membership.live(now).find(|member| member.version >= version);
-        if let Some(address) = holder.map(|member| member.peers) {
-            self.fetch_from(address);
+        let source = self.exchange.membership.live(now).find(|member| member.version >= version);
+        if let Some(address) = source.map(|member| member.peers) {
+            self.fetch_configuration_from(address);
         }
     }
 
-    /// A configuration came in, from wherever.
-    pub(super) fn offered(&mut self, bytes: Option<Bytes>) {
+    /// Handles a configuration from any source.
+    pub(super) fn handle_offered_configuration(&mut self, bytes: Option<Bytes>) {
         let Some(bytes) = bytes else { return };
         let document = match Document::decode(&bytes) {
             Ok(document) => document,
@@ -174,21 +178,21 @@
         self.shared.document.store(Arc::new(bytes));
         self.count(Counter::ConfigurationsAdopted);
         log::info!("event=configuration_adopted version={}", document.version);
-        self.set_pools();
+        self.configure_pools();
         self.publish();
-        self.spread();
+        self.send_urgent_heartbeats();
     }
 }
 
-/// Waits, but not longer than until the box becomes a watcher.
-async fn wait(pause: Duration, watching: &AtomicBool) {
-    const STEP: Duration = Duration::from_secs(1);
-    let until = clock::now() + pause;
-    let was_watching = watching.load(Ordering::Relaxed);
-    while clock::now() < until {
-        let left = until.saturating_duration_since(clock::now());
-        timer::sleep(left.min(STEP)).await;
-        if watching.load(Ordering::Relaxed) && !was_watching {
+/// Waits for `pause`, or until the box becomes a watcher.
+async fn wait_or_become_watcher(pause: Duration, is_watcher: &AtomicBool) {
+    const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+    let deadline = clock::now() + pause;
+    let was_watcher = is_watcher.load(Ordering::Relaxed);
+    while clock::now() < deadline {
+        let remaining = deadline.saturating_duration_since(clock::now());
+        timer::sleep(remaining.min(CHECK_INTERVAL)).await;
+        if is_watcher.load(Ordering::Relaxed) && !was_watcher {
             return;
         }
     }
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: who is told what, and what is made of what others tell.
+//! Heartbeats: choosing recipients, composing messages and applying received
+//! ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,25 +23,27 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 
-/// Time between announcements in the directory, in a region of few boxes.
-pub(super) const ANNOUNCE_PERIOD: Duration = Duration::from_secs(10);
-/// Life of an announcement, in such a region.
-const ANNOUNCE_LIFE: Duration = Duration::from_secs(35);
-/// Boxes of a region that announce once a period between them; in a larger
-/// region each does so less often, and for longer.
-const ANNOUNCERS: u32 = 16;
-/// Longest time that a call takes while this box runs.
-const LONGEST_CALL: Duration = Duration::from_secs(4);
-/// Boxes that are told at once of what cannot wait for the next period.
-const TOLD_AT_ONCE: usize = 4;
-/// Boxes that are told at once that this box is leaving.
-const TOLD_OF_LEAVING: usize = 16;
+/// Time between a box's announcements in the directory, in a region of at most
+/// [`ANNOUNCEMENTS_PER_INTERVAL`] boxes.
+pub(super) const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
+/// Time to live of an announcement in such a region.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(35);
+/// Maximum number of announcements per interval and region. In a larger region,
+/// each box announces itself less often and with a longer time to live.
+const ANNOUNCEMENTS_PER_INTERVAL: u32 = 16;
+/// Maximum duration of a heartbeat call while this box is running.
+const MAX_HEARTBEAT_CALL_DURATION: Duration = Duration::from_secs(4);
+/// Number of boxes that receive urgent news at once instead of in the next
+/// period.
+const URGENT_HEARTBEAT_TARGETS: usize = 4;
+/// Number of boxes that are told at once that this box is leaving.
+const LEAVING_NOTICE_TARGETS: usize = 16;
 
 impl Control {
-    /// One period of heartbeats.
-    pub(super) fn beat(&mut self, now: Instant, late: Duration) {
+    /// Runs one period of heartbeats.
+    pub(super) fn send_heartbeats(&mut self, now: Instant, late: Duration) {
         self.exchange.membership.tick(now, late);
-        self.choose_watchers(now);
+        self.update_watcher_role(now);
         let period = self.exchange.membership.tuning().period;
         lock(&self.shared.limiter).tick(period, now);
         self.log_members(now);
@@ -50,16 +53,16 @@
         }
     }
 
-    /// Tells a few boxes at once.
-    pub(super) fn spread(&mut self) {
+    /// Sends heartbeats to a few boxes at once.
+    pub(super) fn send_urgent_heartbeats(&mut self) {
         let now = clock::now();
         let mut targets = Vec::new();
-        while targets.len() < TOLD_AT_ONCE {
-            let more = self.exchange.membership.targets(now, &mut self.rng);
-            if more.is_empty() {
+        while targets.len() < URGENT_HEARTBEAT_TARGETS {
+            let next_targets = self.exchange.membership.targets(now, &mut self.rng);
+            if next_targets.is_empty() {
                 break;
             }
-            targets.extend(more);
+            targets.extend(next_targets);
         }
         targets.sort_unstable();
         targets.dedup();
@@ -69,74 +72,82 @@
         }
     }
 
-    /// Tells the boxes of the region that this one is leaving.
-    pub(super) fn tell_region(&mut self) {
+    /// Tells the boxes of the region that this box is leaving.
+    pub(super) fn notify_region_of_leaving(&mut self) {
         let now = clock::now();
         self.exchange.membership.update_own(|own| own.beat += 1);
         let region = self.shared.settings.region.clone();
         let members = self.exchange.membership.live_in(&region, now).map(|member| member.peers);
-        let targets: Vec<SocketAddr> = members.take(TOLD_OF_LEAVING).collect();
+        let targets: Vec<SocketAddr> = members.take(LEAVING_NOTICE_TARGETS).collect();
         for target in targets {
             self.send_heartbeat(target, now);
         }
-        self.spread();
+        self.send_urgent_heartbeats();
     }
 
     fn send_heartbeat(&mut self, target: SocketAddr, now: Instant) {
         let extra = Extra { demands: lock(&self.shared.limiter).demands(), ..Extra::default() };
-        self.send_with(target, extra, now);
+        self.send_heartbeat_with(target, extra, now);
     }
 
-    fn send_with(&mut self, target: SocketAddr, extra: Extra, now: Instant) {
+    fn send_heartbeat_with(&mut self, target: SocketAddr, extra: Extra, now: Instant) {
         let member = self.exchange.membership.live(now).find(|member| member.peers == target);
         let region = member.map(|member| member.region.clone());
-        let heartbeat = wire::Heartbeat::from(&self.compose(region.as_ref(), extra, now));
+        let heartbeat = wire::Heartbeat::from(&self.compose_heartbeat(region.as_ref(), extra, now));
         let counters = Arc::clone(&self.shared.counters);
         counters.count(Counter::HeartbeatsSent);
         counters.add(Counter::HeartbeatBytes, heartbeat.encoded_len() as u64);
         let peers = Arc::clone(&self.peers);
         let events = self.events.clone();
         tokio::spawn(async move {
-            let answer = peers.exchange(target, heartbeat).await;
-            let answered = answer.is_ok();
-            let _ = events.send(Event::Called { peer: target, answered, sent_at: now }).await;
-            let Ok(answer) = answer else { return counters.count(Counter::HeartbeatsFailed) };
-            counters.add(Counter::HeartbeatBytes, answer.encoded_len() as u64);
-            if let Ok(heartbeat) = Heartbeat::try_from(answer) {
+            let response = peers.exchange(target, heartbeat).await;
+            let answered = response.is_ok();
+            let _ = events
+                .send(Event::HeartbeatCompleted { peer: target, answered, sent_at: now })
+                .await;
+            let Ok(response) = response else { return counters.count(Counter::HeartbeatsFailed) };
+            counters.add(Counter::HeartbeatBytes, response.encoded_len() as u64);
+            if let Ok(heartbeat) = Heartbeat::try_from(response) {
                 let _ = events.send(Event::Heartbeat(Box::new(heartbeat), None)).await;
             }
         });
     }
 
-    fn compose(
+    fn compose_heartbeat(
         &mut self,
         receiver: Option<&RegionId>,
         mut extra: Extra,
         now: Instant,
     ) -> Heartbeat {
         if receiver.is_some_and(|region| *region != self.shared.settings.region) {
-            extra.credits = self.lend(now);
+            extra.credits = self.lend_slots(now);
         }
         self.exchange.compose(receiver, extra, now, &mut self.rng)
     }
 
-    /// A heartbeat of ours was answered, or not.
-    pub(super) fn called(&mut self, peer: SocketAddr, answered: bool, sent_at: Instant) {
+    /// Handles the end of a heartbeat call that this box made.
+    pub(super) fn handle_heartbeat_result(
+        &mut self,
+        peer: SocketAddr,
+        answered: bool,
+        sent_at: Instant,
+    ) {
         let now = clock::now();
         if answered {
             return self.exchange.membership.answered(peer);
         }
-        // A call that ended much later than it can have: this box was frozen, not the other.
-        let frozen = now.saturating_duration_since(sent_at) > LONGEST_CALL;
-        if !frozen && self.exchange.membership.unanswered(peer, now) {
+        // A call that ended later than any call can was delayed by a suspension of this
+        // box, not by the peer.
+        let was_suspended = now.saturating_duration_since(sent_at) > MAX_HEARTBEAT_CALL_DURATION;
+        if !was_suspended && self.exchange.membership.unanswered(peer, now) {
             self.log_members(now);
             self.publish();
-            self.spread();
+            self.send_urgent_heartbeats();
         }
     }
 
-    /// Lends this box's share of what is spare in its region.
-    fn lend(&mut self, now: Instant) -> Vec<Credit> {
+    /// Lends this box's share of the spare slots in its region.
+    fn lend_slots(&mut self, now: Instant) -> Vec<Credit> {
         if self.exchange.membership.own().phase != Phase::Serving {
             return Vec::new();
         }
@@ -144,9 +155,9 @@
         let boxes = self.exchange.membership.live_in(&region, now).count() as f64 + 1.0;
         let mut credits = Vec::new();
         for (id, pool) in &self.configuration.pools {
-            let Some(shared) = self.shared.pools.get(id) else { continue };
-            let spare = f64::from(shared.with(|pool| pool.spare(now)));
-            let share = (spare * pool.lend_share / boxes) as u32;
+            let Some(pool_handle) = self.shared.pools.get(id) else { continue };
+            let spare_slots = f64::from(pool_handle.with(|pool| pool.spare(now)));
+            let share = (spare_slots * pool.lend_share / boxes) as u32;
             let lender = self.lenders.entry(id.clone()).or_default();
             let slots = lender.lend(share, share.div_ceil(2), now);
             if slots > 0 {
@@ -157,46 +168,51 @@
         credits
     }
 
-    /// A heartbeat came in, which is answered, or the answer to one of ours.
-    pub(super) fn hear(
+    /// Handles a heartbeat: either a request, to which it responds, or the
+    /// response to one of this box's heartbeats.
+    pub(super) fn handle_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
-        answer: Option<oneshot::Sender<Heartbeat>>,
+        response_sender: Option<oneshot::Sender<Heartbeat>>,
     ) {
         let now = clock::now();
-        let heard = self.exchange.hear(&heartbeat, self.rollout.version(), now);
+        let effects = self.exchange.hear(&heartbeat, self.rollout.version(), now);
         let sender = &heartbeat.sender;
-        self.hear_credits(&sender.region, &heartbeat.credits, now);
+        self.receive_credits(&sender.region, &heartbeat.credits, now);
         lock(&self.shared.limiter).hear(&sender.name, &heartbeat.demands);
-        if let Some((_, peer)) = heard.newer {
-            self.fetch_from(peer);
+        if let Some((_, peer)) = effects.newer {
+            self.fetch_configuration_from(peer);
         }
-        if heard.members_changed {
+        if effects.members_changed {
             self.log_members(now);
             self.publish();
         }
-        self.pools_dirty |= heard.load_changed;
-        if heard.servers_changed {
+        self.pools_dirty |= effects.load_changed;
+        if effects.servers_changed {
             self.refresh_pools(now);
-            self.spread();
+            self.send_urgent_heartbeats();
         }
-        match (answer, heard.follow_up) {
-            // What the sender wants goes into the answer; what we want, the answer asks for.
-            (Some(answer), follow_up) => {
-                let (wanted, given) =
-                    follow_up.map(|next| (next.wanted, next.given)).unwrap_or_default();
+        match (response_sender, effects.follow_up) {
+            // The response contains the records that the sender requested, and requests
+            // the records that this box lacks.
+            (Some(response_sender), follow_up) => {
+                let (wanted, given) = follow_up
+                    .map(|follow_up| (follow_up.wanted, follow_up.given))
+                    .unwrap_or_default();
                 let extra = Extra { wanted, given, ..Extra::default() };
-                let _ = answer.send(self.compose(Some(&sender.region), extra, now));
+                let _ =
+                    response_sender.send(self.compose_heartbeat(Some(&sender.region), extra, now));
             }
-            (None, Some(next)) => {
-                let extra = Extra { wanted: next.wanted, given: next.given, ..Extra::default() };
-                self.send_with(next.to, extra, now);
+            (None, Some(follow_up)) => {
+                let extra =
+                    Extra { wanted: follow_up.wanted, given: follow_up.given, ..Extra::default() };
+                self.send_heartbeat_with(follow_up.to, extra, now);
             }
             (None, None) => {}
         }
     }
 
-    fn hear_credits(&mut self, from: &RegionId, credits: &[Credit], now: Instant) {
+    fn receive_credits(&mut self, from: &RegionId, credits: &[Credit], now: Instant) {
         if *from == self.shared.settings.region {
             return;
         }
@@ -207,9 +223,9 @@
         }
     }
 
-    /// Tells the directory of this box when its turn has come.
-    pub(super) fn announce_in_turn(&mut self) {
-        let factor = self.announce_factor();
+    /// Announces this box in the directory if it is due.
+    pub(super) fn announce_if_due(&mut self) {
+        let factor = self.announcement_interval_factor();
         self.announce_tick = self.announce_tick.wrapping_add(1);
         let turn = (self.shared.incarnation as u32).wrapping_add(self.announce_tick) % factor;
         if turn == 0 || self.announce_tick == 1 {
@@ -217,11 +233,11 @@
         }
     }
 
-    fn announce_factor(&self) -> u32 {
-        self.exchange.membership.own().region_boxes.div_ceil(ANNOUNCERS).max(1)
+    fn announcement_interval_factor(&self) -> u32 {
+        self.exchange.membership.own().region_boxes.div_ceil(ANNOUNCEMENTS_PER_INTERVAL).max(1)
     }
 
-    /// Tells the directory of this box.
+    /// Announces this box in the directory.
     pub(super) fn announce(&self) {
         let own = self.exchange.membership.own();
         if own.phase == Phase::Starting {
@@ -236,7 +252,7 @@
             leaving: own.phase == Phase::Leaving,
         };
         let platform = self.platform.clone();
-        let life = ANNOUNCE_LIFE * self.announce_factor();
+        let life = ANNOUNCEMENT_TTL * self.announcement_interval_factor();
         tokio::spawn(async move {
             let _ = platform.announce(&listing, life).await;
         });
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -1,10 +1,10 @@
-//! The control thread: it alone changes control state.
+//! The control thread, which alone changes control state.
 //!
-//! Events come in from timers, from other boxes and from its own calls; each
-//! is handled to its end before the next. What traffic threads need is
-//! published whole ([`Snapshot`]) or put into the pools. Calls to others run
-//! as tasks that report back with an event, so a slow store or peer never
-//! holds the thread up.
+//! Timers, other boxes and the thread's own calls produce events, which are
+//! handled one at a time. State for the traffic threads is published as a whole
+//! ([`Snapshot`]) or written to the pools. Calls to other processes run as
+//! tasks that report back with an event, so a slow store or peer never blocks
+//! the thread.
 
 mod configuration;
 mod heartbeats;
@@ -27,7 +27,7 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use super::shared::Shared;
+use super::shared::SharedState;
 use super::shared::lock;
 use crate::coordination::drain;
 use crate::coordination::drain::Drain;
@@ -63,105 +63,109 @@
 use crate::transport::timer::Tick;
 use crate::transport::timer::Timer;
 
-/// Events that wait for the control thread.
-pub const EVENTS: usize = 4096;
-/// Longest wait of a fresh box for slow answers about the configuration.
-const START_WAIT: Duration = Duration::from_millis(1500);
+/// Capacity of the control thread's event queue.
+pub const EVENT_QUEUE_CAPACITY: usize = 4096;
+/// Time after the start of a box at which it stops waiting for slow sources and
+/// becomes ready with the newest configuration it has.
+const INITIAL_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time between sends of the counters.
-const METRICS_PERIOD: Duration = Duration::from_secs(10);
-/// Time between looks at the progress of a stop.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
-/// Time between sweeps of memory.
-const SWEEP_PERIOD: Duration = Duration::from_secs(5);
+const METRICS_INTERVAL: Duration = Duration::from_secs(10);
+/// Time between checks of the progress of a stop.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between removals of stale state.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the control thread handles.
+/// Input to the control thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A timer's tick.
+    /// A timer fired.
     Tick(Tick<Topic>),
-    /// A heartbeat came in; the answer goes back, if one is wanted.
+    /// A heartbeat was received. If it came in a call, the response is sent
+    /// back through the channel.
     Heartbeat(Box<Heartbeat>, Option<oneshot::Sender<Heartbeat>>),
-    /// A heartbeat was answered, or not.
-    Called {
-        /// Where to.
+    /// A heartbeat call ended.
+    HeartbeatCompleted {
+        /// Address that the heartbeat was sent to.
         peer: SocketAddr,
         /// Whether it was answered.
         answered: bool,
         /// When it was sent.
         sent_at: Instant,
     },
-    /// A stored configuration came in, or word that a source has none newer.
-    Document(Option<Bytes>),
-    /// A source that a fresh box asked has answered or failed.
-    SourceDone,
-    /// A forwarded request was decided by a newer version than ours.
-    Behind(Version),
-    /// A backend server was probed.
-    Probed(Report),
-    /// The platform's list came in.
-    Listed(Vec<Listed>),
-    /// Word on the lease of this region's duty.
+    /// A source returned its stored configuration, or `None` if it failed or
+    /// has none that is newer.
+    ConfigurationOffered(Option<Bytes>),
+    /// A source that was queried at the start answered or failed.
+    ConfigurationSourceDone,
+    /// A forwarded request is based on this version, which is newer than this
+    /// box's.
+    NewerVersionRequired(Version),
+    /// A probe of a backend server ended.
+    ProbeCompleted(Report),
+    /// The platform's list was read.
+    PlatformListRead(Vec<Listed>),
+    /// A call to acquire or renew the lease ended.
     Lease(lease::Event, Option<LeaseId>),
-    /// The operator asks to stop.
-    Stop,
+    /// The operator requested a stop.
+    StopRequested,
 }
 
-/// What the timers are for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Topic {
-    /// Exchange heartbeats.
+    /// Send heartbeats.
     Heartbeat,
     /// Probe backend servers.
     Probe,
-    /// Bring the pools up to date and place what waits.
+    /// Update the pools and place waiting requests.
     Pools,
     /// Read the platform's list.
     List,
     /// Announce this box in the directory.
     Announce,
-    /// Keep or take the lease of the region's duty.
+    /// Acquire or renew the lease for ordering this region's engines.
     Lease,
-    /// Give orders.
+    /// Send orders to model engines.
     Orders,
-    /// Look at the progress of a stop.
+    /// Check the progress of a stop.
     Drain,
     /// Send the counters.
     Metrics,
-    /// Forget what is old.
-    Sweep,
+    /// Remove stale state.
+    Cleanup,
 }
 
-/// The control state of a box.
+/// Control state of a box.
 pub struct Control {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     events: mpsc::Sender<Event>,
     stop: watch::Sender<Stop>,
     exchange: Exchange,
     rollout: Rollout,
     configuration: Arc<Configuration>,
     drain: Drain,
-    holder: Holder,
-    lease: Option<LeaseId>,
+    lease_holder: Holder,
+    lease_id: Option<LeaseId>,
     lenders: BTreeMap<PoolId, Lender>,
     peers: Arc<peer::Client>,
     platform: Platform,
     backend: backend::Client,
     metrics: Option<metrics::Sink>,
-    watching: Arc<AtomicBool>,
-    fetching: Arc<AtomicBool>,
-    live: BTreeSet<(String, u64, bool)>,
+    is_watcher: Arc<AtomicBool>,
+    fetch_in_progress: Arc<AtomicBool>,
+    logged_members: BTreeSet<(String, u64, bool)>,
     pools_dirty: bool,
-    asked: BTreeSet<SocketAddr>,
-    probes: Vec<servers::Probe>,
+    peers_asked: BTreeSet<SocketAddr>,
+    probe_targets: Vec<servers::ProbeTarget>,
     announce_tick: u32,
-    servers_seen: BTreeMap<ServerId, (bool, bool)>,
+    logged_server_states: BTreeMap<ServerId, (bool, bool)>,
     rng: SmallRng,
 }
 
 impl Control {
-    /// The control state of a fresh box.
+    /// Creates the control state of a box that has just started.
     pub fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         events: mpsc::Sender<Event>,
         stop: watch::Sender<Stop>,
         own: Member,
@@ -179,24 +183,24 @@
         });
         Control {
             exchange: Exchange { membership, load: Load::default() },
-            rollout: Rollout::new(now, START_WAIT),
+            rollout: Rollout::new(now, INITIAL_CONFIGURATION_TIMEOUT),
             configuration: Arc::new(Configuration::default()),
             drain: Drain::new(tuning),
-            holder: Holder::new(lease::Tuning::default()),
-            lease: None,
+            lease_holder: Holder::new(lease::Tuning::default()),
+            lease_id: None,
             lenders: BTreeMap::new(),
             peers: Arc::new(peers),
             platform: Platform::new(settings.platform, Arc::clone(&shared.counters)),
             backend: backend::Client::default(),
             metrics,
-            watching: Arc::new(AtomicBool::new(true)),
-            fetching: Arc::new(AtomicBool::new(false)),
-            live: BTreeSet::new(),
+            is_watcher: Arc::new(AtomicBool::new(true)),
+            fetch_in_progress: Arc::new(AtomicBool::new(false)),
+            logged_members: BTreeSet::new(),
             pools_dirty: true,
-            asked: BTreeSet::new(),
-            probes: Vec::new(),
+            peers_asked: BTreeSet::new(),
+            probe_targets: Vec::new(),
             announce_tick: 0,
-            servers_seen: BTreeMap::new(),
+            logged_server_states: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(shared.incarnation),
             shared,
             events,
@@ -204,13 +208,13 @@
         }
     }
 
-    /// Handles events until the stop has ended; gives the stage it ended in.
+    /// Handles events until the stop is complete and returns the final stage.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) -> Stage {
         self.start_timers();
-        self.ask_for_configuration();
+        self.request_initial_configuration();
         self.watch_configuration();
         while let Some(event) = events.recv().await {
-            self.handle(event);
+            self.handle_event(event);
             if self.drain.stage().ended() {
                 break;
             }
@@ -224,18 +228,26 @@
     fn start_timers(&self) {
         let mut timer = Timer::default();
         let period = membership::Tuning::default().period;
-        // Boxes that start together do not stay in step.
-        let first = |period: Duration| period.mul_f64(self.jitter());
+        // Boxes that start together spread these tasks over the period.
+        let initial_delay = |period: Duration| period.mul_f64(self.jitter_fraction());
         timer.subscribe(Topic::Heartbeat, period, Duration::ZERO);
-        timer.subscribe(Topic::Probe, servers::PROBE_PERIOD, Duration::ZERO);
-        timer.subscribe(Topic::Pools, servers::POOLS_PERIOD, Duration::ZERO);
-        timer.subscribe(Topic::List, servers::LIST_PERIOD, Duration::ZERO);
-        timer.subscribe(Topic::Announce, heartbeats::ANNOUNCE_PERIOD, Duration::ZERO);
-        timer.subscribe(Topic::Lease, orders::LEASE_PERIOD, first(orders::LEASE_PERIOD));
-        timer.subscribe(Topic::Orders, orders::ORDERS_PERIOD, first(orders::ORDERS_PERIOD));
-        timer.subscribe(Topic::Drain, DRAIN_PERIOD, DRAIN_PERIOD);
-        timer.subscribe(Topic::Metrics, METRICS_PERIOD, METRICS_PERIOD);
-        timer.subscribe(Topic::Sweep, SWEEP_PERIOD, SWEEP_PERIOD);
+        timer.subscribe(Topic::Probe, servers::PROBE_INTERVAL, Duration::ZERO);
+        timer.subscribe(Topic::Pools, servers::POOL_REFRESH_INTERVAL, Duration::ZERO);
+        timer.subscribe(Topic::List, servers::PLATFORM_LIST_INTERVAL, Duration::ZERO);
+        timer.subscribe(Topic::Announce, heartbeats::ANNOUNCE_INTERVAL, Duration::ZERO);
+        timer.subscribe(
+            Topic::Lease,
+            orders::LEASE_CHECK_INTERVAL,
+            initial_delay(orders::LEASE_CHECK_INTERVAL),
+        );
+        timer.subscribe(
+            Topic::Orders,
+            orders::ORDER_INTERVAL,
+            initial_delay(orders::ORDER_INTERVAL),
+        );
+        timer.subscribe(Topic::Drain, DRAIN_CHECK_INTERVAL, DRAIN_CHECK_INTERVAL);
+        timer.subscribe(Topic::Metrics, METRICS_INTERVAL, METRICS_INTERVAL);
+        timer.subscribe(Topic::Cleanup, CLEANUP_INTERVAL, CLEANUP_INTERVAL);
         let (sender, mut ticks) = mpsc::channel(1);
         let events = self.events.clone();
         tokio::spawn(timer::watch_suspensions());
@@ -249,41 +261,45 @@
         });
     }
 
-    /// A share between 0 and 1 that is this box's own.
-    fn jitter(&self) -> f64 {
+    /// A fraction in [0, 1) derived from the incarnation, to desynchronize boxes.
+    fn jitter_fraction(&self) -> f64 {
         (self.shared.incarnation % 1000) as f64 / 1000.0
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick(tick) => self.tick(tick),
-            Event::Heartbeat(heartbeat, answer) => self.hear(*heartbeat, answer),
-            Event::Called { peer, answered, sent_at } => self.called(peer, answered, sent_at),
-            Event::Document(document) => self.offered(document),
-            Event::SourceDone => {
+            Event::Tick(tick) => self.handle_tick(tick),
+            Event::Heartbeat(heartbeat, response_sender) => {
+                self.handle_heartbeat(*heartbeat, response_sender)
+            }
+            Event::HeartbeatCompleted { peer, answered, sent_at } => {
+                self.handle_heartbeat_result(peer, answered, sent_at)
+            }
+            Event::ConfigurationOffered(document) => self.handle_offered_configuration(document),
+            Event::ConfigurationSourceDone => {
                 self.rollout.answered();
                 self.publish();
             }
-            Event::Behind(version) => self.fetch_from_any(version),
-            Event::Probed(report) => self.probed(&report),
-            Event::Listed(listed) => self.listed(&listed),
-            Event::Lease(event, lease) => self.lease_event(event, lease),
-            Event::Stop => self.begin_stop(),
+            Event::NewerVersionRequired(version) => self.fetch_version(version),
+            Event::ProbeCompleted(report) => self.handle_probe_report(&report),
+            Event::PlatformListRead(listed) => self.handle_platform_list(&listed),
+            Event::Lease(event, lease_id) => self.handle_lease_event(event, lease_id),
+            Event::StopRequested => self.begin_stop(),
         }
     }
 
-    fn tick(&mut self, tick: Tick<Topic>) {
+    fn handle_tick(&mut self, tick: Tick<Topic>) {
         match tick.topic {
-            Topic::Heartbeat => self.beat(tick.now, tick.late),
-            Topic::Probe => self.probe(),
+            Topic::Heartbeat => self.send_heartbeats(tick.now, tick.late),
+            Topic::Probe => self.probe_servers(),
             Topic::Pools => self.refresh_pools(tick.now),
-            Topic::List => self.read_list(false),
-            Topic::Announce => self.announce_in_turn(),
-            Topic::Lease => self.tend_lease(tick.now),
-            Topic::Orders => self.give_orders(tick.now),
-            Topic::Drain => self.tend_drain(tick.now),
+            Topic::List => self.read_platform_list(false),
+            Topic::Announce => self.announce_if_due(),
+            Topic::Lease => self.update_lease(tick.now),
+            Topic::Orders => self.send_orders(tick.now),
+            Topic::Drain => self.update_drain(tick.now),
             Topic::Metrics => self.send_metrics(),
-            Topic::Sweep => self.sweep(tick.now),
+            Topic::Cleanup => self.remove_stale_state(tick.now),
         }
     }
 
@@ -293,8 +309,8 @@
         }
     }
 
-    fn sweep(&mut self, now: Instant) {
-        self.shared.once.expire(now);
+    fn remove_stale_state(&mut self, now: Instant) {
+        self.shared.keyed_requests.expire(now);
         let configuration = Arc::clone(&self.configuration);
         let servers = || configuration.pools.values().flat_map(|pool| &pool.servers);
         self.exchange.load.retain(|id| servers().any(|(known, _)| name_hash(known) == *id), now);
@@ -304,32 +320,32 @@
     }
 
     fn begin_stop(&mut self) {
-        let before = self.drain.stage();
+        let previous_stage = self.drain.stage();
         let stage = self.drain.handle(drain::Event::Stop(clock::now()));
-        if stage == before {
+        if stage == previous_stage {
             return;
         }
         log::info!("event=stop_requested stage={stage:?}");
         self.exchange.membership.update_own(|own| own.phase = Phase::Leaving);
         self.publish();
         self.announce();
-        self.tell_region();
+        self.notify_region_of_leaving();
     }
 
-    fn tend_drain(&mut self, now: Instant) {
-        let before = self.drain.stage();
-        if before == Stage::Serving {
+    fn update_drain(&mut self, now: Instant) {
+        let previous_stage = self.drain.stage();
+        if previous_stage == Stage::Serving {
             return;
         }
         let in_flight = self.shared.in_flight.load(Ordering::Acquire);
         let stage = self.drain.handle(drain::Event::Tick { now, in_flight });
-        if stage != before {
+        if stage != previous_stage {
             log::info!("event=stop_stage stage={stage:?} in_flight={in_flight}");
             self.publish();
         }
     }
 
-    /// Publishes the control state to traffic.
+    /// Publishes the control state to the traffic threads.
     fn publish(&mut self) {
         let now = clock::now();
         let was_ready = self.shared.snapshot.load().ready;
@@ -361,16 +377,16 @@
         }
     }
 
-    /// Logs who came, went or turned, once each.
+    /// Logs each appearance, disappearance and phase change of a box once.
     fn log_members(&mut self, now: Instant) {
-        let seen = |member: &Member| {
+        let logged_key = |member: &Member| {
             (member.name.clone(), member.incarnation, member.phase == Phase::Leaving)
         };
-        let live: BTreeSet<_> = self.exchange.membership.live(now).map(seen).collect();
-        for (name, incarnation, leaving) in live.difference(&self.live) {
+        let live: BTreeSet<_> = self.exchange.membership.live(now).map(logged_key).collect();
+        for (name, incarnation, leaving) in live.difference(&self.logged_members) {
             log::info!("event=box_seen box={name} incarnation={incarnation:x} leaving={leaving}");
         }
-        for (name, incarnation, leaving) in self.live.difference(&live) {
+        for (name, incarnation, leaving) in self.logged_members.difference(&live) {
             if !live.iter().any(|(other, ..)| other == name) {
                 log::info!(
                     "event=box_gone box={name} incarnation={incarnation:x} leaving={leaving}"
@@ -379,9 +395,9 @@
         }
         let limiter = &self.shared.limiter;
         lock(limiter).keep_boxes(|name| live.iter().any(|(live, ..)| live == name));
-        if live != self.live {
-            self.live = live;
-            self.choose_probes(now);
+        if live != self.logged_members {
+            self.logged_members = live;
+            self.assign_probes(now);
         }
     }
 
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -1,9 +1,10 @@
-//! Orders to model engines: one holder per region gives them, under a lease.
+//! Orders to model engines. One box per region, the lease holder, tells the
+//! engines which models to load.
 //!
-//! Each order names the whole state wanted and carries the holder's epoch. The
-//! holder looks at its lease once more right before each order. Engines that
-//! check epochs are safe by that; for those that do not, a new holder first
-//! waits until its predecessor's last order must have landed.
+//! Each order contains the complete wanted state and the holder's epoch. The
+//! holder checks its lease again immediately before each order. Engines that
+//! check epochs reject orders from earlier holders. For engines that do not, a
+//! new holder first waits until its predecessor's last order must have arrived.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,16 +39,17 @@
 use crate::transport::engine::OrderError;
 use crate::transport::platform::Platform;
 
-/// Time between looks at the lease.
-pub(super) const LEASE_PERIOD: Duration = Duration::from_secs(1);
-/// Boxes of a region that try for the lease.
-const CANDIDATES: usize = 3;
+/// Time between checks of the lease.
+pub(super) const LEASE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of boxes per region that try to acquire the lease.
+const LEASE_CANDIDATES_PER_REGION: usize = 3;
 /// Time between rounds of orders.
-pub(super) const ORDERS_PERIOD: Duration = Duration::from_secs(5);
+pub(super) const ORDER_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Control {
-    /// Tells the holder the time and does what it asks for.
-    pub(super) fn tend_lease(&mut self, now: Instant) {
+    /// Advances the lease's state machine and performs the actions that it
+    /// returns.
+    pub(super) fn update_lease(&mut self, now: Instant) {
         let has_engines = self
             .configuration
             .pools
@@ -57,57 +59,58 @@
             .any(|server| server.region == self.shared.settings.region);
         let serving = self.drain.stage() == Stage::Serving;
         let may_hold = serving && has_engines && self.is_candidate(now);
-        if may_hold || self.holder.epoch(now).is_some() {
-            let actions = self.holder.handle(lease::Event::Tick(now));
-            self.act(actions);
+        if may_hold || self.lease_holder.epoch(now).is_some() {
+            let actions = self.lease_holder.handle(lease::Event::Tick(now));
+            self.perform_actions(actions);
         }
     }
 
-    /// Whether this box is among those of its region that try for the lease;
-    /// all of a large region would only ask the store in vain.
+    /// Whether this box is one of those in its region that try to acquire the
+    /// lease. In a large region, attempts by all other boxes would load the
+    /// store to no effect.
     fn is_candidate(&self, now: Instant) -> bool {
         let region = &self.shared.settings.region;
         let members = self.exchange.membership.live_in(region, now);
         let names = members.map(|member| member.name.as_str());
-        rendezvous::holds(&self.shared.settings.name, names, "orders", CANDIDATES)
+        rendezvous::holds(&self.shared.settings.name, names, "orders", LEASE_CANDIDATES_PER_REGION)
     }
 
-    /// Word on the lease came in.
-    pub(super) fn lease_event(&mut self, event: lease::Event, lease: Option<LeaseId>) {
-        self.lease = lease.or(self.lease);
-        let actions = self.holder.handle(event);
-        self.act(actions);
+    /// Handles the result of a lease call.
+    pub(super) fn handle_lease_event(&mut self, event: lease::Event, lease: Option<LeaseId>) {
+        self.lease_id = lease.or(self.lease_id);
+        let actions = self.lease_holder.handle(event);
+        self.perform_actions(actions);
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Acquire => self.acquire(),
-                Action::Renew => self.renew(),
+                Action::Acquire => self.acquire_lease(),
+                Action::Renew => self.renew_lease(),
                 Action::Begin(epoch) => log::info!("event=orders_begin epoch={epoch}"),
                 Action::End(epoch) => log::info!("event=orders_end epoch={epoch}"),
             }
         }
     }
 
-    fn acquire(&self) {
+    fn acquire_lease(&self) {
         let platform = self.platform.clone();
         let events = self.events.clone();
         let key = format!("holders/{}", self.shared.settings.region);
         let name = self.shared.settings.name.clone();
         tokio::spawn(async move {
-            let (event, lease) = acquire(&platform, &key, &name).await;
-            let _ = events.send(Event::Lease(event, lease)).await;
+            let (event, lease_id) = acquire_lease(&platform, &key, &name).await;
+            let _ = events.send(Event::Lease(event, lease_id)).await;
         });
     }
 
-    fn renew(&self) {
-        let Some(lease) = self.lease else { return };
+    fn renew_lease(&self) {
+        let Some(lease_id) = self.lease_id else { return };
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
             let asked_at = clock::now();
-            let event = match platform.renew(lease).await {
+            let event = match platform.renew(lease_id).await {
                 Ok(()) => lease::Event::Renewed { asked_at },
                 Err(PlatformError::LeaseOver) => lease::Event::Over(clock::now()),
                 Err(_) => lease::Event::RenewalFailed,
@@ -116,91 +119,97 @@
         });
     }
 
-    /// Orders every engine of this region that may be ordered now.
-    pub(super) fn give_orders(&mut self, now: Instant) {
-        let Some(epoch) = self.holder.epoch(now) else { return };
-        let alone = self.holder.epoch_unchecked(now).is_some();
-        let Some(until) = self.holder.until() else { return };
+    /// Sends an order to each engine of this region that may receive one now.
+    pub(super) fn send_orders(&mut self, now: Instant) {
+        let Some(epoch) = self.lease_holder.epoch(now) else { return };
+        let may_order_unchecked = self.lease_holder.epoch_unchecked(now).is_some();
+        let Some(lease_valid_until) = self.lease_holder.until() else { return };
         let region = &self.shared.settings.region;
         for (pool_id, pool) in &self.configuration.pools {
             if self.configuration.services.contains_key(pool_id) {
                 continue;
             }
-            let models = wanted(&self.configuration, pool_id);
+            let models = models_to_load(&self.configuration, pool_id);
             for (id, server) in pool.servers.iter().filter(|(_, server)| server.region == *region) {
-                if server.checks_epochs || alone {
+                if server.checks_epochs || may_order_unchecked {
                     let order = Order {
                         server: id.clone(),
                         address: server.address,
-                        wanted: Loaded { epoch, models: models.clone() },
-                        until,
+                        wanted_state: Loaded { epoch, models: models.clone() },
+                        lease_valid_until,
                     };
                     let counters = Arc::clone(&self.shared.counters);
-                    tokio::spawn(order.give(self.backend.clone(), counters));
+                    tokio::spawn(order.send(self.backend.clone(), counters));
                 }
             }
         }
     }
 }
 
-fn wanted(configuration: &Configuration, pool: &PoolId) -> Vec<Model> {
+fn models_to_load(configuration: &Configuration, pool: &PoolId) -> Vec<Model> {
     let models = configuration.models.iter().filter(|(_, model)| model.pool == *pool);
     models
         .map(|(name, model)| Model { name: name.clone(), version: model.version.clone() })
         .collect()
 }
 
-async fn acquire(platform: &Platform, key: &str, name: &str) -> (lease::Event, Option<LeaseId>) {
+async fn acquire_lease(
+    platform: &Platform,
+    key: &str,
+    name: &str,
+) -> (lease::Event, Option<LeaseId>) {
     let asked_at = clock::now();
-    let refused = || (lease::Event::Refused(clock::now()), None);
-    // Most attempts find another holder: a read is cheaper than a lease and a write.
+    let not_acquired = || (lease::Event::Refused(clock::now()), None);
+    // Most attempts find that another box holds the lease; a read is cheaper
+    // than a grant and a write.
     match platform.get(key).await {
         Ok(None) => {}
-        _ => return refused(),
+        _ => return not_acquired(),
     }
-    let life = lease::Tuning::default().life;
-    let Ok(lease) = platform.grant(life).await else { return refused() };
-    let value = json!({"box": name, "lease": lease}).to_string();
-    let put = Put { value: value.clone(), expect: 0, lease: Some(lease), life_ms: None };
+    let ttl = lease::Tuning::default().life;
+    let Ok(lease_id) = platform.grant(ttl).await else { return not_acquired() };
+    let value = json!({"box": name, "lease": lease_id}).to_string();
+    let put = Put { value: value.clone(), expect: 0, lease: Some(lease_id), life_ms: None };
     let epoch = match platform.put(key, put).await {
         Ok(revision) => revision,
-        // The write may have taken effect; the value names our lease.
+        // The write may have succeeded: the stored value names this box's lease if it
+        // did.
         Err(PlatformError::Lost(_)) => match platform.get(key).await {
             Ok(Some(entry)) if entry.value == value => entry.revision,
-            _ => return refused(),
+            _ => return not_acquired(),
         },
-        Err(_) => return refused(),
+        Err(_) => return not_acquired(),
     };
-    (lease::Event::Acquired { epoch, asked_at }, Some(lease))
+    (lease::Event::Acquired { epoch, asked_at }, Some(lease_id))
 }
 
-/// One order, on its way.
+/// An order to one engine.
 struct Order {
     server: ServerId,
     address: SocketAddr,
-    wanted: Loaded,
-    until: Instant,
+    wanted_state: Loaded,
+    lease_valid_until: Instant,
 }
 
 impl Order {
-    async fn give(self, engine: backend::Client, counters: Arc<Counters>) {
+    async fn send(self, engine: backend::Client, counters: Arc<Counters>) {
         match engine.loaded(self.address).await {
-            Ok(loaded) if loaded.models == self.wanted.models => return,
+            Ok(loaded) if loaded.models == self.wanted_state.models => return,
             Ok(_) => {}
             Err(_) => return,
         }
-        // Reading took time; the lease may be over now.
-        let left = self.until.saturating_duration_since(clock::now());
-        if left.is_zero() {
+        // The read took time, so the lease may have expired.
+        let lease_remaining = self.lease_valid_until.saturating_duration_since(clock::now());
+        if lease_remaining.is_zero() {
             return;
         }
-        invariant::check(Invariant::OrderUnderLease, clock::now() < self.until, || {
-            format!("server={} epoch={}", self.server, self.wanted.epoch)
+        invariant::check(Invariant::OrderUnderLease, clock::now() < self.lease_valid_until, || {
+            format!("server={} epoch={}", self.server, self.wanted_state.epoch)
         });
         counters.count(Counter::Orders);
         let timeout = lease::Tuning::default().flight;
-        let epoch: Epoch = self.wanted.epoch;
-        match engine.order(self.address, &self.wanted, timeout).await {
+        let epoch: Epoch = self.wanted_state.epoch;
+        match engine.order(self.address, &self.wanted_state, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
             Err(OrderError::Fenced) => {
                 counters.count(Counter::OrdersFailed);
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers: probes, the platform's list, and the pools made from them.
+//! Backend servers: probes, the platform's list, and the pools built from them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,76 +27,79 @@
 use crate::transport::engine::Load;
 
 /// Time between probes of a server by one box.
-pub(super) const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// Time between refreshes of the pools.
-pub(super) const POOLS_PERIOD: Duration = Duration::from_millis(100);
-/// Time between looks at the platform's list.
-pub(super) const LIST_PERIOD: Duration = Duration::from_secs(2);
-/// Boxes that probe a server.
-const PROBERS: usize = 2;
-/// Longest wait for a plain service to accept a connection.
-const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between pool refreshes.
+pub(super) const POOL_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between reads of the platform's list.
+pub(super) const PLATFORM_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of boxes that probe each server.
+const PROBERS_PER_SERVER: usize = 2;
+/// Maximum time for a plain service to accept a connection.
+const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A backend server that this box probes.
-pub(super) struct Probe {
+pub(super) struct ProbeTarget {
     server: ServerId,
     address: SocketAddr,
     is_service: bool,
 }
 
 impl Control {
-    /// Makes the pools that the configuration declares.
-    pub(super) fn set_pools(&mut self) {
-        let boxes = self.region_boxes(clock::now());
+    /// Creates the pools that the configuration declares.
+    pub(super) fn configure_pools(&mut self) {
+        let boxes = self.region_box_count(clock::now());
         let pools = self.configuration.pools.iter().map(|(id, pool)| (id, limits(pool, boxes)));
-        self.shared.pools.set(pools, self.shared.incarnation);
+        self.shared.pools.replace(pools, self.shared.incarnation);
         self.pools_dirty = true;
-        self.choose_probes(clock::now());
+        self.assign_probes(clock::now());
         self.refresh_pools(clock::now());
     }
 
-    /// Puts the latest observations into the pools and places what waits.
+    /// Passes the latest observations to the pools and places waiting requests.
     pub(super) fn refresh_pools(&mut self, now: Instant) {
         let dirty = std::mem::take(&mut self.pools_dirty);
         let configuration = Arc::clone(&self.configuration);
-        let boxes = self.region_boxes(now);
-        for (id, shared) in self.shared.pools.all().iter() {
+        let boxes = self.region_box_count(now);
+        for (id, pool_handle) in self.shared.pools.snapshot().iter() {
             if dirty && let Some(pool) = configuration.pools.get(id) {
-                let lanes = self.lanes(pool, now);
-                self.log_servers(&lanes);
+                let server_states = self.local_server_states(pool, now);
+                self.log_servers(&server_states);
                 let regions = pool.servers.values().map(|server| server.region.clone()).collect();
-                shared.with(|shared| shared.update(limits(pool, boxes), lanes, regions));
+                pool_handle.with(|pool_state| {
+                    pool_state.update(limits(pool, boxes), server_states, regions)
+                });
             }
-            shared.pump(now);
+            pool_handle.place_waiting(now);
         }
     }
 
-    fn region_boxes(&self, now: Instant) -> usize {
+    fn region_box_count(&self, now: Instant) -> usize {
         self.exchange.membership.live_in(&self.shared.settings.region, now).count() + 1
     }
 
-    fn lanes(&self, pool: &config::Pool, now: Instant) -> BTreeMap<ServerId, Lane> {
+    fn local_server_states(&self, pool: &config::Pool, now: Instant) -> BTreeMap<ServerId, Lane> {
         let region = &self.shared.settings.region;
-        let here = pool.servers.iter().filter(|(_, server)| server.region == *region);
-        let lane = |id: &ServerId, server: &config::Server| {
-            let observed = self.exchange.load.get(id);
+        let local_servers = pool.servers.iter().filter(|(_, server)| server.region == *region);
+        let server_state = |id: &ServerId, server: &config::Server| {
+            let observation = self.exchange.load.get(id);
             Lane {
                 address: server.address,
                 slots: server.slots,
                 leaving: server.leaving || self.exchange.load.leaving(id, now),
-                reachable: observed.is_none_or(|observed| observed.reachable),
-                report: observed.map(|observed| (observed.load, observed.at)),
+                reachable: observation.is_none_or(|observation| observation.reachable),
+                report: observation.map(|observation| (observation.load, observation.at)),
             }
         };
-        here.map(|(id, server)| (id.clone(), lane(id, server))).collect()
+        local_servers.map(|(id, server)| (id.clone(), server_state(id, server))).collect()
     }
 
-    /// Logs backend servers that turned, once each.
-    fn log_servers(&mut self, lanes: &BTreeMap<ServerId, Lane>) {
-        for (id, lane) in lanes {
-            let state = (lane.reachable, lane.leaving);
-            let before = self.servers_seen.insert(id.clone(), state).unwrap_or((true, false));
-            if before != state {
+    /// Logs each change of a backend server's state once.
+    fn log_servers(&mut self, server_states: &BTreeMap<ServerId, Lane>) {
+        for (id, server_state) in server_states {
+            let state = (server_state.reachable, server_state.leaving);
+            let previous_state =
+                self.logged_server_states.insert(id.clone(), state).unwrap_or((true, false));
+            if previous_state != state {
                 let (reachable, leaving) = state;
                 log::info!(
                     "event=server_changed server={id} reachable={reachable} leaving={leaving}"
@@ -105,30 +108,34 @@
         }
     }
 
-    /// Works out anew which servers of this region are this box's to probe;
-    /// needed only when the region's boxes or the configuration change.
-    pub(super) fn choose_probes(&mut self, now: Instant) {
+    /// Determines which servers of this region this box probes. This must be
+    /// repeated only when the region's boxes or the configuration change.
+    pub(super) fn assign_probes(&mut self, now: Instant) {
         let region = &self.shared.settings.region;
         let own = &self.shared.settings.name;
         let members = self.exchange.membership.live_in(region, now);
         let peers: Vec<&str> = members.map(|member| member.name.as_str()).collect();
-        let mut probes = Vec::new();
+        let mut probe_targets = Vec::new();
         for (pool_id, pool) in &self.configuration.pools {
             let is_service = self.configuration.services.contains_key(pool_id);
             for (id, server) in pool.servers.iter().filter(|(_, server)| server.region == *region) {
-                if rendezvous::holds(own, peers.iter().copied(), id, PROBERS) {
-                    probes.push(Probe { server: id.clone(), address: server.address, is_service });
+                if rendezvous::holds(own, peers.iter().copied(), id, PROBERS_PER_SERVER) {
+                    probe_targets.push(ProbeTarget {
+                        server: id.clone(),
+                        address: server.address,
+                        is_service,
+                    });
                 }
             }
         }
-        self.probes = probes;
+        self.probe_targets = probe_targets;
     }
 
-    /// Probes the servers that are this box's to probe.
-    pub(super) fn probe(&self) {
-        for probe in &self.probes {
+    /// Probes the servers assigned to this box.
+    pub(super) fn probe_servers(&self) {
+        for target in &self.probe_targets {
             self.count(Counter::Probes);
-            self.spawn_probe(probe.server.clone(), probe.address, probe.is_service);
+            self.spawn_probe(target.server.clone(), target.address, target.is_service);
         }
     }
 
@@ -136,9 +143,9 @@
         let backend = self.backend.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
-            let asked_at = clock::now();
+            let sent_at = clock::now();
             let load = match is_service {
-                true => connects(address).await,
+                true => probe_connection(address).await,
                 false => backend.load(address).await,
             };
             let (reachable, load) = (load.is_some(), load.unwrap_or_default());
@@ -148,63 +155,66 @@
                 reachable,
                 leaving: load.leaving,
                 listed: false,
-                age: clock::since(asked_at),
+                age: clock::since(sent_at),
             };
-            let _ = events.send(Event::Probed(report)).await;
+            let _ = events.send(Event::ProbeCompleted(report)).await;
         });
     }
 
-    /// A probe ended.
-    pub(super) fn probed(&mut self, report: &Report) {
+    /// Handles the result of a probe.
+    pub(super) fn handle_probe_report(&mut self, report: &Report) {
         self.pools_dirty = true;
         if self.exchange.load.observe(report, clock::now()) {
             self.refresh_pools(clock::now());
-            self.spread();
+            self.send_urgent_heartbeats();
         }
     }
 
-    /// Reads the platform's list; `at_start` where a fresh box waits for it.
-    pub(super) fn read_list(&self, at_start: bool) {
-        // The watchers of a region read for all; what is leaving travels in heartbeats.
-        if !at_start && !self.watching.load(Ordering::Relaxed) {
+    /// Reads the platform's list. `at_start` is set if the box waits for the
+    /// list before it becomes ready.
+    pub(super) fn read_platform_list(&self, at_start: bool) {
+        // Only the watchers of a region read the list. Other boxes learn of leaving
+        // servers through heartbeats.
+        if !at_start && !self.is_watcher.load(Ordering::Relaxed) {
             return;
         }
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
             if let Ok(listed) = platform.list().await {
-                let _ = events.send(Event::Listed(listed)).await;
+                let _ = events.send(Event::PlatformListRead(listed)).await;
             }
             if at_start {
-                let _ = events.send(Event::SourceDone).await;
+                let _ = events.send(Event::ConfigurationSourceDone).await;
             }
         });
     }
 
-    /// The platform's list came in: peers to meet, and servers that are leaving.
-    pub(super) fn listed(&mut self, listed: &[Listed]) {
+    /// Handles the platform's list, which names other boxes and the servers
+    /// that are leaving.
+    pub(super) fn handle_platform_list(&mut self, listed: &[Listed]) {
         let region = self.shared.settings.region.clone();
-        let fresh = !self.shared.snapshot.load().ready;
+        let is_starting = !self.shared.snapshot.load().ready;
         let mut addresses = BTreeSet::new();
-        for row in listed {
-            let Some(address) = row.peers.as_ref().and_then(|text| text.parse().ok()) else {
+        for entry in listed {
+            let Some(address) = entry.peers.as_ref().and_then(|text| text.parse().ok()) else {
                 continue;
             };
             addresses.insert(address);
-            if fresh && row.region.as_ref() == Some(&region) {
-                self.ask_peer_at_start(address);
+            if is_starting && entry.region.as_ref() == Some(&region) {
+                self.request_configuration_from_peer(address);
             }
         }
         self.exchange.membership.learn_addresses(addresses);
         let now = clock::now();
-        let mut news = false;
-        for row in listed.iter().filter(|row| row.state == ListedState::Leaving) {
-            news |= self.exchange.load.observe_listed(name_hash(&row.name), now, now);
+        let mut changed = false;
+        for entry in listed.iter().filter(|entry| entry.state == ListedState::Leaving) {
+            changed |= self.exchange.load.observe_listed(name_hash(&entry.name), now, now);
         }
         self.pools_dirty = true;
-        if news {
+        if changed {
             self.refresh_pools(now);
-            self.spread();
+            self.send_urgent_heartbeats();
         }
     }
 }
@@ -213,6 +223,6 @@
     pool::Limits { queue: pool.queue_limit, bytes: pool.queue_bytes, boxes }
 }
 
-async fn connects(address: SocketAddr) -> Option<Load> {
-    backend::reachable(address, CONNECT_TIMEOUT).await.then(Load::default)
+async fn probe_connection(address: SocketAddr) -> Option<Load> {
+    backend::reachable(address, SERVICE_CONNECT_TIMEOUT).await.then(Load::default)
 }
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -1,11 +1,11 @@
-//! Runs a checked request: a slot or a region, an attempt, and a retry where
-//! that is allowed.
+//! Runs a validated request: obtains a slot or a region to forward to, makes an
+//! attempt, and retries where that is allowed.
 //!
-//! Between the choice and the first byte there are three awaits, and dropping
-//! the request at each leaves this behind: in the queue, nothing (the place is
-//! given up); while connecting, nothing (the slot is given back); after
-//! sending, a closed connection, by which the backend server learns that
-//! nobody waits any more.
+//! The request is awaited at three points before the first byte of the
+//! response, and may be dropped at each of them. Dropped in the queue, it gives
+//! up its place. Dropped while connecting, it releases its slot. Dropped after
+//! sending, it closes the connection, which tells the backend server that
+//! nobody waits for the response.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -18,18 +18,18 @@
 use http::header;
 use http_body_util::Full;
 
-use super::call::Call;
-use super::call::Purpose;
-use super::call::is_passed_on;
 use super::forward;
 use super::pools;
 use super::pools::Grant;
 use super::pools::Slot;
-use super::relay::Account;
 use super::relay::Relay;
-use super::relay::Source;
-use super::shared::Progress;
-use super::shared::Shared;
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
+use super::request::ValidatedRequest;
+use super::request::is_forwarded_header;
+use super::shared::InFlightGuard;
+use super::shared::SharedState;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
 use crate::coordination::pool::Arrival;
@@ -47,206 +47,249 @@
 use crate::transport::backend::Exchange;
 use crate::transport::timer;
 
-/// Most attempts for one request, whatever the budget says.
+/// Maximum number of attempts per request, regardless of the retry budget.
 const MAX_ATTEMPTS: usize = 4;
 
-/// The head of an answer whose body follows.
-pub struct Started {
-    /// Status.
+/// A response whose body is relayed from a backend server or another box.
+pub struct RelayedResponse {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers to pass on.
+    /// HTTP headers for the caller.
     pub headers: HeaderMap,
-    /// Region that runs it.
+    /// Region that runs the request.
     pub region: RegionId,
-    /// Body.
+    /// Response body.
     pub relay: Relay,
 }
 
-/// What came of one attempt.
-enum Tried {
-    Started(Box<Started>),
-    /// The request was not run; another server may be tried.
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    Responded(Box<RelayedResponse>),
+    /// The request did not run; another server may be tried.
     NotRun(Failure),
-    /// As that, and the server gets nothing for a while: it uses up no attempt, since the next request won't meet it.
-    Rests(Failure),
-    /// It may have run.
-    Lost(Failure),
+    /// The request did not run, and the server asked for a rest period. Does
+    /// not count toward the maximum number of attempts, because later requests
+    /// skip this server.
+    Resting(Failure),
+    /// The request may have run.
+    MayHaveRun(Failure),
 }
 
-/// Runs a request.
-pub async fn run(shared: &Arc<Shared>, call: &Call) -> Result<Started, Failure> {
-    place_and_try(shared, call).await.map_err(|failure| call.failed(failure))
+/// Runs a request and returns its response once the response head has arrived.
+pub async fn run(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
+) -> Result<RelayedResponse, Failure> {
+    place_and_attempt(shared, request).await.map_err(|failure| request.check_failure(failure))
 }
 
-async fn place_and_try(shared: &Arc<Shared>, call: &Call) -> Result<Started, Failure> {
-    let mut progress = Some(shared.progress());
+async fn place_and_attempt(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
+) -> Result<RelayedResponse, Failure> {
+    let mut in_flight_guard = Some(shared.in_flight_guard());
     let pool = shared
         .pools
-        .get(&call.pool)
+        .get(&request.pool)
         .ok_or_else(|| Failure::new(Kind::NoServer, "the pool has no backend servers"))?;
-    check_region(call)?;
-    let mut tried = Vec::new();
-    let mut rests = 0;
-    let mut elsewhere = call.elsewhere();
+    check_region(request)?;
+    let mut tried_servers = Vec::new();
+    let mut resting_count = 0;
+    let mut other_regions = request.other_regions();
     loop {
-        let queued = || shared.counters.count(Counter::Queued);
-        let grant = pool.acquire(arrival(shared, call, &tried, &elsewhere), queued).await;
-        let grant = grant.map_err(|failure| after_attempts(call, failure))?;
-        let progress = progress.take().unwrap_or_else(|| shared.progress());
-        let exchange = call.exchange();
-        let attempt = match grant {
+        let on_queued = || shared.counters.count(Counter::Queued);
+        let grant = pool
+            .acquire(placement_request(shared, request, &tried_servers, &other_regions), on_queued)
+            .await;
+        let grant = grant.map_err(|failure| failure_after_attempts(request, failure))?;
+        let in_flight_guard = in_flight_guard.take().unwrap_or_else(|| shared.in_flight_guard());
+        let exchange_guard = request.begin_exchange();
+        let outcome = match grant {
             Grant::Region(region) => {
-                elsewhere.retain(|other| *other != region);
-                match forward::to_region(shared, call, &region, progress).await {
-                    Ok(started) => Tried::Started(Box::new(started)),
-                    // A region that cannot be reached, or refuses, is no reason to refuse what can run
-                    // here: its slots may be lent for seconds after the last word of it.
-                    Err(failure) if failure.ran() == Ran::No && !call.maybe_sent() => {
+                other_regions.retain(|other| *other != region);
+                match forward::to_region(shared, request, &region, in_flight_guard).await {
+                    Ok(response) => AttemptOutcome::Responded(Box::new(response)),
+                    // A region that is unreachable or refuses the request must not cause
+                    // a refusal if the request can run here: credits of a region stay
+                    // usable for seconds after its last heartbeat.
+                    Err(failure) if failure.ran() == Ran::No && !request.may_have_been_sent() => {
                         log::debug!("event=region_left_out region={region} cause=\"{failure}\"");
                         continue;
                     }
-                    Err(failure) if failure.ran() == Ran::No => Tried::NotRun(failure),
-                    Err(failure) => Tried::Lost(failure),
+                    Err(failure) if failure.ran() == Ran::No => AttemptOutcome::NotRun(failure),
+                    Err(failure) => AttemptOutcome::MayHaveRun(failure),
                 }
             }
             Grant::Slot(slot) => {
-                tried.push(slot.server.clone());
-                attempt(shared, call, slot, progress).await
+                tried_servers.push(slot.server.clone());
+                attempt_on_server(shared, request, slot, in_flight_guard).await
             }
         };
-        drop(exchange);
-        let (failure, may_repeat) = match attempt {
-            Tried::Started(started) => return Ok(*started),
-            Tried::NotRun(failure) => (failure, true),
-            Tried::Rests(failure) => {
-                rests += 1;
+        drop(exchange_guard);
+        let (failure, may_repeat) = match outcome {
+            AttemptOutcome::Responded(response) => return Ok(*response),
+            AttemptOutcome::NotRun(failure) => (failure, true),
+            AttemptOutcome::Resting(failure) => {
+                resting_count += 1;
                 (failure, true)
             }
-            Tried::Lost(failure) => (failure, call.repeatable),
+            AttemptOutcome::MayHaveRun(failure) => (failure, request.repeatable),
         };
-        let in_time = clock::now() < call.deadline;
-        let here = !tried.is_empty() && tried.len() - rests < MAX_ATTEMPTS;
-        if !(may_repeat && in_time && here && may_retry(&pool)) {
-            return Err(after_attempts(call, failure));
+        let in_time = clock::now() < request.deadline;
+        let has_attempts_left =
+            !tried_servers.is_empty() && tried_servers.len() - resting_count < MAX_ATTEMPTS;
+        if !(may_repeat && in_time && has_attempts_left && may_retry(&pool)) {
+            return Err(failure_after_attempts(request, failure));
         }
         shared.counters.count(Counter::Retries);
     }
 }
 
-fn may_retry(pool: &pools::Shared) -> bool {
+fn may_retry(pool: &pools::SharedPool) -> bool {
     pool.with(|pool| pool.may_retry(clock::now()))
 }
 
-/// A request that found no further place after an attempt that may have run
-/// must not be called "not run", whatever the later one came to.
-fn after_attempts(call: &Call, failure: Failure) -> Failure {
-    if failure.ran() != Ran::No || !call.maybe_sent() {
+/// Corrects the failure of a request after earlier attempts. If one of them may
+/// have run, the request must not be reported as "not run", whatever happened
+/// later.
+fn failure_after_attempts(request: &ValidatedRequest, failure: Failure) -> Failure {
+    if failure.ran() != Ran::No || !request.may_have_been_sent() {
         return failure;
     }
     let message = format!("the first attempt failed, and then: {}", failure.message);
     Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)
 }
 
-fn arrival(shared: &Shared, call: &Call, tried: &[ServerId], elsewhere: &[RegionId]) -> Arrival {
+fn placement_request(
+    shared: &SharedState,
+    request: &ValidatedRequest,
+    tried_servers: &[ServerId],
+    other_regions: &[RegionId],
+) -> Arrival {
     Arrival {
-        id: shared.next_request(),
-        priority: call.priority,
-        deadline: call.deadline,
-        bytes: call.incoming.body.len(),
-        here: call.allowed.contains(&call.snapshot.own.region),
-        elsewhere: elsewhere.to_vec(),
-        prefix: call.prefix(),
-        tried: tried.to_vec(),
+        id: shared.next_request_number(),
+        priority: request.priority,
+        deadline: request.deadline,
+        bytes: request.incoming.body.len(),
+        here: request.allowed_regions.contains(&request.snapshot.own.region),
+        elsewhere: other_regions.to_vec(),
+        prefix: request.prompt_prefix_hash(),
+        tried: tried_servers.to_vec(),
     }
 }
 
-/// A request that came here to be run must be allowed here.
-fn check_region(call: &Call) -> Result<(), Failure> {
-    let own = &call.snapshot.own.region;
-    if call.allowed.contains(own) {
+/// Fails if the request was forwarded to this region but may not run here, or
+/// may not run anywhere.
+fn check_region(request: &ValidatedRequest) -> Result<(), Failure> {
+    let own = &request.snapshot.own.region;
+    if request.allowed_regions.contains(own) {
         return Ok(());
     }
-    if call.incoming.purpose == Purpose::Region || call.allowed.is_empty() {
+    if request.incoming.purpose == Purpose::Region || request.allowed_regions.is_empty() {
         let message = format!("the request may not run in {own}");
         return Err(Failure::new(Kind::OutsideRegion, message));
     }
     Ok(())
 }
 
-async fn attempt(shared: &Arc<Shared>, call: &Call, mut slot: Slot, progress: Progress) -> Tried {
+async fn attempt_on_server(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
+    mut slot: Slot,
+    in_flight_guard: InFlightGuard,
+) -> AttemptOutcome {
     let own = &shared.settings.region;
-    let allowed = call.allowed.contains(own);
-    invariant::check(Invariant::Residency, allowed, || format!("request={}", call.incoming.id));
-    if !allowed {
+    let is_allowed = request.allowed_regions.contains(own);
+    invariant::check(Invariant::Residency, is_allowed, || {
+        format!("request={}", request.incoming.id)
+    });
+    if !is_allowed {
         let message = format!("the request may not run in {own}");
-        return Tried::NotRun(Failure::new(Kind::OutsideRegion, message));
+        return AttemptOutcome::NotRun(Failure::new(Kind::OutsideRegion, message));
     }
-    let request = match request(call, &slot) {
-        Ok(request) => request,
-        Err(failure) => return Tried::NotRun(failure),
+    let backend_request = match build_backend_request(request, &slot) {
+        Ok(backend_request) => backend_request,
+        Err(failure) => return AttemptOutcome::NotRun(failure),
     };
-    let sent = clock::now();
-    if let Err(failure) = call.about_to_send(sent) {
-        return Tried::NotRun(failure);
+    let sent_at = clock::now();
+    if let Err(failure) = request.record_send(sent_at) {
+        return AttemptOutcome::NotRun(failure);
     }
     shared.counters.count(Counter::Attempts);
-    let exchange = shared.backend.exchange(slot.address, request, !call.repeatable);
-    let response = match timer::timeout_at(call.deadline, exchange).await {
+    let exchange = shared.backend.exchange(slot.address, backend_request, !request.repeatable);
+    let response = match timer::timeout_at(request.deadline, exchange).await {
         Ok(Ok(response)) => response,
-        Ok(Err(attempt)) => {
+        Ok(Err(error)) => {
             slot.set_outcome(Outcome::Failed);
-            return failed(call, &slot, attempt);
+            return classify_attempt_error(request, &slot, error);
         }
         Err(_) => {
             slot.set_outcome(Outcome::Failed);
             let message = format!("{} did not answer before the deadline", slot.server);
-            return Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown));
+            return AttemptOutcome::MayHaveRun(
+                Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown),
+            );
         }
     };
-    if says_not_run(&response) {
-        call.not_sent();
+    if server_reports_not_run(&response) {
+        request.undo_send();
         let message = format!("{} refused the request", slot.server);
         let failure = Failure::new(Kind::BackendFailed, message).with_ran(Ran::No);
-        let rest = retry_after::read(response.headers());
-        let Some(rest) = rest.filter(|rest| !rest.is_zero()) else {
+        let rest_duration = retry_after::read(response.headers());
+        let Some(rest_duration) = rest_duration.filter(|rest_duration| !rest_duration.is_zero())
+        else {
             slot.set_outcome(Outcome::Failed);
-            return Tried::NotRun(failure);
+            return AttemptOutcome::NotRun(failure);
         };
-        slot.set_outcome(Outcome::Rests(rest));
-        return Tried::Rests(failure);
+        slot.set_outcome(Outcome::Rests(rest_duration));
+        return AttemptOutcome::Resting(failure);
     }
-    Tried::Started(Box::new(started(shared, call, slot, progress, sent, response)))
+    AttemptOutcome::Responded(Box::new(relay_response(
+        shared,
+        request,
+        slot,
+        in_flight_guard,
+        sent_at,
+        response,
+    )))
 }
 
-fn failed(call: &Call, slot: &Slot, attempt: Attempt) -> Tried {
-    let message = format!("{}: {attempt}", slot.server);
+fn classify_attempt_error(
+    request: &ValidatedRequest,
+    slot: &Slot,
+    error: Attempt,
+) -> AttemptOutcome {
+    let message = format!("{}: {error}", slot.server);
     let failure = Failure::new(Kind::BackendFailed, message);
-    match attempt {
+    match error {
         Attempt::Unsent(_) | Attempt::Withheld => {
-            call.not_sent();
-            Tried::NotRun(failure.with_ran(Ran::No))
+            request.undo_send();
+            AttemptOutcome::NotRun(failure.with_ran(Ran::No))
         }
-        Attempt::Lost(_) => Tried::Lost(failure.with_ran(Ran::Unknown)),
+        Attempt::Lost(_) => AttemptOutcome::MayHaveRun(failure.with_ran(Ran::Unknown)),
     }
 }
 
-/// The backend server itself says that it did not run the request.
-fn says_not_run(response: &Response<Exchange>) -> bool {
+/// Whether the backend server states that it did not run the request.
+fn server_reports_not_run(response: &Response<Exchange>) -> bool {
     let status = response.status();
-    let refused =
+    let is_refusal =
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-    refused && response.headers().get(caller::RAN).is_some_and(|ran| ran == Ran::No.as_str())
+    is_refusal && response.headers().get(caller::RAN).is_some_and(|ran| ran == Ran::No.as_str())
 }
 
-fn request(call: &Call, slot: &Slot) -> Result<Request<Full<bytes::Bytes>>, Failure> {
-    let malformed = |_| Failure::new(Kind::BadRequest, "the path cannot be passed on");
-    let uri: Uri = call.backend_path.parse().map_err(malformed)?;
-    let mut request = Request::new(Full::new(call.incoming.body.clone()));
-    *request.method_mut() = call.incoming.method.clone();
-    *request.uri_mut() = uri;
-    let headers = request.headers_mut();
-    for (name, value) in &call.incoming.headers {
-        if is_passed_on(name) {
+fn build_backend_request(
+    request: &ValidatedRequest,
+    slot: &Slot,
+) -> Result<Request<Full<bytes::Bytes>>, Failure> {
+    let malformed_path = |_| Failure::new(Kind::BadRequest, "the path cannot be passed on");
+    let uri: Uri = request.backend_path.parse().map_err(malformed_path)?;
+    let mut backend_request = Request::new(Full::new(request.incoming.body.clone()));
+    *backend_request.method_mut() = request.incoming.method.clone();
+    *backend_request.uri_mut() = uri;
+    let headers = backend_request.headers_mut();
+    for (name, value) in &request.incoming.headers {
+        if is_forwarded_header(name) {
             headers.append(name, value.clone());
         }
     }
@@ -254,65 +297,65 @@
     if let Ok(host) = host.parse() {
         headers.insert(header::HOST, host);
     }
-    if let Ok(id) = call.incoming.id.parse() {
+    if let Ok(id) = request.incoming.id.parse() {
         headers.insert(caller::REQUEST_ID, id);
     }
-    if let Ok(priority) = call.priority.as_str().parse() {
+    if let Ok(priority) = request.priority.as_str().parse() {
         headers.insert(caller::PRIORITY, priority);
     }
-    Ok(request)
+    Ok(backend_request)
 }
 
-fn started(
-    shared: &Arc<Shared>,
-    call: &Call,
+fn relay_response(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
     slot: Slot,
-    progress: Progress,
-    sent: Instant,
+    in_flight_guard: InFlightGuard,
+    sent_at: Instant,
     response: Response<Exchange>,
-) -> Started {
-    let (head, exchange) = response.into_parts();
-    let events = call.stream && is_event_stream(&head.headers);
-    let account = account(shared, call, Some(slot), progress, sent);
-    Started {
-        status: head.status,
-        headers: passed_on(&head.headers),
+) -> RelayedResponse {
+    let (parts, exchange) = response.into_parts();
+    let is_event_stream = request.stream && has_event_stream_type(&parts.headers);
+    let accounting = request_accounting(shared, request, Some(slot), in_flight_guard, sent_at);
+    RelayedResponse {
+        status: parts.status,
+        headers: forwarded_headers(&parts.headers),
         region: shared.settings.region.clone(),
-        relay: Relay::new(Source::Backend(Box::new(exchange)), account, events),
+        relay: Relay::new(ResponseSource::Backend(Box::new(exchange)), accounting, is_event_stream),
     }
 }
 
-/// The accounts of a request that was sent.
-pub(super) fn account(
-    shared: &Arc<Shared>,
-    call: &Call,
+/// Creates the accounting of a request that was sent.
+pub(super) fn request_accounting(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
     slot: Option<Slot>,
-    progress: Progress,
-    sent: Instant,
-) -> Account {
-    Account {
+    in_flight_guard: InFlightGuard,
+    sent_at: Instant,
+) -> RequestAccounting {
+    RequestAccounting {
         shared: Arc::clone(shared),
-        snapshot: Arc::clone(&call.snapshot),
-        pool: call.pool.clone(),
-        arrived: call.incoming.arrived,
-        sent,
-        from_caller: call.incoming.purpose == Purpose::Caller,
+        snapshot: Arc::clone(&request.snapshot),
+        pool: request.pool.clone(),
+        arrived_at: request.incoming.arrived_at,
+        sent_at,
+        from_caller: request.incoming.purpose == Purpose::Caller,
         slot,
-        progress,
+        in_flight_guard,
     }
 }
 
-fn is_event_stream(headers: &HeaderMap) -> bool {
+fn has_event_stream_type(headers: &HeaderMap) -> bool {
     let value = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
     value.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = HeaderMap::with_capacity(headers.len());
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if is_passed_on(name) || *name == header::CONTENT_LENGTH {
-            kept.append(name, value.clone());
+        if is_forwarded_header(name) || *name == header::CONTENT_LENGTH {
+            forwarded.append(name, value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -1,5 +1,5 @@
-//! Sends a request to another box: to the owner of its key, or to a region
-//! that may run it.
+//! Forwards requests to other boxes: to the owner of an idempotency key, or to
+//! another region that may run the request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,15 +12,15 @@
 use rand::seq::IteratorRandom;
 use tonic::Streaming;
 
-use super::call::Call;
-use super::call::MAX_VISITED;
-use super::call::Purpose;
-use super::dispatch::Started;
-use super::dispatch::account;
+use super::dispatch::RelayedResponse;
+use super::dispatch::request_accounting;
 use super::relay::Relay;
-use super::relay::Source;
-use super::shared::Progress;
-use super::shared::Shared;
+use super::relay::ResponseSource;
+use super::request::MAX_VISITED_BOXES;
+use super::request::Purpose;
+use super::request::ValidatedRequest;
+use super::shared::InFlightGuard;
+use super::shared::SharedState;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
 use crate::error::Failure;
@@ -38,137 +38,140 @@
 use crate::transport::peer::CallError;
 use crate::transport::timer;
 
-/// Boxes of a region that are tried before it counts as cut off.
-const BOXES_TRIED: usize = 2;
+/// Number of boxes of a region to try before the region is considered
+/// unreachable.
+const MAX_BOXES_TRIED: usize = 2;
 
-/// Has a box of another region run the request.
+/// Forwards a request to a box of another region, which runs it.
 pub async fn to_region(
-    shared: &Arc<Shared>,
-    call: &Call,
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
     region: &RegionId,
-    progress: Progress,
-) -> Result<Started, Failure> {
-    let serving = call
+    in_flight_guard: InFlightGuard,
+) -> Result<RelayedResponse, Failure> {
+    let serving = request
         .snapshot
         .members
         .iter()
         .filter(|member| member.region == *region && member.phase == Phase::Serving);
-    let boxes = serving.choose_multiple(&mut rand::rng(), BOXES_TRIED);
-    let mut progress = Some(progress);
+    let boxes = serving.choose_multiple(&mut rand::rng(), MAX_BOXES_TRIED);
+    let mut in_flight_guard = Some(in_flight_guard);
     let mut failure = Failure::new(Kind::NoServer, format!("no box of {region} can be reached"));
     for member in boxes {
-        let progress = progress.take().unwrap_or_else(|| shared.progress());
-        match send(shared, call, member, Purpose::Region, progress).await {
-            Ok(started) => return Ok(started),
-            Err(Sent::Nothing(text)) => failure = Failure::new(Kind::NoServer, text),
-            Err(Sent::Refused(refusal)) => return Err(refusal),
+        let in_flight_guard = in_flight_guard.take().unwrap_or_else(|| shared.in_flight_guard());
+        match send_to_box(shared, request, member, Purpose::Region, in_flight_guard).await {
+            Ok(response) => return Ok(response),
+            Err(SendError::NotSent(message)) => failure = Failure::new(Kind::NoServer, message),
+            Err(SendError::Failed(failure_from_box)) => return Err(failure_from_box),
         }
     }
     Err(failure)
 }
 
-/// Has the owner of a key run the request, or replay its answer.
+/// Forwards a request to the owner of its key, which runs the request or
+/// replays its response.
 pub async fn to_owner(
-    shared: &Arc<Shared>,
-    call: &Call,
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
     owner: &str,
     incarnation: Incarnation,
-) -> Result<Started, Failure> {
-    let gone = || {
+) -> Result<RelayedResponse, Failure> {
+    let owner_gone = || {
         let message =
             format!("box {owner}, which owned the key, is gone; the request may have run");
         Failure::new(Kind::OwnerGone, message)
     };
-    let member = call
+    let member = request
         .snapshot
         .members
         .iter()
         .find(|member| member.name == owner && member.incarnation == incarnation);
-    let member = member.ok_or_else(gone)?;
-    match send(shared, call, member, Purpose::Owner, shared.progress()).await {
-        Ok(started) => Ok(started),
-        Err(Sent::Nothing(_)) => Err(gone()),
-        Err(Sent::Refused(failure)) => Err(failure),
+    let member = member.ok_or_else(owner_gone)?;
+    match send_to_box(shared, request, member, Purpose::Owner, shared.in_flight_guard()).await {
+        Ok(response) => Ok(response),
+        Err(SendError::NotSent(_)) => Err(owner_gone()),
+        Err(SendError::Failed(failure)) => Err(failure),
     }
 }
 
-enum Sent {
-    Nothing(String),
-    Refused(Failure),
+enum SendError {
+    NotSent(String),
+    Failed(Failure),
 }
 
-async fn send(
-    shared: &Arc<Shared>,
-    call: &Call,
+async fn send_to_box(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
     member: &Member,
     purpose: Purpose,
-    progress: Progress,
-) -> Result<Started, Sent> {
-    if call.incoming.visited.len() >= MAX_VISITED {
+    in_flight_guard: InFlightGuard,
+) -> Result<RelayedResponse, SendError> {
+    if request.incoming.visited.len() >= MAX_VISITED_BOXES {
         let message = "the request was passed on as often as allowed";
-        return Err(Sent::Refused(Failure::new(Kind::TooManyHops, message)));
+        return Err(SendError::Failed(Failure::new(Kind::TooManyHops, message)));
     }
-    let back = call.incoming.visited.contains(&member.name);
-    invariant::check(Invariant::Hops, !back, || format!("request={}", call.incoming.id));
-    let sent = clock::now();
-    call.about_to_send(sent).map_err(Sent::Refused)?;
-    let request = message(shared, call, member, purpose, sent);
+    let is_loop = request.incoming.visited.contains(&member.name);
+    invariant::check(Invariant::Hops, !is_loop, || format!("request={}", request.incoming.id));
+    let sent_at = clock::now();
+    request.record_send(sent_at).map_err(SendError::Failed)?;
+    let forward_request = build_forward_request(shared, request, member, purpose, sent_at);
     shared.counters.count(Counter::ForwardedOut);
     let exchange = async {
-        let mut frames = shared.peers.forward(member.peers, request).await?;
-        let first = frames.message().await.map_err(|status| CallError::Lost(Box::new(status)))?;
-        Ok((frames, first))
+        let mut frames = shared.peers.forward(member.peers, forward_request).await?;
+        let first_frame =
+            frames.message().await.map_err(|status| CallError::Lost(Box::new(status)))?;
+        Ok((frames, first_frame))
     };
-    let answer = match timer::timeout_at(call.deadline, exchange).await {
-        Ok(answer) => answer,
+    let result = match timer::timeout_at(request.deadline, exchange).await {
+        Ok(result) => result,
         Err(_) => {
             let message = format!("box {} did not answer before the deadline", member.name);
             let failure = Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown);
-            return Err(Sent::Refused(failure));
+            return Err(SendError::Failed(failure));
         }
     };
-    match answer {
-        Ok((frames, first)) => {
-            let account = account(shared, call, None, progress, sent);
-            read_head(frames, first, call, account, &member.region)
+    match result {
+        Ok((frames, first_frame)) => {
+            let accounting = request_accounting(shared, request, None, in_flight_guard, sent_at);
+            read_first_frame(frames, first_frame, request, accounting, &member.region)
         }
-        Err(CallError::Unsent(text)) => {
-            call.not_sent();
-            Err(Sent::Nothing(text))
+        Err(CallError::Unsent(message)) => {
+            request.undo_send();
+            Err(SendError::NotSent(message))
         }
         Err(error @ CallError::Lost(_)) => {
             let failure = Failure::new(Kind::BackendFailed, error.to_string());
-            Err(Sent::Refused(failure.with_ran(Ran::Unknown)))
+            Err(SendError::Failed(failure.with_ran(Ran::Unknown)))
         }
     }
 }
 
-fn message(
-    shared: &Shared,
-    call: &Call,
+fn build_forward_request(
+    shared: &SharedState,
+    request: &ValidatedRequest,
     member: &Member,
     purpose: Purpose,
     now: Instant,
 ) -> wire::ForwardRequest {
-    let incoming = &call.incoming;
+    let incoming = &request.incoming;
     let mut visited = incoming.visited.clone();
     visited.push(shared.settings.name.clone());
-    let keeps = |name: &HeaderName| {
-        let keyed = purpose == Purpose::Owner;
+    let is_forwarded = |name: &HeaderName| {
+        let keeps_key = purpose == Purpose::Owner;
         *name != header::AUTHORIZATION
             && *name != caller::TIMEOUT
             && *name != caller::NOT_REPEATABLE
-            && (keyed || *name != caller::IDEMPOTENCY_KEY)
+            && (keeps_key || *name != caller::IDEMPOTENCY_KEY)
     };
-    let mut headers = wire_headers(&incoming.headers, keeps);
-    if !call.repeatable {
+    let mut headers = encode_headers(&incoming.headers, is_forwarded);
+    if !request.repeatable {
         let value = bytes::Bytes::from_static(b"true");
         headers.push(wire::Header { name: caller::NOT_REPEATABLE.to_owned(), value });
     }
-    let left = call.deadline.saturating_duration_since(now);
+    let remaining = request.deadline.saturating_duration_since(now);
     wire::ForwardRequest {
         request_id: incoming.id.clone(),
-        configuration_version: call.snapshot.configuration.version,
+        configuration_version: request.snapshot.configuration.version,
         purpose: match purpose {
             Purpose::Owner => wire::Purpose::Owner.into(),
             Purpose::Region | Purpose::Caller => wire::Purpose::Region.into(),
@@ -179,58 +182,59 @@
         path_and_query: incoming.path.clone(),
         headers,
         body: incoming.body.clone(),
-        timeout_ms: left.as_millis().try_into().unwrap_or(u32::MAX),
+        timeout_ms: remaining.as_millis().try_into().unwrap_or(u32::MAX),
         target_region: member.region.clone(),
         target_incarnation: member.incarnation,
     }
 }
 
-fn read_head(
+fn read_first_frame(
     frames: Streaming<wire::ForwardFrame>,
-    first: Option<wire::ForwardFrame>,
-    call: &Call,
-    account: super::relay::Account,
+    first_frame: Option<wire::ForwardFrame>,
+    request: &ValidatedRequest,
+    accounting: super::relay::RequestAccounting,
     region: &RegionId,
-) -> Result<Started, Sent> {
-    let unknown =
-        |text: &str| Sent::Refused(Failure::new(Kind::BackendFailed, text).with_ran(Ran::Unknown));
-    match first.and_then(|frame| frame.frame) {
+) -> Result<RelayedResponse, SendError> {
+    let may_have_run = |text: &str| {
+        SendError::Failed(Failure::new(Kind::BackendFailed, text).with_ran(Ran::Unknown))
+    };
+    match first_frame.and_then(|frame| frame.frame) {
         Some(Frame::Head(head)) => {
             let status =
                 u16::try_from(head.status).ok().and_then(|code| StatusCode::from_u16(code).ok());
-            let Some(status) = status else { return Err(unknown("a malformed head")) };
-            let mut headers = headers(&head.headers);
-            let events = call.stream
+            let Some(status) = status else { return Err(may_have_run("a malformed head")) };
+            let mut headers = decode_headers(&head.headers);
+            let is_event_stream = request.stream
                 && headers
                     .get(header::CONTENT_TYPE)
                     .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
             let ran_in = headers.remove(caller::REGION);
             let ran_in = ran_in.and_then(|value| value.to_str().map(str::to_owned).ok());
-            let source = Source::Peer { frames: Box::new(frames), ended: false };
-            Ok(Started {
+            let source = ResponseSource::Peer { frames: Box::new(frames), ended: false };
+            Ok(RelayedResponse {
                 status,
                 headers,
                 region: ran_in.unwrap_or_else(|| region.clone()),
-                relay: Relay::new(source, account, events),
+                relay: Relay::new(source, accounting, is_event_stream),
             })
         }
         Some(Frame::Failure(failure)) => {
-            let failure = failure_from(&failure);
+            let failure = decode_failure(&failure);
             if failure.ran() == Ran::No {
-                call.not_sent();
+                request.undo_send();
             }
-            Err(Sent::Refused(failure))
+            Err(SendError::Failed(failure))
         }
-        _ => Err(unknown("the other box ended without an answer")),
+        _ => Err(may_have_run("the other box ended without an answer")),
     }
 }
 
-/// Headers as other boxes read them.
-pub(super) fn wire_headers(
+/// Encodes HTTP headers for another box.
+pub(super) fn encode_headers(
     headers: &HeaderMap,
-    keeps: impl Fn(&HeaderName) -> bool,
+    is_forwarded: impl Fn(&HeaderName) -> bool,
 ) -> Vec<wire::Header> {
-    let kept = headers.iter().filter(|(name, _)| keeps(name));
+    let kept = headers.iter().filter(|(name, _)| is_forwarded(name));
     kept.map(|(name, value)| wire::Header {
         name: name.as_str().to_owned(),
         value: bytes::Bytes::copy_from_slice(value.as_bytes()),
@@ -238,8 +242,8 @@
     .collect()
 }
 
-/// Headers from another box; malformed ones are left out.
-pub(super) fn headers(raw: &[wire::Header]) -> HeaderMap {
+/// Decodes HTTP headers from another box, skipping malformed ones.
+pub(super) fn decode_headers(raw: &[wire::Header]) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(raw.len());
     for header in raw {
         let name = HeaderName::from_bytes(header.name.as_bytes());
@@ -251,7 +255,7 @@
     headers
 }
 
-fn failure_from(raw: &wire::Failure) -> Failure {
+fn decode_failure(raw: &wire::Failure) -> Failure {
     let kind = Kind::parse(&raw.kind).unwrap_or(Kind::BackendFailed);
     let failure = Failure::new(kind, raw.message.clone()).with_ran(Ran::parse(&raw.ran));
     match raw.retry_after_ms {
@@ -260,8 +264,8 @@
     }
 }
 
-/// A failure as other boxes read it.
-pub(super) fn failure_to(failure: &Failure) -> wire::Failure {
+/// Encodes a failure for another box.
+pub(super) fn encode_failure(failure: &Failure) -> wire::Failure {
     wire::Failure {
         kind: failure.kind.row().code.to_owned(),
         message: failure.message.clone(),
--- /dev/null
+++ b/lib/src/daemon/idempotency.rs
@@ -0,0 +1,446 @@
+//! Requests with an idempotency key: each runs at most once, and its response
+//! is replayed.
+//!
+//! A ticket is checked against the ledger of the box that issued it. A key
+//! chosen by the caller is first claimed in the platform's store. The value of
+//! a claim is a ticket of the claiming box, so both kinds of key use the same
+//! ledger. Each run is a separate task: it continues if its caller disconnects,
+//! and the caller gets the response on the next request with the same key.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use http::HeaderMap;
+use http::StatusCode;
+use http_body_util::BodyExt;
+use rapidhash::v3::rapidhash_v3;
+use serde::Deserialize;
+use serde::Serialize;
+use tokio::sync::mpsc;
+use tokio::sync::oneshot;
+
+use super::dispatch;
+use super::dispatch::RelayedResponse;
+use super::forward;
+use super::relay::Relay;
+use super::request::Purpose;
+use super::request::ValidatedRequest;
+use super::shared::SharedState;
+use super::shared::lock;
+use crate::coordination::ledger::Answer as KeptResponse;
+use crate::coordination::ledger::Bounds;
+use crate::coordination::ledger::Conclusion;
+use crate::coordination::ledger::Key;
+use crate::coordination::ledger::Ledger;
+use crate::coordination::ledger::Verdict;
+use crate::coordination::ticket::Ticket;
+use crate::error::Failure;
+use crate::error::Kind;
+use crate::error::Ran;
+use crate::protocol::RegionId;
+use crate::protocol::platform::PlatformError;
+use crate::protocol::platform::Put;
+use crate::protocol::platform::Store;
+use crate::state::clock;
+use crate::state::counters::Counter;
+use crate::transport::body::Answer;
+use crate::transport::body::Part;
+use crate::transport::timer;
+
+/// Bounds of the ledger.
+pub const LEDGER_BOUNDS: Bounds = Bounds { entries: 100_000, bytes: 64 << 20 };
+/// Maximum size of a response that is kept for replay.
+const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
+/// Time to live of a claim in the store.
+pub const CLAIM_TTL: Duration = Duration::from_secs(3600);
+/// A request may no longer be sent within this time before its claim expires.
+const CLAIM_SAFETY_MARGIN: Duration = Duration::from_secs(60);
+/// Number of response parts that are buffered for a slow caller.
+const RESPONSE_CHANNEL_CAPACITY: usize = 16;
+
+/// The keyed requests of one box.
+pub struct KeyedRequests {
+    inner: Mutex<Inner>,
+}
+
+struct Inner {
+    ledger: Ledger,
+    waiters: HashMap<Key, Vec<oneshot::Sender<()>>>,
+}
+
+impl Default for KeyedRequests {
+    fn default() -> KeyedRequests {
+        let inner = Inner { ledger: Ledger::new(LEDGER_BOUNDS), waiters: HashMap::new() };
+        KeyedRequests { inner: Mutex::new(inner) }
+    }
+}
+
+impl KeyedRequests {
+    /// Number of keys, and bytes of kept responses.
+    pub fn size(&self) -> (usize, usize) {
+        let inner = lock(&self.inner);
+        (inner.ledger.len(), inner.ledger.bytes())
+    }
+
+    /// Removes entries whose keys can no longer be presented.
+    pub fn expire(&self, now: Instant) {
+        lock(&self.inner).ledger.expire(now);
+    }
+
+    fn contains_key(&self, key: &Key) -> bool {
+        lock(&self.inner).ledger.contains(key)
+    }
+
+    fn begin(
+        &self,
+        key: &Key,
+        request: &ValidatedRequest,
+        keep_until: Instant,
+    ) -> (Verdict, Option<oneshot::Receiver<()>>) {
+        let inner = &mut *lock(&self.inner);
+        let verdict = inner.ledger.begin(key, request.fingerprint(), keep_until, clock::now());
+        let waiter = matches!(verdict, Verdict::Wait).then(|| {
+            let (sender, receiver) = oneshot::channel();
+            inner.waiters.entry(key.clone()).or_default().push(sender);
+            receiver
+        });
+        (verdict, waiter)
+    }
+
+    fn conclude(&self, key: &Key, conclusion: Conclusion) {
+        let mut inner = lock(&self.inner);
+        inner.ledger.conclude(key, conclusion);
+        // Dropping the senders wakes the waiting requests.
+        inner.waiters.remove(key);
+    }
+}
+
+/// A response to a request, relayed or replayed.
+pub struct GatewayResponse {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// HTTP headers for the caller.
+    pub headers: HeaderMap,
+    /// Region that ran the request.
+    pub region: RegionId,
+    /// Response body.
+    pub body: Answer<Relay>,
+}
+
+impl From<RelayedResponse> for GatewayResponse {
+    fn from(response: RelayedResponse) -> GatewayResponse {
+        GatewayResponse {
+            status: response.status,
+            headers: response.headers,
+            region: response.region,
+            body: Answer::Relay(response.relay),
+        }
+    }
+}
+
+/// Which box may run a keyed request.
+enum KeyOwner {
+    /// This box. The key cannot be presented after `keep_until`.
+    Local { keep_until: Instant, needs_claim: bool },
+    /// The incarnation that issued the ticket.
+    Remote(Ticket),
+}
+
+/// Runs a keyed request, or replays its response.
+pub async fn run(
+    shared: &Arc<SharedState>,
+    request: ValidatedRequest,
+    key: String,
+) -> Result<GatewayResponse, Failure> {
+    let ledger_key = Key { team: request.incoming.team.clone(), text: key };
+    let (keep_until, needs_claim) = match key_owner(shared, &request, &ledger_key)? {
+        KeyOwner::Remote(ticket) => return forward_to_owner(shared, &request, &ticket).await,
+        KeyOwner::Local { keep_until, needs_claim } => (keep_until, needs_claim),
+    };
+    loop {
+        let (verdict, waiter) = shared.keyed_requests.begin(&ledger_key, &request, keep_until);
+        match (verdict, waiter) {
+            (Verdict::Run, _) => return spawn_run(shared, request, ledger_key, needs_claim).await,
+            (Verdict::Wait, Some(waiter)) => {
+                let wait_result = timer::timeout_at(request.deadline, waiter).await;
+                wait_result.map_err(|_| still_running_failure())?.ok();
+            }
+            (verdict, _) => return response_from_verdict(shared, verdict),
+        }
+    }
+}
+
+fn still_running_failure() -> Failure {
+    let message = "a request with this key is still running";
+    Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown)
+}
+
+fn response_from_verdict(
+    shared: &SharedState,
+    verdict: Verdict,
+) -> Result<GatewayResponse, Failure> {
+    match verdict {
+        Verdict::Replay(kept) => {
+            shared.counters.count(Counter::Replayed);
+            Ok(replay(shared, kept))
+        }
+        Verdict::Ran => {
+            let message = "the request ran; its answer is no longer kept";
+            Err(Failure::new(Kind::AlreadyRan, message))
+        }
+        Verdict::Reused => {
+            let message = "the key was used before with another request";
+            Err(Failure::new(Kind::KeyReused, message))
+        }
+        Verdict::Full => {
+            let message = "the box remembers as many keys as it can";
+            Err(Failure::new(Kind::LedgerFull, message))
+        }
+        Verdict::Unknown | Verdict::Run | Verdict::Wait => {
+            let message = "an earlier request with this key may have run";
+            Err(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown))
+        }
+    }
+}
+
+fn replay(shared: &SharedState, kept: KeptResponse) -> GatewayResponse {
+    let parsed_headers = kept.headers.iter().map(|(name, value)| (name.parse(), value));
+    let mut header_map = HeaderMap::new();
+    for (name, value) in parsed_headers {
+        if let (Ok(name), Ok(value)) = (name, http::HeaderValue::from_bytes(value)) {
+            header_map.append::<http::HeaderName>(name, value);
+        }
+    }
+    GatewayResponse {
+        status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
+        headers: header_map,
+        region: shared.settings.region.clone(),
+        body: Answer::whole(kept.body),
+    }
+}
+
+fn key_owner(
+    shared: &SharedState,
+    request: &ValidatedRequest,
+    key: &Key,
+) -> Result<KeyOwner, Failure> {
+    let limits = &request.snapshot.configuration.limits;
+    let now = clock::now();
+    let ticket = Ticket::parse(&key.text)
+        .map_err(|error| Failure::new(Kind::BadRequest, error.to_string()))?;
+    let Some(ticket) = ticket else {
+        let keep_until = now + CLAIM_TTL + limits.max_timeout + CLAIM_SAFETY_MARGIN;
+        return Ok(KeyOwner::Local { keep_until, needs_claim: true });
+    };
+    if ticket.owner != shared.settings.name || ticket.incarnation != shared.incarnation {
+        return Ok(KeyOwner::Remote(ticket));
+    }
+    let Some(age) = shared.uptime(now).checked_sub(ticket.issued) else {
+        return Err(Failure::new(Kind::BadRequest, "the ticket was not handed out yet"));
+    };
+    if age > limits.ticket_life && !shared.keyed_requests.contains_key(key) {
+        let message = "the life of the ticket is over; whether it was used is no longer known";
+        return Err(Failure::new(Kind::TicketExpired, message));
+    }
+    let expires_at = shared.started_at + ticket.issued + limits.ticket_life;
+    Ok(KeyOwner::Local { keep_until: expires_at.max(now) + limits.max_timeout, needs_claim: false })
+}
+
+async fn forward_to_owner(
+    shared: &Arc<SharedState>,
+    request: &ValidatedRequest,
+    ticket: &Ticket,
+) -> Result<GatewayResponse, Failure> {
+    let is_own_name = ticket.owner == shared.settings.name;
+    if is_own_name || request.incoming.purpose != Purpose::Caller {
+        let message = "the box that owned the key is gone; the request may have run";
+        return Err(Failure::new(Kind::OwnerGone, message));
+    }
+    forward::to_owner(shared, request, &ticket.owner, ticket.incarnation)
+        .await
+        .map(GatewayResponse::from)
+}
+
+/// Guard that concludes the key when dropped, however the run ends.
+struct Run {
+    shared: Arc<SharedState>,
+    key: Key,
+    conclusion: Conclusion,
+}
+
+impl Drop for Run {
+    fn drop(&mut self) {
+        let conclusion = std::mem::replace(&mut self.conclusion, Conclusion::Unknown);
+        self.shared.keyed_requests.conclude(&self.key, conclusion);
+    }
+}
+
+async fn spawn_run(
+    shared: &Arc<SharedState>,
+    request: ValidatedRequest,
+    key: Key,
+    needs_claim: bool,
+) -> Result<GatewayResponse, Failure> {
+    let (head_sender, head_receiver) = oneshot::channel();
+    let run = Run { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
+    tokio::spawn(execute_run(run, request, needs_claim, head_sender));
+    head_receiver.await.unwrap_or_else(|_| {
+        Err(Failure::new(Kind::Internal, "the run was lost").with_ran(Ran::Unknown))
+    })
+}
+
+async fn execute_run(
+    mut run: Run,
+    mut request: ValidatedRequest,
+    needs_claim: bool,
+    head_sender: oneshot::Sender<Result<GatewayResponse, Failure>>,
+) {
+    let shared = Arc::clone(&run.shared);
+    let result = match needs_claim {
+        false => dispatch::run(&shared, &request).await.map(GatewayResponse::from),
+        true => claim_and_run(&shared, &mut request, &run.key).await,
+    };
+    let mut response = match result {
+        Ok(response) => response,
+        Err(failure) => {
+            let not_run_here = needs_claim && request.send_deadline.is_none();
+            run.conclusion = match failure.ran() {
+                // The box that owns the key records whether the request ran.
+                _ if not_run_here => Conclusion::NotRun,
+                Ran::No => Conclusion::NotRun,
+                Ran::Unknown => Conclusion::Unknown,
+                Ran::Yes => Conclusion::Answered(None),
+            };
+            drop(run);
+            let _ = head_sender.send(Err(failure));
+            return;
+        }
+    };
+    let (part_sender, part_receiver) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
+    let body = std::mem::replace(&mut response.body, Answer::Channel(part_receiver));
+    let (status, headers) = (response.status, response.headers.clone());
+    let _ = head_sender.send(Ok(response));
+    if let Some(body) = relay_body(body, &part_sender).await {
+        run.conclusion = Conclusion::Answered(kept_response(status, &headers, body));
+    }
+    drop(run);
+    let _ = part_sender.send(None).await;
+}
+
+/// Relays all parts of a body, even if the receiver is gone. Returns the
+/// complete body, `None` if the body was truncated, or `Some(None)` if it is
+/// too large to keep.
+async fn relay_body(
+    mut body: Answer<Relay>,
+    part_sender: &mpsc::Sender<Option<Part>>,
+) -> Option<Option<Bytes>> {
+    let mut kept_bytes = Some(BytesMut::new());
+    while let Some(frame) = body.frame().await {
+        let data = match frame.map(http_body::Frame::into_data) {
+            Ok(Ok(data)) => data,
+            Ok(Err(_)) => continue,
+            Err(error) => {
+                let _ = part_sender.send(Some(Err(error))).await;
+                return None;
+            }
+        };
+        if let Some(bytes) = &mut kept_bytes {
+            bytes.extend_from_slice(&data);
+        }
+        kept_bytes = kept_bytes.filter(|bytes| bytes.len() <= MAX_KEPT_RESPONSE_BYTES);
+        let _ = part_sender.send(Some(Ok(data))).await;
+    }
+    Some(kept_bytes.map(BytesMut::freeze))
+}
+
+fn kept_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Option<Bytes>,
+) -> Option<KeptResponse> {
+    let headers = headers
+        .iter()
+        .map(|(name, value)| (name.as_str().to_owned(), Bytes::copy_from_slice(value.as_bytes())));
+    Some(KeptResponse { status: status.as_u16(), headers: headers.collect(), body: body? })
+}
+
+/// Stored value of a claimed key.
+#[derive(Debug, Deserialize, Serialize)]
+struct Claim {
+    /// Ticket of the claiming box.
+    ticket: String,
+}
+
+/// Claims a caller's key in the store, then runs the request. If another box
+/// has claimed the key, forwards the request to that box.
+async fn claim_and_run(
+    shared: &Arc<SharedState>,
+    request: &mut ValidatedRequest,
+    key: &Key,
+) -> Result<GatewayResponse, Failure> {
+    let now = clock::now();
+    let own_ticket = Ticket {
+        owner: shared.settings.name.clone(),
+        incarnation: shared.incarnation,
+        issued: Duration::from_millis(shared.uptime(now).as_millis() as u64),
+        nonce: shared.next_request_number(),
+    };
+    let claimant = claim_key(shared, key, &own_ticket).await?;
+    if claimant.owner != own_ticket.owner || claimant.incarnation != own_ticket.incarnation {
+        return forward_to_owner(shared, request, &claimant).await;
+    }
+    // This incarnation holds the claim, from this request or an earlier one. If
+    // an earlier request had run, the ledger would contain its key.
+    let claimed_at = shared.started_at + claimant.issued;
+    request.send_deadline = Some(claimed_at + CLAIM_TTL - CLAIM_SAFETY_MARGIN);
+    dispatch::run(shared, request).await.map(GatewayResponse::from)
+}
+
+async fn claim_key(
+    shared: &SharedState,
+    key: &Key,
+    own_ticket: &Ticket,
+) -> Result<Ticket, Failure> {
+    let path = claim_path(key);
+    let value = serde_json::json!(Claim { ticket: own_ticket.to_string() }).to_string();
+    let life_ms = u64::try_from(CLAIM_TTL.as_millis()).ok();
+    shared.counters.count(Counter::Claims);
+    let put = Put { value, expect: 0, lease: None, life_ms };
+    match shared.platform.put(&path, put).await {
+        Ok(_) => Ok(own_ticket.clone()),
+        // Either another claim exists, or this claim was stored and the response was
+        // lost: read the claim to find out.
+        Err(PlatformError::Conflict(_) | PlatformError::Lost(_)) => read_claim(shared, &path).await,
+        Err(error) => Err(claim_failure(&error.to_string())),
+    }
+}
+
+async fn read_claim(shared: &SharedState, path: &str) -> Result<Ticket, Failure> {
+    let entry =
+        shared.platform.get(path).await.map_err(|error| claim_failure(&error.to_string()))?;
+    let entry = entry.ok_or_else(|| claim_failure("the claim is not there"))?;
+    let claim: Claim =
+        serde_json::from_str(&entry.value).map_err(|error| claim_failure(&error.to_string()))?;
+    match Ticket::parse(&claim.ticket) {
+        Ok(Some(ticket)) => Ok(ticket),
+        _ => Err(claim_failure("the claim cannot be read")),
+    }
+}
+
+fn claim_failure(reason: &str) -> Failure {
+    let message = format!(
+        "the key cannot be claimed ({reason}); use a ticket of GET /v1/boxes, which needs no claim"
+    );
+    Failure::new(Kind::StoreUnavailable, message)
+}
+
+fn claim_path(key: &Key) -> String {
+    let team = rapidhash_v3(key.team.as_bytes());
+    let hex: String = key.text.bytes().map(|byte| format!("{byte:02x}")).collect();
+    format!("claims/{team:016x}/{hex}")
+}
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -1,18 +1,19 @@
 //! The process that runs on each box.
 //!
-//! One thread holds all control state; a runtime of its own threads carries
-//! traffic. They share [`Shared`], in which control publishes whole snapshots.
+//! One thread owns all control state; the traffic threads, each with its own
+//! runtime, serve requests. They share [`SharedState`], through which the
+//! control thread publishes complete snapshots.
 
-pub mod call;
-pub mod caller;
+pub mod caller_api;
 pub mod control;
 pub mod dispatch;
 pub mod forward;
-pub mod once;
+pub mod idempotency;
 pub mod operator_api;
-pub mod peer;
+pub mod peer_service;
 pub mod pools;
 pub mod relay;
+pub mod request;
 pub mod shared;
 
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
 
 use self::control::Control;
 use self::shared::Addresses;
-use self::shared::Shared;
+use self::shared::SharedState;
 use crate::coordination::drain::Stage;
 use crate::coordination::limit::Limiter;
 use crate::protocol::Incarnation;
@@ -55,48 +56,49 @@
 use crate::transport::platform::Platform;
 use crate::transport::worker;
 
-/// Low bits of an incarnation that are random; the rest is the time of the start.
-const RANDOM_BITS: u32 = 20;
+/// Number of random low bits in an incarnation; the remaining bits hold the
+/// start time.
+const INCARNATION_RANDOM_BITS: u32 = 20;
 
-/// Why a box could not start.
+/// Why a box failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A port cannot be listened on.
+    /// A port could not be bound.
     #[error("cannot listen on {address} for {port}: {source}")]
     Listen {
-        /// What the port is for.
+        /// Purpose of the port.
         port: &'static str,
-        /// Address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// Cause.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The operating system refused threads or sockets.
-    #[error("cannot start: {0}")]
+    /// The operating system refused to create a thread or socket.
+    #[error("cannot create a thread or socket: {0}")]
     System(#[from] std::io::Error),
-    /// The secret cannot be sent in a header.
+    /// The peer secret cannot be sent in a header.
     #[error("peer_secret has characters that are not plain ASCII")]
     Secret,
 }
 
-/// How a box ended.
+/// How a box stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopOutcome {
-    /// Everything in progress was finished.
+    /// All in-flight requests were completed.
     Done,
-    /// Requests in progress were cut.
+    /// This many in-flight requests were aborted.
     Cut(usize),
 }
 
 /// A running box.
 pub struct Daemon {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     control: JoinHandle<Stage>,
     traffic: Vec<JoinHandle<()>>,
 }
 
 impl Daemon {
-    /// Starts a box; returns once its ports are open.
+    /// Starts a box and returns once its ports are bound.
     pub fn start(settings: Settings) -> Result<Daemon, StartError> {
         let callers = bind("callers", settings.callers)?;
         let peers = bind("boxes", settings.peers)?;
@@ -106,32 +108,33 @@
             peers: peers.local_addr()?,
             operators: operators.local_addr()?,
         };
-        let (events, receiver) = mpsc::channel(control::EVENTS);
+        let (events, receiver) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
         let (stop, stopping) = watch::channel(Stop::No);
-        let shared = Arc::new(shared(settings, addresses, events.clone())?);
-        let control = start_control(&shared, events, receiver, stop)?;
-        let traffic = start_traffic(&shared, [callers, peers, operators], stopping)?;
+        let shared = Arc::new(build_shared_state(settings, addresses, events.clone())?);
+        let control = start_control_thread(&shared, events, receiver, stop)?;
+        let traffic = start_traffic_threads(&shared, [callers, peers, operators], stopping)?;
         let Addresses { callers, peers, operators } = addresses;
         log::info!("event=started callers={callers} peers={peers} operators={operators}");
         Ok(Daemon { shared, control, traffic })
     }
 
-    /// Addresses that it listens on.
+    /// Addresses that the box listens on.
     pub fn addresses(&self) -> Addresses {
         self.shared.addresses
     }
 
-    /// Whether it has a configuration and takes requests.
+    /// Whether the box has a configuration and accepts requests.
     pub fn is_ready(&self) -> bool {
-        self.shared.now_in_force().ready
+        self.shared.current_snapshot().ready
     }
 
     /// Version of the configuration in force.
     pub fn version(&self) -> crate::protocol::Version {
-        self.shared.now_in_force().configuration.version
+        self.shared.current_snapshot().configuration.version
     }
 
-    /// Something that asks for a planned stop; asking a second time means at once.
+    /// Returns a handle that requests a planned stop; a second request stops
+    /// the box immediately.
     pub fn stop_handle(&self) -> StopHandle {
         StopHandle { events: self.shared.control.clone() }
     }
@@ -150,21 +153,21 @@
     }
 }
 
-/// Asks a box to stop.
+/// Requests that a box stop.
 #[derive(Clone)]
 pub struct StopHandle {
     events: mpsc::Sender<control::Event>,
 }
 
 impl StopHandle {
-    /// Asks; a second time means at once.
+    /// Requests a planned stop; a second request stops the box immediately.
     pub fn stop(&self) {
-        let _ = self.events.blocking_send(control::Event::Stop);
+        let _ = self.events.blocking_send(control::Event::StopRequested);
     }
 
-    /// Asks from within a runtime.
+    /// Like [`StopHandle::stop`], for callers within an async runtime.
     pub async fn stop_async(&self) {
-        let _ = self.events.send(control::Event::Stop).await;
+        let _ = self.events.send(control::Event::StopRequested).await;
     }
 }
 
@@ -172,18 +175,19 @@
     listen::bind(address).map_err(|source| StartError::Listen { port, address, source })
 }
 
-/// Ordered by the time of the start, so that a replaced box supersedes the one before.
+/// Creates an incarnation. Incarnations are ordered by start time, so a
+/// restarted box supersedes its predecessor.
 pub(crate) fn new_incarnation() -> Incarnation {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let random = rand::rng().random_range(0..1u64 << RANDOM_BITS);
-    ((since.as_millis() as u64) << RANDOM_BITS) | random
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let random = rand::rng().random_range(0..1u64 << INCARNATION_RANDOM_BITS);
+    ((since_epoch.as_millis() as u64) << INCARNATION_RANDOM_BITS) | random
 }
 
-fn shared(
+fn build_shared_state(
     settings: Settings,
     addresses: Addresses,
     control: mpsc::Sender<control::Event>,
-) -> Result<Shared, StartError> {
+) -> Result<SharedState, StartError> {
     let now = clock::now();
     let incarnation = new_incarnation();
     let counters = Arc::new(Counters::default());
@@ -194,8 +198,8 @@
         ready: false,
         stage: Stage::Serving,
     };
-    Ok(Shared {
-        peers: peer_client(&settings)?,
+    Ok(SharedState {
+        peers: new_peer_client(&settings)?,
         platform: Platform::new(settings.platform, Arc::clone(&counters)),
         settings,
         addresses,
@@ -203,19 +207,19 @@
         started_at: now,
         snapshot: Arc::new(ArcSwap::from_pointee(snapshot)),
         document: ArcSwap::from_pointee(Bytes::new()),
-        pools: pools::Table::default(),
+        pools: pools::PoolTable::default(),
         limiter: Mutex::new(Limiter::default()),
-        once: once::Memory::default(),
+        keyed_requests: idempotency::KeyedRequests::default(),
         burn: Mutex::new(Burn::new(now)),
         counters,
         backend: backend::Client::default(),
         control,
         in_flight: AtomicUsize::new(0),
-        requests: AtomicU64::new(0),
+        request_numbers: AtomicU64::new(0),
     })
 }
 
-fn peer_client(settings: &Settings) -> Result<peer_transport::Client, StartError> {
+fn new_peer_client(settings: &Settings) -> Result<peer_transport::Client, StartError> {
     let routes = settings.peer_routes.clone();
     peer_transport::Client::new(&settings.peer_secret, routes).ok_or(StartError::Secret)
 }
@@ -236,34 +240,34 @@
     }
 }
 
-fn start_control(
-    shared: &Arc<Shared>,
+fn start_control_thread(
+    shared: &Arc<SharedState>,
     events: mpsc::Sender<control::Event>,
     receiver: mpsc::Receiver<control::Event>,
     stop: watch::Sender<Stop>,
 ) -> Result<JoinHandle<Stage>, StartError> {
-    let peers = peer_client(&shared.settings)?;
-    let own = shared.now_in_force().own.clone();
+    let peers = new_peer_client(&shared.settings)?;
+    let own = shared.current_snapshot().own.clone();
     let control = Control::new(Arc::clone(shared), events, stop, own, peers);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let run = move || runtime.block_on(control.run(receiver));
     Ok(std::thread::Builder::new().name("control".to_owned()).spawn(run)?)
 }
 
-/// Ports that a box serves, in the order of [`Daemon::start`].
-const PORTS: usize = 3;
+/// Number of ports that a box serves, in the order used in [`Daemon::start`].
+const PORT_COUNT: usize = 3;
 
-/// What the traffic threads are given.
-struct Thread {
-    accepted: [listen::Accepted; PORTS],
+/// Accepted connections that one traffic thread serves, one channel per port.
+struct TrafficThreadInput {
+    accepted: [listen::Accepted; PORT_COUNT],
 }
 
-fn start_traffic(
-    shared: &Arc<Shared>,
-    listeners: [TcpListener; PORTS],
+fn start_traffic_threads(
+    shared: &Arc<SharedState>,
+    listeners: [TcpListener; PORT_COUNT],
     stopping: watch::Receiver<Stop>,
 ) -> Result<Vec<JoinHandle<()>>, StartError> {
-    let mut senders: [Vec<mpsc::Sender<TcpStream>>; PORTS] = Default::default();
+    let mut senders: [Vec<mpsc::Sender<TcpStream>>; PORT_COUNT] = Default::default();
     let mut threads = Vec::new();
     for index in 0..shared.settings.traffic_threads {
         let accepted = senders.each_mut().map(|senders| {
@@ -271,19 +275,22 @@
             senders.push(sender);
             accepted
         });
-        let thread = Thread { accepted };
+        let input = TrafficThreadInput { accepted };
         let (shared, stopping) = (Arc::clone(shared), stopping.clone());
-        threads
-            .push(spawn_thread(index, stopping.clone(), move || serve(shared, thread, stopping))?);
+        threads.push(spawn_traffic_thread(index, stopping.clone(), move || {
+            serve(shared, input, stopping)
+        })?);
     }
-    let accepting = listeners.into_iter().zip(senders).collect();
-    threads
-        .push(spawn_thread(threads.len(), stopping.clone(), move || accept(accepting, stopping))?);
+    let listeners_with_senders = listeners.into_iter().zip(senders).collect();
+    threads.push(spawn_traffic_thread(threads.len(), stopping.clone(), move || {
+        accept_connections(listeners_with_senders, stopping)
+    })?);
     Ok(threads)
 }
 
-/// Starts a thread with a runtime of its own; it ends with its work, or at once when told so.
-fn spawn_thread<F>(
+/// Starts a thread with its own runtime. The thread ends when its work is done,
+/// or at once on [`Stop::Now`].
+fn spawn_traffic_thread<F>(
     index: usize,
     mut stopping: watch::Receiver<Stop>,
     work: impl FnOnce() -> F + Send + 'static,
@@ -295,11 +302,11 @@
     let run = move || {
         worker::set_index(index);
         runtime.block_on(async {
-            let ended = tokio::select! {
-                ended = work() => ended,
+            let result = tokio::select! {
+                result = work() => result,
                 _ = stopping.wait_for(|stop| *stop == Stop::Now) => Ok(()),
             };
-            if let Err(error) = ended {
+            if let Err(error) = result {
                 log::error!("event=traffic_failed thread={index} error=\"{error}\"");
             }
         });
@@ -307,38 +314,39 @@
     Ok(std::thread::Builder::new().name(format!("traffic-{index}")).spawn(run)?)
 }
 
-/// Accepts on all ports until the stop has ended.
-async fn accept(
+/// Accepts connections on all ports until the stop is complete.
+async fn accept_connections(
     ports: Vec<(TcpListener, Vec<mpsc::Sender<TcpStream>>)>,
     stopping: watch::Receiver<Stop>,
 ) -> Result<(), StartError> {
-    let mut accepting = JoinSet::new();
+    let mut accept_tasks = JoinSet::new();
     for (listener, threads) in ports {
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        accepting.spawn(listen::accept(listener, threads, stopping.clone()));
+        accept_tasks.spawn(listen::accept(listener, threads, stopping.clone()));
     }
-    accepting.join_all().await;
+    accept_tasks.join_all().await;
     Ok(())
 }
 
-/// One thread's share of the traffic, until the stop has ended.
+/// Serves one traffic thread's share of the connections until the stop is
+/// complete.
 async fn serve(
-    shared: Arc<Shared>,
-    thread: Thread,
+    shared: Arc<SharedState>,
+    input: TrafficThreadInput,
     stopping: watch::Receiver<Stop>,
 ) -> Result<(), StartError> {
-    let [callers, peers, operators] = thread.accepted;
+    let [callers, peers, operators] = input.accepted;
     let state = Arc::clone(&shared);
-    let for_callers = move |request| caller::handle(Arc::clone(&state), request);
+    let handle_caller = move |request| caller_api::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
-    let for_operators = move |request| operator_api::handle(Arc::clone(&state), request);
-    let service = PeerServer::new(peer::Service::new(shared))
+    let handle_operator = move |request| operator_api::handle(Arc::clone(&state), request);
+    let service = PeerServer::new(peer_service::PeerService::new(shared))
         .max_decoding_message_size(peer_transport::MAX_MESSAGE)
         .max_encoding_message_size(peer_transport::MAX_MESSAGE);
     tokio::spawn(peer_transport::serve(peers, service, stopping.clone()));
     tokio::join!(
-        listen::serve(callers, for_callers, stopping.clone()),
-        listen::serve(operators, for_operators, stopping),
+        listen::serve(callers, handle_caller, stopping.clone()),
+        listen::serve(operators, handle_operator, stopping),
     );
     Ok(())
 }
--- a/lib/src/daemon/operator_api.rs
+++ b/lib/src/daemon/operator_api.rs
@@ -1,4 +1,5 @@
-//! The operators' port: what this box knows and counts.
+//! The HTTP API for operators, which reports the state and counters of this
+//! box.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-use super::shared::Shared;
+use super::shared::SharedState;
 use super::shared::lock;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
@@ -30,113 +31,114 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 
-type Reply = Response<Full<Bytes>>;
+type OperatorResponse = Response<Full<Bytes>>;
 
-/// What a box says of itself and of what it knows.
+/// State of a box, including what it knows about other boxes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Status {
-    /// Box.
+    /// Name of the box.
     pub name: String,
-    /// Region.
+    /// Region of the box.
     pub region: String,
-    /// Incarnation, in hex.
+    /// Incarnation in hexadecimal.
     pub incarnation: String,
-    /// Seconds since the start.
+    /// Seconds since the start of the process.
     pub uptime_s: u64,
-    /// Whether it takes requests.
+    /// Whether the box accepts requests.
     pub ready: bool,
     /// Stage of a planned stop.
     pub stage: String,
-    /// Configuration in force.
+    /// Version of the configuration in force.
     pub version: u64,
-    /// Requests in progress.
+    /// Number of in-flight requests.
     pub in_flight: usize,
-    /// Keys remembered.
+    /// Number of idempotency keys in the ledger.
     pub keys: usize,
-    /// Bytes of answers kept for them.
+    /// Bytes of kept responses in the ledger.
     pub kept_bytes: usize,
     /// Other live boxes.
     pub boxes: Vec<BoxStatus>,
-    /// Pools of this region.
+    /// Pools of this box's region.
     pub pools: Vec<PoolStatus>,
-    /// Broken invariants by name; empty where none is.
+    /// Names of violated invariants with the number of violations; empty if
+    /// there are none.
     pub breaches: Vec<(String, u64)>,
 }
 
-/// Another box, as this one sees it.
+/// Another box, as known to this one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct BoxStatus {
-    /// Box.
+    /// Name of the box.
     pub name: String,
-    /// Region.
+    /// Region of the box.
     pub region: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: String,
-    /// Phase.
+    /// Phase of the box's life.
     pub phase: String,
-    /// Configuration in force there.
+    /// Version of the configuration in force on that box.
     pub version: u64,
 }
 
-/// A pool on this box.
+/// State of a pool on this box.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PoolStatus {
-    /// Pool.
+    /// Name of the pool.
     pub name: String,
-    /// Requests of this box on its servers.
+    /// Number of this box's requests that run on the pool's servers.
     pub in_flight: u32,
-    /// Requests waiting on this box.
+    /// Number of requests in this box's queue.
     pub waiting: usize,
-    /// Slots that are free.
+    /// Number of free slots.
     pub spare: u32,
 }
 
-/// Answers an operator.
-pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Reply {
-    answer(&shared, &request).unwrap_or_else(|failure| {
-        let mut reply = Response::new(Full::from(caller::failure_body(&failure)));
-        *reply.status_mut() = failure.status();
-        caller::failure_headers(&failure, reply.headers_mut());
-        reply
+/// Handles a request from an operator.
+pub async fn handle(shared: Arc<SharedState>, request: Request<Incoming>) -> OperatorResponse {
+    respond(&shared, &request).unwrap_or_else(|failure| {
+        let mut response = Response::new(Full::from(caller::failure_body(&failure)));
+        *response.status_mut() = failure.status();
+        caller::failure_headers(&failure, response.headers_mut());
+        response
     })
 }
 
-fn answer(shared: &Shared, request: &Request<Incoming>) -> Result<Reply, Failure> {
+fn respond(shared: &SharedState, request: &Request<Incoming>) -> Result<OperatorResponse, Failure> {
     authorize(shared, request.headers())?;
     if request.method() != Method::GET {
         return Err(Failure::new(Kind::MethodNotAllowed, "the operators' port takes GET"));
     }
     match request.uri().path() {
-        "/status" => Ok(json_reply(&json!(status(shared)))),
-        "/counters" => Ok(Response::new(Full::from(counters(shared)))),
-        "/burn" => Ok(json_reply(&json!(burn(shared)))),
+        "/status" => Ok(json_response(&json!(collect_status(shared)))),
+        "/counters" => Ok(Response::new(Full::from(format_counters(shared)))),
+        "/burn" => Ok(json_response(&json!(burn_report(shared)))),
         "/configuration" => Ok(Response::new(Full::new((**shared.document.load()).clone()))),
         path => Err(Failure::new(Kind::NotFound, format!("no such path: {path}"))),
     }
 }
 
-fn authorize(shared: &Shared, headers: &HeaderMap) -> Result<(), Failure> {
+fn authorize(shared: &SharedState, headers: &HeaderMap) -> Result<(), Failure> {
     let Some(expected) = &shared.settings.operator_key_sha256 else { return Ok(()) };
     let key = caller::bearer(headers)?.unwrap_or_default();
-    let shown: String = Sha256::digest(key).iter().map(|byte| format!("{byte:02x}")).collect();
-    if bool::from(shown.as_bytes().ct_eq(expected.as_bytes())) {
+    let presented: String = Sha256::digest(key).iter().map(|byte| format!("{byte:02x}")).collect();
+    if bool::from(presented.as_bytes().ct_eq(expected.as_bytes())) {
         return Ok(());
     }
     Err(Failure::new(Kind::Unauthorized, "expected Authorization: Bearer <operators' key>"))
 }
 
-fn json_reply(value: &serde_json::Value) -> Reply {
-    let mut reply = Response::new(Full::from(value.to_string()));
+fn json_response(value: &serde_json::Value) -> OperatorResponse {
+    let mut response = Response::new(Full::from(value.to_string()));
     let json = http::HeaderValue::from_static("application/json");
-    reply.headers_mut().insert(header::CONTENT_TYPE, json);
-    reply
+    response.headers_mut().insert(header::CONTENT_TYPE, json);
+    response
 }
 
-fn status(shared: &Shared) -> Status {
-    let snapshot = shared.now_in_force();
+fn collect_status(shared: &SharedState) -> Status {
+    let snapshot = shared.current_snapshot();
     let now = clock::now();
-    let (keys, kept_bytes) = shared.once.size();
-    let pools = shared.pools.all();
+    let (keys, kept_bytes) = shared.keyed_requests.size();
+    let pools = shared.pools.snapshot();
     let mut pools: Vec<PoolStatus> = pools
         .iter()
         .map(|(name, pool)| {
@@ -160,13 +162,13 @@
         in_flight: shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
         keys,
         kept_bytes,
-        boxes: snapshot.members.iter().map(box_status).collect(),
+        boxes: snapshot.members.iter().map(member_status).collect(),
         pools,
-        breaches: breaches(),
+        breaches: invariant_breaches(),
     }
 }
 
-fn box_status(member: &Member) -> BoxStatus {
+fn member_status(member: &Member) -> BoxStatus {
     let phase = match member.phase {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
@@ -182,7 +184,7 @@
     }
 }
 
-fn breaches() -> Vec<(String, u64)> {
+fn invariant_breaches() -> Vec<(String, u64)> {
     Invariant::ALL
         .iter()
         .map(|invariant| (invariant.as_str().to_owned(), invariant::breaches(*invariant)))
@@ -190,7 +192,7 @@
         .collect()
 }
 
-fn counters(shared: &Shared) -> String {
+fn format_counters(shared: &SharedState) -> String {
     let mut text = String::new();
     for counter in Counter::ALL {
         let value = match counter {
@@ -202,8 +204,8 @@
     text
 }
 
-fn burn(shared: &Shared) -> crate::state::burn::Report {
-    let snapshot = shared.now_in_force();
+fn burn_report(shared: &SharedState) -> crate::state::burn::Report {
+    let snapshot = shared.current_snapshot();
     let burn = lock(&shared.burn);
     burn.report(&shared.settings.name, &snapshot.configuration, clock::now())
 }
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -1,8 +1,8 @@
-//! The pools of a box, shared by its traffic threads.
+//! The backend pools of a box, shared by its traffic threads.
 //!
-//! Each pool is behind one lock, held for a decision and never across an
-//! await. A slot is a guard: however a request ends, dropping the guard gives
-//! the slot back, and what waited is placed.
+//! Each pool is behind one lock, which is held for a single decision and never
+//! across an await. A slot is a guard: however a request ends, dropping the
+//! guard releases the slot and places waiting requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,12 +35,12 @@
 use crate::protocol::config::Priority;
 use crate::state::clock;
 
-/// Where a request goes, with the slot it holds.
+/// Where a request may run.
 #[derive(Debug)]
 pub enum Grant {
-    /// To a backend server of this region.
+    /// On a backend server of this region, with the slot reserved for it.
     Slot(Slot),
-    /// To another region.
+    /// In another region.
     Region(RegionId),
 }
 
@@ -50,17 +50,17 @@
     rng: SmallRng,
 }
 
-/// A pool that traffic threads share.
-pub struct Shared {
+/// A pool that the traffic threads share.
+pub struct SharedPool {
     inner: Mutex<Inner>,
 }
 
-/// A slot on a backend server.
+/// A reserved slot on a backend server, released when dropped.
 pub struct Slot {
-    pool: Arc<Shared>,
-    /// Server.
+    pool: Arc<SharedPool>,
+    /// Backend server that the slot belongs to.
     pub server: ServerId,
-    /// Its address.
+    /// Address of the backend server.
     pub address: SocketAddr,
     outcome: Outcome,
 }
@@ -72,7 +72,8 @@
 }
 
 impl Slot {
-    /// Says how the attempt ended; the last word counts when the slot is dropped.
+    /// Records how the attempt ended. The last recorded outcome is reported to
+    /// the pool when the slot is dropped.
     pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -85,19 +86,19 @@
             let inner = &mut *pool.lock();
             inner.pool.finish(&self.server, self.outcome, clock::now(), &mut inner.rng)
         };
-        pool.deliver(wakes);
+        pool.deliver_grants(wakes);
     }
 }
 
-/// A place in the queue; dropping it gives the place up.
-struct Place<'a> {
-    pool: &'a Arc<Shared>,
+/// A waiting request in the queue, removed from it when dropped.
+struct QueueEntry<'a> {
+    pool: &'a Arc<SharedPool>,
     id: RequestId,
     priority: Priority,
     deadline: Instant,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         let mut inner = self.pool.lock();
         inner.waiters.remove(&self.id);
@@ -105,24 +106,24 @@
     }
 }
 
-impl Shared {
-    fn new(limits: Limits, seed: u64) -> Shared {
+impl SharedPool {
+    fn new(limits: Limits, seed: u64) -> SharedPool {
         let pool = Pool::new(Estimate, limits, clock::now());
         let rng = SmallRng::seed_from_u64(seed);
-        Shared { inner: Mutex::new(Inner { pool, waiters: HashMap::new(), rng }) }
+        SharedPool { inner: Mutex::new(Inner { pool, waiters: HashMap::new(), rng }) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with the pool under its lock.
+    /// Runs a closure on the pool while holding its lock.
     pub fn with<T>(&self, action: impl FnOnce(&mut Pool<Estimate>) -> T) -> T {
         action(&mut self.lock().pool)
     }
 
     /// Places waiting requests after the pool has changed.
-    pub fn pump(self: &Arc<Self>, now: Instant) {
+    pub fn place_waiting(self: &Arc<Self>, now: Instant) {
         let wakes = {
             let inner = &mut *self.lock();
             if inner.pool.waiting() == 0 {
@@ -130,14 +131,15 @@
             }
             inner.pool.pump(now, &mut inner.rng)
         };
-        self.deliver(wakes);
+        self.deliver_grants(wakes);
     }
 
-    /// Waits for a grant, or fails with the final answer at once.
+    /// Waits for a grant. Fails at once if the request is refused; `on_queued`
+    /// is called if it has to wait.
     pub async fn acquire(
         self: &Arc<Self>,
         arrival: Arrival,
-        queued: impl FnOnce(),
+        on_queued: impl FnOnce(),
     ) -> Result<Grant, Failure> {
         let (id, priority, deadline) = (arrival.id, arrival.priority, arrival.deadline);
         let (decision, wakes, waiter) = {
@@ -150,16 +152,16 @@
             });
             (decision, wakes, waiter)
         };
-        self.deliver(wakes);
+        self.deliver_grants(wakes);
         let Decision::Now(placement) = decision else {
-            queued();
-            let place = Place { pool: self, id, priority, deadline };
-            let answer = match waiter {
+            on_queued();
+            let queue_entry = QueueEntry { pool: self, id, priority, deadline };
+            let result = match waiter {
                 Some(waiter) => waiter.await,
-                None => return Err(lost_place()),
+                None => return Err(queue_entry_lost()),
             };
-            drop(place);
-            return answer.unwrap_or_else(|_| Err(lost_place()));
+            drop(queue_entry);
+            return result.unwrap_or_else(|_| Err(queue_entry_lost()));
         };
         self.grant(placement)
     }
@@ -177,54 +179,56 @@
         }
     }
 
-    fn deliver(self: &Arc<Self>, wakes: Vec<Wake>) {
+    fn deliver_grants(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
             let grant = self.grant(wake.placement);
             let waiter = self.lock().waiters.remove(&wake.id);
             if let Some(waiter) = waiter {
-                // A waiter that is gone drops the grant, which gives the slot back.
+                // If the waiter has been dropped, the grant is dropped too, which
+                // releases the slot.
                 let _ = waiter.send(grant);
             }
         }
     }
 }
 
-fn lost_place() -> Failure {
+fn queue_entry_lost() -> Failure {
     Failure::new(Kind::Internal, "the place in the queue was lost").with_ran(crate::error::Ran::No)
 }
 
-fn refusal(kind: Kind, after: Duration) -> Failure {
+fn refusal(kind: Kind, retry_after: Duration) -> Failure {
     let message = match kind {
         Kind::QueueFull => "the queue is full",
         Kind::WouldBeLate => "the answer would come after the deadline",
         _ => "no backend server that may run the request can be reached",
     };
-    Failure::new(kind, message).with_retry_after(after)
+    Failure::new(kind, message).with_retry_after(retry_after)
 }
 
 /// All pools of a box.
 #[derive(Default)]
-pub struct Table {
-    pools: ArcSwap<HashMap<PoolId, Arc<Shared>>>,
+pub struct PoolTable {
+    pools: ArcSwap<HashMap<PoolId, Arc<SharedPool>>>,
 }
 
-impl Table {
-    /// A pool.
-    pub fn get(&self, pool: &str) -> Option<Arc<Shared>> {
+impl PoolTable {
+    /// Returns a pool by its id.
+    pub fn get(&self, pool: &str) -> Option<Arc<SharedPool>> {
         self.pools.load().get(pool).cloned()
     }
 
-    /// All pools.
-    pub fn all(&self) -> Arc<HashMap<PoolId, Arc<Shared>>> {
+    /// Returns all pools.
+    pub fn snapshot(&self) -> Arc<HashMap<PoolId, Arc<SharedPool>>> {
         self.pools.load_full()
     }
 
-    /// Makes the table hold just these pools; those that stay keep their state.
-    pub fn set<'a>(&self, pools: impl Iterator<Item = (&'a PoolId, Limits)>, seed: u64) {
-        let known = self.pools.load();
+    /// Replaces the set of pools. Pools that are in both the old and the new
+    /// set keep their state.
+    pub fn replace<'a>(&self, pools: impl Iterator<Item = (&'a PoolId, Limits)>, seed: u64) {
+        let existing = self.pools.load();
         let table = pools.map(|(id, limits)| {
-            let pool = known.get(id).cloned();
-            (id.clone(), pool.unwrap_or_else(|| Arc::new(Shared::new(limits, seed))))
+            let existing_pool = existing.get(id).cloned();
+            (id.clone(), existing_pool.unwrap_or_else(|| Arc::new(SharedPool::new(limits, seed))))
         });
         self.pools.store(Arc::new(table.collect()));
     }
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -1,9 +1,11 @@
-//! Passes the answer of one backend exchange on to one caller, whole or not at all.
+//! Relays the response of one backend exchange to one caller and reports a
+//! truncated response as an error.
 //!
-//! The relay owns the exchange, the slot and the count of requests in
-//! progress. It ends cleanly only where the backend server's answer did: for a
-//! stream of events, with its closing mark. Otherwise the caller gets an error
-//! event where the format has one, and in any case an unclean end.
+//! The relay owns the exchange, the slot and the in-flight count of its
+//! request. It ends the response cleanly only if the backend server did so; a
+//! stream of events must also contain its end marker. Otherwise the caller
+//! receives an error event, if the response is a stream of events, and the
+//! connection is always aborted.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -22,8 +24,8 @@
 use tonic::Streaming;
 
 use super::pools::Slot;
-use super::shared::Progress;
-use super::shared::Shared;
+use super::shared::InFlightGuard;
+use super::shared::SharedState;
 use super::shared::lock;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
@@ -37,166 +39,175 @@
 use crate::transport::backend::Exchange;
 use crate::transport::body::Cut;
 
-/// Longest time between looks whether a stream is silent: the runtime's timer stands still while the
-/// machine is suspended, and the clock that decides does not.
-const IDLE_LOOK: Duration = Duration::from_secs(1);
-const END_MARK: &[u8] = b"data: [DONE]";
-/// Bytes of a stream's end that are kept to find the mark in.
-const TAIL: usize = END_MARK.len() + 8;
+/// Maximum time between checks for an idle stream. The runtime's timer stops
+/// while the machine is suspended, but the clock that decides does not.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const STREAM_END_MARKER: &[u8] = b"data: [DONE]";
+/// Number of trailing bytes of a stream that are kept to search for the end
+/// marker.
+const TAIL_BYTES: usize = STREAM_END_MARKER.len() + 8;
 
-/// Where an answer comes from.
-pub enum Source {
+/// Where a response comes from.
+pub enum ResponseSource {
     /// A backend server of this region.
     Backend(Box<Exchange>),
     /// Another box.
     Peer {
-        /// Its frames.
+        /// Frames received from the box.
         frames: Box<Streaming<wire::ForwardFrame>>,
-        /// Whether its end came.
+        /// Whether the end frame was received.
         ended: bool,
     },
 }
 
-/// What the accounts need to know of a request.
-pub struct Account {
-    /// Process.
-    pub shared: Arc<Shared>,
-    /// Control state that the request was decided by.
+/// Data needed to account for a request.
+pub struct RequestAccounting {
+    /// State shared by all threads.
+    pub shared: Arc<SharedState>,
+    /// Control state that the decisions about the request are based on.
     pub snapshot: Arc<Snapshot>,
-    /// Pool.
+    /// Pool that runs the request.
     pub pool: PoolId,
     /// When the request arrived.
-    pub arrived: Instant,
-    /// When it was sent.
-    pub sent: Instant,
-    /// Whether the caller came to this box, so that burn is counted here.
+    pub arrived_at: Instant,
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// Whether the caller sent the request to this box, which then records its
+    /// error-budget burn.
     pub from_caller: bool,
-    /// The slot it holds, unless another box runs it.
+    /// Slot that the request holds; `None` if another box runs it.
     pub slot: Option<Slot>,
-    /// The request in progress.
-    pub progress: Progress,
+    /// Counts the request as in flight.
+    pub in_flight_guard: InFlightGuard,
 }
 
-/// The end of a stream that was cut, after its error event.
-struct Ending {
+/// Error that ends a truncated stream after its error event was sent.
+struct PendingError {
     cut: Cut,
     flushed: bool,
 }
 
-/// The body of an answer in progress.
+/// Body of a response that is being relayed.
 pub struct Relay {
-    source: Source,
-    account: Account,
-    events: bool,
+    source: ResponseSource,
+    accounting: RequestAccounting,
+    is_event_stream: bool,
     tail: Vec<u8>,
-    bytes: u64,
+    bytes_relayed: u64,
     first_byte: Option<Duration>,
     idle_limit: Duration,
-    active_at: Instant,
-    idle: Pin<Box<Sleep>>,
-    ending: Option<Ending>,
+    last_data_at: Instant,
+    idle_timer: Pin<Box<Sleep>>,
+    pending_error: Option<PendingError>,
     ended: bool,
 }
 
 impl Relay {
-    /// A relay; `events` where the answer is a stream of server-sent events.
-    pub fn new(source: Source, account: Account, events: bool) -> Relay {
+    /// Creates a relay. Set `is_event_stream` if the response is a stream of
+    /// server-sent events.
+    pub fn new(
+        source: ResponseSource,
+        accounting: RequestAccounting,
+        is_event_stream: bool,
+    ) -> Relay {
         let now = clock::now();
-        let idle_limit = account.snapshot.configuration.limits.stream_idle;
+        let idle_limit = accounting.snapshot.configuration.limits.stream_idle;
         Relay {
             source,
-            account,
-            events,
+            accounting,
+            is_event_stream,
             tail: Vec::new(),
-            bytes: 0,
+            bytes_relayed: 0,
             first_byte: None,
             idle_limit,
-            active_at: now,
-            idle: Box::pin(tokio::time::sleep(idle_limit.min(IDLE_LOOK))),
-            ending: None,
+            last_data_at: now,
+            idle_timer: Box::pin(tokio::time::sleep(idle_limit.min(IDLE_CHECK_INTERVAL))),
+            pending_error: None,
             ended: false,
         }
     }
 
     fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
         match &mut self.source {
-            Source::Backend(exchange) => poll_backend(exchange, context),
-            Source::Peer { frames, ended } => poll_peer(frames, ended, self.bytes, context),
+            ResponseSource::Backend(exchange) => poll_backend(exchange, context),
+            ResponseSource::Peer { frames, ended } => {
+                poll_peer(frames, ended, self.bytes_relayed, context)
+            }
         }
     }
 
-    fn took(&mut self, data: &Bytes) {
+    fn record_data(&mut self, data: &Bytes) {
         let now = clock::now();
-        self.active_at = now;
-        self.bytes += data.len() as u64;
+        self.last_data_at = now;
+        self.bytes_relayed += data.len() as u64;
         if self.first_byte.is_none() {
-            self.first_byte = Some(now.saturating_duration_since(self.account.arrived));
+            self.first_byte = Some(now.saturating_duration_since(self.accounting.arrived_at));
             self.record_burn();
         }
-        if self.events {
-            keep_tail(&mut self.tail, data);
+        if self.is_event_stream {
+            append_to_tail(&mut self.tail, data);
         }
     }
 
     fn record_burn(&self) {
-        if self.account.from_caller {
-            let account = &self.account;
-            let configuration = &account.snapshot.configuration;
-            let mut burn = lock(&account.shared.burn);
-            burn.record(configuration, &account.pool, self.first_byte, clock::now());
+        if self.accounting.from_caller {
+            let accounting = &self.accounting;
+            let configuration = &accounting.snapshot.configuration;
+            let mut burn = lock(&accounting.shared.burn);
+            burn.record(configuration, &accounting.pool, self.first_byte, clock::now());
         }
     }
 
-    fn silent(&mut self, context: &mut Context<'_>) -> bool {
-        while self.idle.as_mut().poll(context).is_ready() {
-            let due = self.active_at + self.idle_limit;
-            if clock::now() >= due {
+    fn poll_idle_timeout(&mut self, context: &mut Context<'_>) -> bool {
+        while self.idle_timer.as_mut().poll(context).is_ready() {
+            let deadline = self.last_data_at + self.idle_limit;
+            if clock::now() >= deadline {
                 return true;
             }
-            let look = IDLE_LOOK.min(due.saturating_duration_since(clock::now()));
-            self.idle.as_mut().reset(tokio::time::Instant::now() + look);
+            let delay = IDLE_CHECK_INTERVAL.min(deadline.saturating_duration_since(clock::now()));
+            self.idle_timer.as_mut().reset(tokio::time::Instant::now() + delay);
         }
         false
     }
 
-    fn is_whole(&self) -> bool {
-        !self.events || find(&self.tail, END_MARK)
+    fn is_complete(&self) -> bool {
+        !self.is_event_stream || contains(&self.tail, STREAM_END_MARKER)
     }
 
-    fn end(&mut self) {
+    fn complete(&mut self) {
         self.ended = true;
         let now = clock::now();
-        let sent = self.account.sent;
-        let total = now.saturating_duration_since(sent);
+        let sent_at = self.accounting.sent_at;
+        let total = now.saturating_duration_since(sent_at);
         let first_byte = self.first_byte.map_or(total, |first_byte| {
-            (self.account.arrived + first_byte).saturating_duration_since(sent)
+            (self.accounting.arrived_at + first_byte).saturating_duration_since(sent_at)
         });
         if self.first_byte.is_none() {
-            self.first_byte = Some(now.saturating_duration_since(self.account.arrived));
+            self.first_byte = Some(now.saturating_duration_since(self.accounting.arrived_at));
             self.record_burn();
         }
-        if let Source::Backend(exchange) = &mut self.source {
+        if let ResponseSource::Backend(exchange) = &mut self.source {
             exchange.finished();
         }
-        if let Some(slot) = &mut self.account.slot {
+        if let Some(slot) = &mut self.accounting.slot {
             slot.set_outcome(Outcome::Answered { first_byte, total });
         }
-        self.account.slot = None;
-        self.account.shared.counters.count(Counter::Answered);
+        self.accounting.slot = None;
+        self.accounting.shared.counters.count(Counter::Answered);
     }
 
-    fn cut(&mut self, cut: Cut) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        self.account.shared.counters.count(Counter::Cut);
-        if let Some(slot) = &mut self.account.slot {
+    fn fail(&mut self, cut: Cut) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+        self.accounting.shared.counters.count(Counter::Cut);
+        if let Some(slot) = &mut self.accounting.slot {
             slot.set_outcome(Outcome::Failed);
         }
-        self.account.slot = None;
-        if !self.events {
+        self.accounting.slot = None;
+        if !self.is_event_stream {
             self.ended = true;
             return Poll::Ready(Some(Err(cut)));
         }
         let event = error_event(&cut);
-        self.ending = Some(Ending { cut, flushed: false });
+        self.pending_error = Some(PendingError { cut, flushed: false });
         Poll::Ready(Some(Ok(Frame::data(event))))
     }
 }
@@ -209,46 +220,46 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        if let Some(ending) = self.ending.as_mut() {
-            // An error makes the server drop what it has not written yet: give
-            // it one turn to write the error event.
-            if !std::mem::replace(&mut ending.flushed, true) {
+        if let Some(pending_error) = self.pending_error.as_mut() {
+            // On an error, the HTTP server discards data that it has not written yet.
+            // Yield once so that it can write the error event.
+            if !std::mem::replace(&mut pending_error.flushed, true) {
                 context.waker().wake_by_ref();
                 return Poll::Pending;
             }
         }
-        if let Some(ending) = self.ending.take() {
+        if let Some(pending_error) = self.pending_error.take() {
             self.ended = true;
-            return Poll::Ready(Some(Err(ending.cut)));
+            return Poll::Ready(Some(Err(pending_error.cut)));
         }
         if self.ended {
             return Poll::Ready(None);
         }
         match self.poll_source(context) {
             Poll::Ready(Some(Ok(data))) => {
-                self.took(&data);
+                self.record_data(&data);
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
-            Poll::Ready(Some(Err(cut))) => self.cut(cut),
-            Poll::Ready(None) if !self.is_whole() => self.cut(Cut::Unfinished),
+            Poll::Ready(Some(Err(cut))) => self.fail(cut),
+            Poll::Ready(None) if !self.is_complete() => self.fail(Cut::Unfinished),
             Poll::Ready(None) => {
-                self.end();
+                self.complete();
                 Poll::Ready(None)
             }
-            Poll::Pending if self.silent(context) => self.cut(Cut::Silent),
+            Poll::Pending if self.poll_idle_timeout(context) => self.fail(Cut::Silent),
             Poll::Pending => Poll::Pending,
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ended && self.ending.is_none()
+        self.ended && self.pending_error.is_none()
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            self.account.shared.counters.count(Counter::CallerGone);
+            self.accounting.shared.counters.count(Counter::CallerGone);
         }
     }
 }
@@ -264,7 +275,7 @@
             Poll::Ready(Some(Err(error))) => {
                 return Poll::Ready(Some(Err(Cut::Broken(error.to_string()))));
             }
-            // Trailers are not passed on.
+            // Trailers are not relayed.
             Poll::Ready(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
                     return Poll::Ready(Some(Ok(data)));
@@ -310,14 +321,14 @@
     }
 }
 
-fn keep_tail(tail: &mut Vec<u8>, data: &[u8]) {
-    tail.extend_from_slice(&data[data.len().saturating_sub(TAIL)..]);
-    let excess = tail.len().saturating_sub(TAIL);
+fn append_to_tail(tail: &mut Vec<u8>, data: &[u8]) {
+    tail.extend_from_slice(&data[data.len().saturating_sub(TAIL_BYTES)..]);
+    let excess = tail.len().saturating_sub(TAIL_BYTES);
     tail.drain(..excess);
 }
 
-fn find(bytes: &[u8], mark: &[u8]) -> bool {
-    bytes.windows(mark.len()).any(|window| window == mark)
+fn contains(bytes: &[u8], marker: &[u8]) -> bool {
+    bytes.windows(marker.len()).any(|window| window == marker)
 }
 
 fn error_event(cut: &Cut) -> Bytes {
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads of a box share.
+//! State that all threads of a box share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 
 use super::control;
-use super::once;
+use super::idempotency;
 use super::pools;
 use crate::coordination::limit::Limiter;
 use crate::protocol::Incarnation;
@@ -29,58 +29,58 @@
 use crate::transport::peer;
 use crate::transport::platform::Platform;
 
-/// Addresses that a box listens on, once bound.
+/// Addresses that a box listens on, after binding.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// Port for callers.
     pub callers: SocketAddr,
-    /// For other boxes.
+    /// Port for other boxes.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Port for operators.
     pub operators: SocketAddr,
 }
 
-/// What all threads of a box share.
-pub struct Shared {
-    /// Settings.
+/// State that all threads of a box share.
+pub struct SharedState {
+    /// Settings of this box.
     pub settings: Settings,
-    /// Bound addresses.
+    /// Addresses that this box listens on.
     pub addresses: Addresses,
-    /// Drawn at this start.
+    /// Incarnation of this process, created at its start.
     pub incarnation: Incarnation,
-    /// Start of the process; tickets count their time from it.
+    /// Start of the process; ticket issue times are relative to it.
     pub started_at: Instant,
-    /// Control state as traffic sees it.
+    /// Control state as published to the traffic threads.
     pub snapshot: Published,
-    /// The stored configuration in force, byte for byte.
+    /// Stored bytes of the configuration in force, unchanged.
     pub document: ArcSwap<Bytes>,
-    /// Pools.
-    pub pools: pools::Table,
-    /// Team limits.
+    /// Pools of backend servers.
+    pub pools: pools::PoolTable,
+    /// Rate limits of the teams.
     pub limiter: Mutex<Limiter>,
-    /// Keyed requests.
-    pub once: once::Memory,
-    /// Burn of the objectives.
+    /// Requests with an idempotency key.
+    pub keyed_requests: idempotency::KeyedRequests,
+    /// Error-budget burn of the objectives.
     pub burn: Mutex<Burn>,
-    /// Counters.
+    /// Counters of this process.
     pub counters: Arc<Counters>,
-    /// Connections to backend servers.
+    /// Client for backend servers.
     pub backend: backend::Client,
-    /// Connections to other boxes.
+    /// Client for other boxes.
     pub peers: peer::Client,
-    /// The platform.
+    /// Client for the platform.
     pub platform: Platform,
-    /// To the control thread.
+    /// Event channel to the control thread.
     pub control: mpsc::Sender<control::Event>,
-    /// Requests in progress.
+    /// Number of in-flight requests.
     pub in_flight: AtomicUsize,
-    /// Numbers requests.
-    pub requests: AtomicU64,
+    /// Source of request numbers.
+    pub request_numbers: AtomicU64,
 }
 
-impl Shared {
-    /// The newest control state.
-    pub fn now_in_force(&self) -> Arc<Snapshot> {
+impl SharedState {
+    /// The latest published snapshot of the control state.
+    pub fn current_snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
@@ -89,30 +89,31 @@
         now.saturating_duration_since(self.started_at)
     }
 
-    /// A number for the next request of this box.
-    pub fn next_request(&self) -> u64 {
-        self.requests.fetch_add(1, Ordering::Relaxed)
+    /// Returns a number that is unique among the requests of this process.
+    pub fn next_request_number(&self) -> u64 {
+        self.request_numbers.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts a request as in progress until the guard is dropped.
-    pub fn progress(self: &Arc<Self>) -> Progress {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn in_flight_guard(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        Progress { shared: Arc::clone(self) }
+        InFlightGuard { shared: Arc::clone(self) }
     }
 }
 
-/// A request in progress.
-pub struct Progress {
-    shared: Arc<Shared>,
+/// Counts one request as in flight until dropped.
+pub struct InFlightGuard {
+    shared: Arc<SharedState>,
 }
 
-impl Drop for Progress {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shared.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Locks a mutex; a panic of another holder does not take the box down.
+/// Locks a mutex. Ignores poisoning, so a panic in another holder does not stop
+/// the box.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
