--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -1,10 +1,10 @@
-//! What control costs a box, by size of the fleet, measured in virtual time.
+//! Cost of the control plane per box, by fleet size, measured in virtual time.
 //!
 //! Runs the daemon's own exchange code (composing, encoding, decoding and
-//! taking in heartbeats) for every box of a fleet, with the delays of a wide
-//! area network, and prints per box and second: exchanges, bytes of messages,
-//! processor time; then the time until a dead box is dropped, until a new
-//! configuration is known everywhere, and until a leaving server is.
+//! applying heartbeats) for every box of a fleet, with the delays of a wide
+//! area network. Prints calls, message bytes and processor time per box and
+//! second; then the time until a dead box is removed, until a new configuration
+//! is known everywhere, and until a leaving server is known to be leaving.
 //!
 //! `cargo bench -p copperweir-lib --bench capacity [-- boxes…]`
 
@@ -33,54 +33,56 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Shares of the four regions: capacity differs tenfold.
-const SHARES: [f64; 4] = [10.0, 6.0, 2.0, 1.0];
-const WARM_UP: Duration = Duration::from_secs(40);
-const MEASURED: Duration = Duration::from_secs(15);
-const NEAR: Duration = Duration::from_millis(1);
-const FAR: Duration = Duration::from_millis(30);
-/// A dead box answers nothing, as when its machine is gone; a killed process is refused at once.
+/// Relative capacities of the four regions, which differ tenfold.
+const REGION_SHARES: [f64; 4] = [10.0, 6.0, 2.0, 1.0];
+const WARM_UP_TIME: Duration = Duration::from_secs(40);
+const MEASURED_TIME: Duration = Duration::from_secs(15);
+const LOCAL_DELAY: Duration = Duration::from_millis(1);
+const REMOTE_DELAY: Duration = Duration::from_millis(30);
+/// Time after which a call to a dead box fails. A dead box does not respond, as
+/// if its machine had failed; a killed process would refuse connections at
+/// once.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-const PROBERS: usize = 2;
-/// Teams that one box sees within a minute.
-const TEAMS: usize = 20;
+const PROBERS_PER_SERVER: usize = 2;
+/// Number of teams that one box sees within a minute.
+const TEAMS_PER_BOX: usize = 20;
 
 struct Node {
     exchange: Exchange,
     region: usize,
     version: u64,
     dead: bool,
-    sent: u64,
-    bytes: u64,
-    work: Duration,
-    duties: Vec<usize>,
-    duties_until: Duration,
+    calls_sent: u64,
+    bytes_transferred: u64,
+    cpu_time: Duration,
+    probed_servers: Vec<usize>,
+    probed_servers_valid_until: Duration,
 }
 
-enum What {
-    Beat,
-    Probe,
+enum Event {
+    HeartbeatTick,
+    ProbeTick,
     Request(usize, Vec<u8>),
-    Answer(SocketAddr, Vec<u8>),
-    Unanswered(SocketAddr),
+    Response(SocketAddr, Vec<u8>),
+    CallTimedOut(SocketAddr),
 }
 
-struct World {
+struct Simulation {
     start: Instant,
     now: Duration,
     nodes: Vec<Node>,
     addresses: BTreeMap<SocketAddr, usize>,
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    events: BTreeMap<u64, What>,
-    number: u64,
+    events: BTreeMap<u64, Event>,
+    last_event_number: u64,
     servers: Vec<Vec<String>>,
     leaving: Option<u32>,
     rng: SmallRng,
 }
 
-fn sizes(total: usize) -> [usize; 4] {
-    let sum: f64 = SHARES.iter().sum();
-    SHARES.map(|share| ((total as f64 * share / sum).round() as usize).max(1))
+fn split_by_region(total: usize) -> [usize; 4] {
+    let sum: f64 = REGION_SHARES.iter().sum();
+    REGION_SHARES.map(|share| ((total as f64 * share / sum).round() as usize).max(1))
 }
 
 fn member(region: usize, number: usize, index: usize) -> Member {
@@ -102,12 +104,12 @@
     }
 }
 
-impl World {
-    fn new(boxes: usize, servers: usize, seed: u64) -> World {
+impl Simulation {
+    fn new(boxes: usize, servers: usize, seed: u64) -> Simulation {
         let start = Instant::now();
         let mut nodes = Vec::new();
         let mut addresses = BTreeMap::new();
-        for (region, count) in sizes(boxes).into_iter().enumerate() {
+        for (region, count) in split_by_region(boxes).into_iter().enumerate() {
             for number in 0..count {
                 let own = member(region, number, nodes.len());
                 addresses.insert(own.peers, nodes.len());
@@ -118,16 +120,16 @@
                     region,
                     version: 1,
                     dead: false,
-                    sent: 0,
-                    bytes: 0,
-                    work: Duration::ZERO,
-                    duties: Vec::new(),
-                    duties_until: Duration::ZERO,
+                    calls_sent: 0,
+                    bytes_transferred: 0,
+                    cpu_time: Duration::ZERO,
+                    probed_servers: Vec::new(),
+                    probed_servers_valid_until: Duration::ZERO,
                 });
             }
         }
         let name = |region: usize| move |number: usize| format!("engine-{region}-{number}");
-        let servers = sizes(servers)
+        let servers = split_by_region(servers)
             .into_iter()
             .enumerate()
             .map(|(region, count)| (0..count).map(name(region)).collect())
@@ -136,33 +138,33 @@
         for node in &mut nodes {
             node.exchange.membership.learn_addresses(seeds.iter().copied());
         }
-        let mut world = World {
+        let mut simulation = Simulation {
             start,
             now: Duration::ZERO,
             nodes,
             addresses,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            number: 0,
+            last_event_number: 0,
             servers,
             leaving: None,
             rng: SmallRng::seed_from_u64(seed),
         };
-        for index in 0..world.nodes.len() {
-            let first = world.rng.random_range(0..1000);
-            world.at(Duration::from_millis(first), index, What::Beat);
-            world.at(Duration::from_millis(first), index, What::Probe);
+        for index in 0..simulation.nodes.len() {
+            let first = simulation.rng.random_range(0..1000);
+            simulation.schedule(Duration::from_millis(first), index, Event::HeartbeatTick);
+            simulation.schedule(Duration::from_millis(first), index, Event::ProbeTick);
         }
-        world
+        simulation
     }
 
-    fn at(&mut self, time: Duration, node: usize, what: What) {
-        self.number += 1;
-        self.queue.push(Reverse((time, self.number, node)));
-        self.events.insert(self.number, what);
+    fn schedule(&mut self, time: Duration, node: usize, event: Event) {
+        self.last_event_number += 1;
+        self.queue.push(Reverse((time, self.last_event_number, node)));
+        self.events.insert(self.last_event_number, event);
     }
 
-    fn instant(&self) -> Instant {
+    fn current_instant(&self) -> Instant {
         self.start + self.now
     }
 
@@ -173,52 +175,52 @@
                 break;
             }
             self.now = time;
-            let Some(what) = self.events.remove(&number) else { continue };
+            let Some(event) = self.events.remove(&number) else { continue };
             if !self.nodes[node].dead {
-                self.step(node, what);
+                self.handle_event(node, event);
             }
         }
         self.now = end;
     }
 
-    fn step(&mut self, node: usize, what: What) {
-        match what {
-            What::Beat => {
-                let now = self.instant();
+    fn handle_event(&mut self, node: usize, event: Event) {
+        match event {
+            Event::HeartbeatTick => {
+                let now = self.current_instant();
                 let period = self.nodes[node].exchange.membership.tuning().period;
-                self.at(self.now + period, node, What::Beat);
-                let began = Instant::now();
+                self.schedule(self.now + period, node, Event::HeartbeatTick);
+                let started_at = Instant::now();
                 let membership = &mut self.nodes[node].exchange.membership;
                 membership.tick(now, Duration::ZERO);
                 let targets = membership.targets(now, &mut self.rng);
-                self.nodes[node].work += began.elapsed();
+                self.nodes[node].cpu_time += started_at.elapsed();
                 for target in targets {
                     self.send(node, target, Extra::default());
                 }
             }
-            What::Probe => self.probe(node),
-            What::Request(from, bytes) => self.request(node, from, &bytes),
-            What::Answer(peer, bytes) => {
+            Event::ProbeTick => self.probe_servers(node),
+            Event::Request(from, bytes) => self.handle_request(node, from, &bytes),
+            Event::Response(peer, bytes) => {
                 self.nodes[node].exchange.membership.answered(peer);
-                self.hear(node, &bytes);
+                self.handle_response(node, &bytes);
             }
-            What::Unanswered(peer) => {
-                let now = self.instant();
+            Event::CallTimedOut(peer) => {
+                let now = self.current_instant();
                 if self.nodes[node].exchange.membership.unanswered(peer, now) {
-                    self.spread(node);
+                    self.send_urgent_heartbeats(node);
                 }
             }
         }
     }
 
-    fn probe(&mut self, node: usize) {
-        self.at(self.now + Duration::from_millis(500), node, What::Probe);
-        let now = self.instant();
+    fn probe_servers(&mut self, node: usize) {
+        self.schedule(self.now + Duration::from_millis(500), node, Event::ProbeTick);
+        let now = self.current_instant();
         let region = self.nodes[node].region;
-        if self.now >= self.nodes[node].duties_until {
-            self.choose_duties(node, now);
+        if self.now >= self.nodes[node].probed_servers_valid_until {
+            self.assign_probes(node, now);
         }
-        for server in self.nodes[node].duties.clone() {
+        for server in self.nodes[node].probed_servers.clone() {
             {
                 let hash = name_hash(&self.servers[region][server]);
                 let report = Report {
@@ -234,101 +236,106 @@
         }
     }
 
-    /// Works out which servers a box probes; once in ten seconds, as stands in
-    /// for "when its region's members change".
-    fn choose_duties(&mut self, node: usize, now: Instant) {
+    /// Determines which servers a box probes. This is repeated every ten
+    /// seconds, which approximates "whenever the region's members change".
+    fn assign_probes(&mut self, node: usize, now: Instant) {
         let membership = &self.nodes[node].exchange.membership;
         let own = membership.own().clone();
         let peers: Vec<&str> =
             membership.live_in(&own.region, now).map(|member| member.name.as_str()).collect();
         let servers = self.servers[self.nodes[node].region].iter().enumerate();
-        let holds =
-            |server: &str| rendezvous::holds(&own.name, peers.iter().copied(), server, PROBERS);
-        let duties = servers.filter(|(_, server)| holds(server)).map(|(index, _)| index).collect();
-        self.nodes[node].duties = duties;
-        self.nodes[node].duties_until = self.now + Duration::from_secs(10);
+        let is_prober = |server: &str| {
+            rendezvous::holds(&own.name, peers.iter().copied(), server, PROBERS_PER_SERVER)
+        };
+        let probed_servers =
+            servers.filter(|(_, server)| is_prober(server)).map(|(index, _)| index).collect();
+        self.nodes[node].probed_servers = probed_servers;
+        self.nodes[node].probed_servers_valid_until = self.now + Duration::from_secs(10);
     }
 
     fn compose(&mut self, node: usize, to: usize, mut extra: Extra) -> Vec<u8> {
-        let now = self.instant();
+        let now = self.current_instant();
         let demand =
             |team: usize| Demand { team: name_hash(&format!("team-{team}")), per_minute: 60 };
-        extra.demands = (0..TEAMS).map(demand).collect();
+        extra.demands = (0..TEAMS_PER_BOX).map(demand).collect();
         let region = self.nodes[to].exchange.membership.own().region.clone();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let exchange = &self.nodes[node].exchange;
         let known = exchange.membership.live(now).any(|member| member.region == region);
         let receiver = known.then_some(&region);
         let heartbeat = exchange.compose(receiver, extra, now, &mut self.rng);
         let bytes = wire::Heartbeat::from(&heartbeat).encode_to_vec();
-        self.nodes[node].work += began.elapsed();
-        self.nodes[node].bytes += bytes.len() as u64;
-        self.nodes[to].bytes += bytes.len() as u64;
+        self.nodes[node].cpu_time += started_at.elapsed();
+        self.nodes[node].bytes_transferred += bytes.len() as u64;
+        self.nodes[to].bytes_transferred += bytes.len() as u64;
         bytes
     }
 
     fn delay(&self, one: usize, other: usize) -> Duration {
-        if self.nodes[one].region == self.nodes[other].region { NEAR } else { FAR }
+        if self.nodes[one].region == self.nodes[other].region { LOCAL_DELAY } else { REMOTE_DELAY }
     }
 
     fn send(&mut self, from: usize, target: SocketAddr, extra: Extra) {
         let Some(to) = self.addresses.get(&target).copied() else { return };
         let bytes = self.compose(from, to, extra);
-        self.nodes[from].sent += 1;
+        self.nodes[from].calls_sent += 1;
         if self.nodes[to].dead {
-            return self.at(self.now + CALL_TIMEOUT, from, What::Unanswered(target));
+            return self.schedule(self.now + CALL_TIMEOUT, from, Event::CallTimedOut(target));
         }
         let arrives = self.now + self.delay(from, to);
-        self.at(arrives, to, What::Request(from, bytes));
+        self.schedule(arrives, to, Event::Request(from, bytes));
     }
 
-    fn request(&mut self, node: usize, from: usize, bytes: &[u8]) {
-        let follow_up = self.hear_request(node, bytes);
-        let answer = self.compose(node, from, follow_up);
+    fn handle_request(&mut self, node: usize, from: usize, bytes: &[u8]) {
+        let follow_up = self.apply_request(node, bytes);
+        let response = self.compose(node, from, follow_up);
         let arrives = self.now + self.delay(node, from);
         let peer = self.nodes[node].exchange.membership.own().peers;
-        self.at(arrives, from, What::Answer(peer, answer));
+        self.schedule(arrives, from, Event::Response(peer, response));
     }
 
-    fn take_in(
+    fn apply_heartbeat(
         &mut self,
         node: usize,
         bytes: &[u8],
     ) -> copperweir_lib::coordination::exchange::Heard {
-        let now = self.instant();
-        let began = Instant::now();
-        let raw = wire::Heartbeat::decode(bytes).expect("our own encoding");
-        let heartbeat = Heartbeat::try_from(raw).expect("our own heartbeat");
+        let now = self.current_instant();
+        let started_at = Instant::now();
+        let message = wire::Heartbeat::decode(bytes).expect("valid encoding");
+        let heartbeat = Heartbeat::try_from(message).expect("a valid heartbeat");
         let version = self.nodes[node].version;
-        let heard = self.nodes[node].exchange.hear(&heartbeat, version, now);
-        self.nodes[node].work += began.elapsed();
-        if let Some((newer, _)) = heard.newer {
-            // Fetching it takes a round trip; then the box tells others at once.
+        let effects = self.nodes[node].exchange.hear(&heartbeat, version, now);
+        self.nodes[node].cpu_time += started_at.elapsed();
+        if let Some((newer, _)) = effects.newer {
+            // Fetching the configuration takes a round trip; then the box notifies others
+            // at once.
             self.nodes[node].version = newer;
             self.nodes[node].exchange.membership.update_own(|own| own.version = newer);
-            self.spread(node);
+            self.send_urgent_heartbeats(node);
         }
-        if heard.servers_changed {
-            self.spread(node);
+        if effects.servers_changed {
+            self.send_urgent_heartbeats(node);
         }
-        heard
+        effects
     }
 
-    fn hear_request(&mut self, node: usize, bytes: &[u8]) -> Extra {
-        let follow_up = self.take_in(node, bytes).follow_up;
-        let (wanted, given) = follow_up.map(|next| (next.wanted, next.given)).unwrap_or_default();
+    fn apply_request(&mut self, node: usize, bytes: &[u8]) -> Extra {
+        let follow_up = self.apply_heartbeat(node, bytes).follow_up;
+        let (wanted, given) =
+            follow_up.map(|follow_up| (follow_up.wanted, follow_up.given)).unwrap_or_default();
         Extra { wanted, given, ..Extra::default() }
     }
 
-    fn hear(&mut self, node: usize, bytes: &[u8]) {
-        if let Some(next) = self.take_in(node, bytes).follow_up {
-            let extra = Extra { wanted: next.wanted, given: next.given, ..Extra::default() };
-            self.send(node, next.to, extra);
+    fn handle_response(&mut self, node: usize, bytes: &[u8]) {
+        if let Some(follow_up) = self.apply_heartbeat(node, bytes).follow_up {
+            let extra =
+                Extra { wanted: follow_up.wanted, given: follow_up.given, ..Extra::default() };
+            self.send(node, follow_up.to, extra);
         }
     }
 
-    fn spread(&mut self, node: usize) {
-        let now = self.instant();
+    fn send_urgent_heartbeats(&mut self, node: usize) {
+        let now = self.current_instant();
         self.nodes[node].exchange.membership.update_own(|own| own.beat += 1);
         let mut targets = self.nodes[node].exchange.membership.targets(now, &mut self.rng);
         targets.extend(self.nodes[node].exchange.membership.targets(now, &mut self.rng));
@@ -339,22 +346,27 @@
         }
     }
 
-    /// Runs on until all live boxes satisfy a condition; gives the time it took.
-    fn until_all(&mut self, holds: impl Fn(&World, &Node) -> bool) -> Option<Duration> {
-        let began = self.now;
-        while self.now < began + Duration::from_secs(60) {
+    /// Runs until all live boxes satisfy a condition and returns the time
+    /// taken; `None` after 60 seconds.
+    fn run_until_all(
+        &mut self,
+        condition: impl Fn(&Simulation, &Node) -> bool,
+    ) -> Option<Duration> {
+        let started_at = self.now;
+        while self.now < started_at + Duration::from_secs(60) {
             let next = self.now + Duration::from_millis(20);
             self.run_until(next);
-            if self.nodes.iter().filter(|node| !node.dead).all(|node| holds(self, node)) {
-                return Some(self.now - began);
+            if self.nodes.iter().filter(|node| !node.dead).all(|node| condition(self, node)) {
+                return Some(self.now - started_at);
             }
         }
         None
     }
 
-    /// Pairs of live boxes of one region of which one takes the other for dead.
-    fn mistaken(&self) -> usize {
-        let now = self.instant();
+    /// Number of ordered pairs of live boxes in one region of which the first
+    /// considers the second dead.
+    fn count_false_deaths(&self) -> usize {
+        let now = self.current_instant();
         let live: Vec<&Node> = self.nodes.iter().filter(|node| !node.dead).collect();
         live.iter()
             .map(|node| {
@@ -372,74 +384,84 @@
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or_default()
 }
 
-fn show(time: Option<Duration>) -> String {
+fn format_seconds(time: Option<Duration>) -> String {
     time.map_or("over 60".to_owned(), |time| format!("{:.2}", time.as_secs_f64()))
 }
 
 fn measure(boxes: usize) {
     let servers = (boxes * 600 / 340).max(4);
-    let memory_before = resident_kib();
-    let mut world = World::new(boxes, servers, 1);
-    world.run_until(WARM_UP);
-    let memory = resident_kib().saturating_sub(memory_before);
-    let count = world.nodes.len();
-    for node in &mut world.nodes {
-        (node.sent, node.bytes, node.work) = (0, 0, Duration::ZERO);
+    let memory_before_kib = resident_kib();
+    let mut simulation = Simulation::new(boxes, servers, 1);
+    simulation.run_until(WARM_UP_TIME);
+    let memory_kib = resident_kib().saturating_sub(memory_before_kib);
+    let count = simulation.nodes.len();
+    for node in &mut simulation.nodes {
+        (node.calls_sent, node.bytes_transferred, node.cpu_time) = (0, 0, Duration::ZERO);
     }
-    let mut mistaken = 0;
-    for second in 0..MEASURED.as_secs() {
-        world.run_until(WARM_UP + Duration::from_secs(second + 1));
-        mistaken += world.mistaken();
+    let mut false_deaths = 0;
+    for second in 0..MEASURED_TIME.as_secs() {
+        simulation.run_until(WARM_UP_TIME + Duration::from_secs(second + 1));
+        false_deaths += simulation.count_false_deaths();
     }
-    let seconds = MEASURED.as_secs_f64();
-    let total: u64 = world.nodes.iter().map(|node| node.sent).sum();
-    let bytes: u64 = world.nodes.iter().map(|node| node.bytes).sum();
-    let most = world.nodes.iter().map(|node| node.bytes).max().unwrap_or_default();
-    let work: Duration = world.nodes.iter().map(|node| node.work).sum();
-
-    world.nodes[0].version = 2;
-    world.nodes[0].exchange.membership.update_own(|own| own.version = 2);
-    world.spread(0);
-    let configuration = world.until_all(|_, node| node.version == 2);
-
-    let server = world.servers[0][0].clone();
-    world.leaving = Some(name_hash(&server));
-    let leaving = world.until_all(|world, node| {
-        node.region != 0 || node.exchange.load.leaving(&server, world.instant())
+    let seconds = MEASURED_TIME.as_secs_f64();
+    let total_calls: u64 = simulation.nodes.iter().map(|node| node.calls_sent).sum();
+    let total_bytes: u64 = simulation.nodes.iter().map(|node| node.bytes_transferred).sum();
+    let max_bytes_per_box =
+        simulation.nodes.iter().map(|node| node.bytes_transferred).max().unwrap_or_default();
+    let cpu_time: Duration = simulation.nodes.iter().map(|node| node.cpu_time).sum();
+
+    simulation.nodes[0].version = 2;
+    simulation.nodes[0].exchange.membership.update_own(|own| own.version = 2);
+    simulation.send_urgent_heartbeats(0);
+    let configuration_known = simulation.run_until_all(|_, node| node.version == 2);
+
+    let server = simulation.servers[0][0].clone();
+    simulation.leaving = Some(name_hash(&server));
+    let leaving_known = simulation.run_until_all(|simulation, node| {
+        node.region != 0 || node.exchange.load.leaving(&server, simulation.current_instant())
     });
 
-    let victim = world.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
-    let gone = world.nodes[victim].exchange.membership.own().name.clone();
-    world.nodes[victim].dead = true;
-    let dead = world.until_all(|world, node| {
-        node.exchange.membership.live(world.instant()).all(|member| member.name != gone)
+    let dead_index = simulation.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
+    let dead_name = simulation.nodes[dead_index].exchange.membership.own().name.clone();
+    simulation.nodes[dead_index].dead = true;
+    let box_detected = simulation.run_until_all(|simulation, node| {
+        node.exchange
+            .membership
+            .live(simulation.current_instant())
+            .all(|member| member.name != dead_name)
     });
-    let domain = world.nodes[victim].exchange.membership.own().failure_domain.clone();
-    for node in &mut world.nodes {
-        node.dead |= node.exchange.membership.own().failure_domain == domain;
+    let failure_domain_name =
+        simulation.nodes[dead_index].exchange.membership.own().failure_domain.clone();
+    for node in &mut simulation.nodes {
+        node.dead |= node.exchange.membership.own().failure_domain == failure_domain_name;
     }
-    let domain_dead = world.until_all(|world, node| {
-        let now = world.instant();
-        node.exchange.membership.live(now).all(|member| member.failure_domain != domain)
+    let domain_detected = simulation.run_until_all(|simulation, node| {
+        let now = simulation.current_instant();
+        node.exchange
+            .membership
+            .live(now)
+            .all(|member| member.failure_domain != failure_domain_name)
     });
     println!(
         "{count:>5} {servers:>7} {:>9.2} {:>9.0} {:>9.0} {:>9.1} {:>9} {:>10} {:>8} {:>8} {:>8} {:>8}",
-        total as f64 / count as f64 / seconds,
-        bytes as f64 / count as f64 / seconds,
-        most as f64 / seconds,
-        work.as_secs_f64() * 1e6 / count as f64 / seconds,
-        memory / count as u64,
-        mistaken,
-        show(configuration),
-        show(leaving),
-        show(dead),
-        show(domain_dead),
+        total_calls as f64 / count as f64 / seconds,
+        total_bytes as f64 / count as f64 / seconds,
+        max_bytes_per_box as f64 / seconds,
+        cpu_time.as_secs_f64() * 1e6 / count as f64 / seconds,
+        memory_kib / count as u64,
+        false_deaths,
+        format_seconds(configuration_known),
+        format_seconds(leaving_known),
+        format_seconds(box_detected),
+        format_seconds(domain_detected),
     );
 }
 
 fn main() {
-    let asked: Vec<usize> = std::env::args().filter_map(|argument| argument.parse().ok()).collect();
-    let sizes = if asked.is_empty() { vec![9, 27, 81, 162, 340] } else { asked };
+    let requested_sizes: Vec<usize> =
+        std::env::args().filter_map(|argument| argument.parse().ok()).collect();
+    let fleet_sizes =
+        if requested_sizes.is_empty() { vec![9, 27, 81, 162, 340] } else { requested_sizes };
     println!(
         "{:>5} {:>7} {:>9} {:>9} {:>9} {:>9} {:>9} {:>10} {:>8} {:>8} {:>8} {:>8}",
         "boxes",
@@ -455,7 +477,7 @@
         "dead s",
         "domain s"
     );
-    for boxes in sizes {
+    for boxes in fleet_sizes {
         measure(boxes);
     }
 }
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -267,13 +267,13 @@
 }
 
 /// Guard that concludes the key when dropped, however the run ends.
-struct Run {
+struct RunGuard {
     shared: Arc<SharedState>,
     key: Key,
     conclusion: Conclusion,
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let conclusion = std::mem::replace(&mut self.conclusion, Conclusion::Unknown);
         self.shared.keyed_requests.conclude(&self.key, conclusion);
@@ -287,7 +287,7 @@
     needs_claim: bool,
 ) -> Result<GatewayResponse, Failure> {
     let (head_sender, head_receiver) = oneshot::channel();
-    let run = Run { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
+    let run = RunGuard { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
     tokio::spawn(execute_run(run, request, needs_claim, head_sender));
     head_receiver.await.unwrap_or_else(|_| {
         Err(Failure::new(Kind::Internal, "the run was lost").with_ran(Ran::Unknown))
@@ -295,7 +295,7 @@
 }
 
 async fn execute_run(
-    mut run: Run,
+    mut run: RunGuard,
     mut request: ValidatedRequest,
     needs_claim: bool,
     head_sender: oneshot::Sender<Result<GatewayResponse, Failure>>,
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -5,7 +5,7 @@
 //! request. It ends the response cleanly only if the backend server did so; a
 //! stream of events must also contain its end marker. Otherwise the caller
 //! receives an error event, if the response is a stream of events, and the
-//! connection is always aborted.
+//! response always ends with an error.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Boxes, stand-ins and links of one test, in one process.
+//! Boxes, stand-ins and network links of one test, in one process.
 //!
-//! Every test has loopback addresses of its own (127.<test>.…), so tests that
-//! run side by side never meet on a port.
+//! Each test has its own loopback addresses (127.<test_id>.…), so concurrent
+//! tests never use the same port.
 
 #![allow(dead_code, missing_docs)]
 
@@ -43,10 +43,10 @@
 pub const REGIONS: [&str; 3] = ["north", "south", "west"];
 const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test wants to run against.
+/// Size and properties of the fleet that a test runs against.
 #[derive(Clone, Copy)]
 pub struct Plan {
-    /// Second number of the loopback addresses; unique among all tests.
+    /// Second octet of the loopback addresses; unique among all tests.
     pub test_id: u8,
     pub regions: usize,
     pub boxes: usize,
@@ -71,7 +71,7 @@
         self.address(0, 1, 7000)
     }
 
-    /// The platform, as a region reaches it.
+    /// Address at which a region reaches the platform.
     fn platform_link_address(&self, region: usize) -> SocketAddr {
         self.address(0, 10 + region, 7000)
     }
@@ -105,11 +105,11 @@
         Settings::parse("settings", &text).expect("settings of a test box")
     }
 
-    /// Settings of a box, as a file.
+    /// Settings file of a box.
     pub fn settings_text(&self, region: usize, number: usize) -> String {
         let all = || (0..self.regions).flat_map(|r| (0..self.boxes).map(move |n| (r, n)));
         let seeds: Vec<String> = all()
-            .filter(|at| *at != (region, number))
+            .filter(|position| *position != (region, number))
             .map(|(r, n)| self.peers_address(r, n).to_string())
             .collect();
         let routes: BTreeMap<String, String> = all()
@@ -135,7 +135,7 @@
         text.to_string()
     }
 
-    /// The configuration that most tests start with.
+    /// Configuration that most tests start with.
     pub fn configuration(&self) -> Value {
         let regions: serde_json::Map<String, Value> = REGIONS[..self.regions]
             .iter()
@@ -182,7 +182,7 @@
     format!("{}-{number}", REGIONS[region])
 }
 
-/// An answer, read to its end or to where it was cut.
+/// A response, complete or truncated.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -204,7 +204,7 @@
     }
 }
 
-/// Boxes and stand-ins.
+/// Boxes and stand-ins of one test.
 pub struct Fleet {
     pub plan: Plan,
     pub runtime: Runtime,
@@ -218,7 +218,8 @@
 }
 
 impl Fleet {
-    /// Starts everything, with the usual configuration in force everywhere.
+    /// Starts all boxes and stand-ins and waits until the default configuration
+    /// is in force on every box.
     pub fn start(plan: Plan) -> Fleet {
         let configuration = plan.configuration();
         let mut fleet = Fleet::without_configuration(plan);
@@ -250,29 +251,31 @@
         fleet
     }
 
-    fn listen(&self, address: SocketAddr) -> TcpListener {
-        let bound = self.runtime.block_on(TcpListener::bind(address));
-        bound.unwrap_or_else(|error| panic!("{address}: {error}"))
+    fn bind_listener(&self, address: SocketAddr) -> TcpListener {
+        let listener = self.runtime.block_on(TcpListener::bind(address));
+        listener.unwrap_or_else(|error| panic!("{address}: {error}"))
     }
 
     fn start_stand_ins(&mut self) {
         let plan = self.plan;
-        self.runtime.spawn(self.platform.serve(self.listen(plan.platform_address())));
+        self.runtime.spawn(self.platform.serve(self.bind_listener(plan.platform_address())));
         for region in 0..plan.regions {
             let link = Link::new(Duration::ZERO);
-            let listener = self.listen(plan.platform_link_address(region));
+            let listener = self.bind_listener(plan.platform_link_address(region));
             self.runtime.spawn(link.serve(listener, plan.platform_address()));
             self.platform_links.push(link);
             let engines: Vec<Engine> = (0..plan.engines).map(|_| Engine::new(plan.speed)).collect();
             for (number, engine) in engines.iter().enumerate() {
-                self.runtime.spawn(engine.serve(self.listen(plan.engine_address(region, number))));
+                self.runtime
+                    .spawn(engine.serve(self.bind_listener(plan.engine_address(region, number))));
             }
             self.engines.push(engines);
-            self.runtime.spawn(self.service.serve(self.listen(plan.service_address(region))));
+            self.runtime
+                .spawn(self.service.serve(self.bind_listener(plan.service_address(region))));
             for other in (0..plan.regions).filter(|other| *other != region) {
                 let link = Link::new(Duration::from_millis(1));
                 for number in 0..plan.boxes {
-                    let listener = self.listen(plan.link_address(region, other, number));
+                    let listener = self.bind_listener(plan.link_address(region, other, number));
                     self.runtime.spawn(link.serve(listener, plan.peers_address(other, number)));
                 }
                 self.links.insert((region, other), link);
@@ -293,7 +296,7 @@
         self.boxes.insert((region, number), daemon);
     }
 
-    /// Ends a box at once, whatever it has in progress.
+    /// Stops a box immediately, aborting its in-flight requests.
     pub fn kill_box(&mut self, region: usize, number: usize) {
         let Some(daemon) = self.boxes.remove(&(region, number)) else { return };
         daemon.stop_handle().stop();
@@ -301,7 +304,8 @@
         daemon.wait();
     }
 
-    /// Asks a box to stop; the result comes when it has.
+    /// Requests a planned stop of a box. The returned thread ends once the box
+    /// has stopped.
     pub fn stop_box(
         &mut self,
         region: usize,
@@ -312,7 +316,8 @@
         std::thread::spawn(move || daemon.wait())
     }
 
-    /// Cuts a region off from the others and from the platform, or mends that.
+    /// Cuts or restores the links of a region to the other regions and to the
+    /// platform.
     pub fn set_region_cut(&self, region: usize, cut: bool) {
         self.platform_links[region].set_cut(cut);
         for ((from, to), link) in &self.links {
@@ -339,7 +344,7 @@
         });
     }
 
-    /// Waits until every box knows every other.
+    /// Waits until every box knows every other box.
     pub fn wait_for_members(&self) {
         let plan = self.plan;
         eventually("all boxes know each other", || {
@@ -373,12 +378,12 @@
         self.send(to, Method::GET, path, &[], "")
     }
 
-    /// A completion of a few tokens through a box.
+    /// Sends a completion request to a box.
     pub fn complete(&self, to: SocketAddr, headers: &[(&str, &str)], body: &Value) -> Reply {
         self.send(to, Method::POST, "/v1/chat/completions", headers, &body.to_string())
     }
 
-    /// A filing through a box.
+    /// Sends a filing, which must not be repeated, to a box.
     pub fn submit_filing(&self, to: SocketAddr, headers: &[(&str, &str)], id: &str) -> Reply {
         let body = json!({"id": id}).to_string();
         self.send(to, Method::POST, "/services/intake/filings", headers, &body)
@@ -417,7 +422,8 @@
     }
 }
 
-/// Sends a request and reads the whole answer; an error where it is cut.
+/// Sends a request and reads the whole response. Fails if the response is
+/// truncated.
 pub async fn send(
     client: &backend::Client,
     to: SocketAddr,
@@ -437,11 +443,12 @@
     Ok(Reply { status: head.status, headers: head.headers, body })
 }
 
-/// Waits until something holds; fails if it does not within a long time.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds and panics if it does not within
+/// [`EVENTUALLY_TIMEOUT`].
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < EVENTUALLY_TIMEOUT, "not in {EVENTUALLY_TIMEOUT:?}: {what}");
+    while !condition() {
+        assert!(start.elapsed() < EVENTUALLY_TIMEOUT, "not within {EVENTUALLY_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/lib/tests/test_once.rs
+++ b/lib/tests/test_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated run at most once.
+//! Requests that must not be repeated run at most once.
 
 mod common;
 
@@ -15,30 +15,30 @@
 use http::StatusCode;
 use serde_json::json;
 
-fn ran(reply: &Reply) -> &str {
+fn ran_header(reply: &Reply) -> &str {
     reply.header("copperweir-ran")
 }
 
 #[test]
-fn the_same_key_gives_the_same_answer() {
+fn repeated_key_replays_response() {
     let fleet = Fleet::start(Plan::new(30));
-    let at = fleet.plan.callers_address(0, 0);
-    for key in ["a key", &fleet.ticket(at)] {
+    let address = fleet.plan.callers_address(0, 0);
+    for key in ["a key", &fleet.ticket(address)] {
         let id = format!("filing-{}", key.len());
-        let first = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
-        let second = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
+        let first = fleet.submit_filing(address, &[("idempotency-key", key)], &id);
+        let second = fleet.submit_filing(address, &[("idempotency-key", key)], &id);
         assert_eq!(first.status, StatusCode::CREATED, "{first:?}");
         assert_eq!(second.body, first.body);
         assert_eq!(second.status, first.status);
         assert_eq!(fleet.run_count(&id), 1);
-        let other = fleet.submit_filing(at, &[("idempotency-key", key)], "another");
-        assert_eq!((other.code().as_str(), ran(&other)), ("key_reused", "no"));
+        let other = fleet.submit_filing(address, &[("idempotency-key", key)], "another");
+        assert_eq!((other.code().as_str(), ran_header(&other)), ("key_reused", "no"));
         assert_eq!(fleet.run_count("another"), 0);
     }
 }
 
 #[test]
-fn duplicates_at_the_same_time_run_once() {
+fn concurrent_duplicates_run_once() {
     let mut plan = Plan::new(31);
     plan.boxes = 3;
     let fleet = Fleet::start(plan);
@@ -48,19 +48,19 @@
     for key in ["one key", &ticket] {
         let id = format!("filing-{}", key.len());
         let replies = fleet.block_on(async {
-            let mut sent = Vec::new();
+            let mut tasks = Vec::new();
             for attempt in 0..12 {
                 let (client, key) = (fleet.client.clone(), key.to_owned());
-                let (at, body) =
+                let (address, body) =
                     (plan.callers_address(0, attempt % 3), json!({"id": id}).to_string());
-                sent.push(tokio::spawn(async move {
+                tasks.push(tokio::spawn(async move {
                     let headers = [("idempotency-key", key.as_str())];
                     let path = "/services/intake/filings";
-                    send(&client, at, Method::POST, path, &headers, &body).await
+                    send(&client, address, Method::POST, path, &headers, &body).await
                 }));
             }
             let mut replies = Vec::new();
-            for reply in sent {
+            for reply in tasks {
                 replies.push(reply.await.expect("a task").expect("an answer"));
             }
             replies
@@ -73,70 +73,72 @@
 }
 
 #[test]
-fn a_lost_answer_of_the_service_is_not_tried_again() {
+fn lost_service_response_is_not_retried() {
     let fleet = Fleet::start(Plan::new(32));
-    let at = fleet.plan.callers_address(0, 0);
+    let address = fleet.plan.callers_address(0, 0);
     fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
-    let ticket = fleet.ticket(at);
-    let first = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "lost");
-    assert_eq!((first.code().as_str(), ran(&first)), ("backend_failed", "unknown"));
-    let second = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "lost");
-    assert_eq!(ran(&second), "unknown");
+    let ticket = fleet.ticket(address);
+    let first = fleet.submit_filing(address, &[("idempotency-key", &ticket)], "lost");
+    assert_eq!((first.code().as_str(), ran_header(&first)), ("backend_failed", "unknown"));
+    let second = fleet.submit_filing(address, &[("idempotency-key", &ticket)], "lost");
+    assert_eq!(ran_header(&second), "unknown");
     assert_eq!(fleet.run_count("lost"), 1);
-    // Without a key it is not tried again either.
+    // A request without a key is not retried either.
     fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
-    assert_eq!(ran(&fleet.submit_filing(at, &[], "keyless")), "unknown");
+    assert_eq!(ran_header(&fleet.submit_filing(address, &[], "keyless")), "unknown");
     assert_eq!(fleet.run_count("keyless"), 1);
 }
 
 #[test]
-fn a_refusal_by_the_service_frees_the_key() {
+fn service_refusal_releases_key() {
     let fleet = Fleet::start(Plan::new(33));
-    let at = fleet.plan.callers_address(0, 0);
-    for key in ["a key", &fleet.ticket(at)] {
+    let address = fleet.plan.callers_address(0, 0);
+    for key in ["a key", &fleet.ticket(address)] {
         let id = format!("filing-{}", key.len());
         fleet.service.set_faults(service::Faults { refuse: true, ..Default::default() });
-        let refused = fleet.submit_filing(at, &[("idempotency-key", key)], &id);
-        assert_eq!(ran(&refused), "no", "{refused:?}");
+        let refused = fleet.submit_filing(address, &[("idempotency-key", key)], &id);
+        assert_eq!(ran_header(&refused), "no", "{refused:?}");
         assert_eq!(fleet.run_count(&id), 0);
         fleet.service.set_faults(service::Faults::default());
-        eventually("the service takes filings again", || {
-            fleet.submit_filing(at, &[("idempotency-key", key)], &id).status == StatusCode::CREATED
+        eventually("the service accepts filings again", || {
+            fleet.submit_filing(address, &[("idempotency-key", key)], &id).status
+                == StatusCode::CREATED
         });
         assert_eq!(fleet.run_count(&id), 1);
     }
 }
 
 #[test]
-fn a_ticket_needs_no_store_and_a_bare_key_says_so() {
+fn ticket_works_without_store_but_caller_key_fails() {
     let fleet = Fleet::start(Plan::new(34));
-    let at = fleet.plan.callers_address(0, 0);
+    let address = fleet.plan.callers_address(0, 0);
     fleet.platform.set_faults(platform::Faults { down: true, ..Default::default() });
-    let bare = fleet.submit_filing(at, &[("idempotency-key", "bare")], "bare");
-    assert_eq!((bare.code().as_str(), ran(&bare)), ("store_unavailable", "no"));
+    let bare = fleet.submit_filing(address, &[("idempotency-key", "bare")], "bare");
+    assert_eq!((bare.code().as_str(), ran_header(&bare)), ("store_unavailable", "no"));
     assert_eq!(bare.header("retry-after"), "5");
     assert_eq!(fleet.run_count("bare"), 0);
-    let ticket = fleet.ticket(at);
-    let reply = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "with ticket");
+    let ticket = fleet.ticket(address);
+    let reply = fleet.submit_filing(address, &[("idempotency-key", &ticket)], "with ticket");
     assert_eq!(reply.status, StatusCode::CREATED);
 }
 
 #[test]
-fn a_claim_whose_answer_is_lost_is_read_back() {
+fn claim_is_read_back_after_lost_response() {
     let fleet = Fleet::start(Plan::new(35));
-    let at = fleet.plan.callers_address(0, 0);
-    // Announcements are writes too: lose enough answers that the claim's is among them.
+    let address = fleet.plan.callers_address(0, 0);
+    // Announcements are writes as well, so enough responses are lost to include
+    // the one to the claim.
     fleet.platform.set_faults(platform::Faults { lose_answers: 1000, ..Default::default() });
-    let reply = fleet.submit_filing(at, &[("idempotency-key", "lost claim")], "claimed");
+    let reply = fleet.submit_filing(address, &[("idempotency-key", "lost claim")], "claimed");
     assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
     fleet.platform.set_faults(platform::Faults::default());
-    let again = fleet.submit_filing(at, &[("idempotency-key", "lost claim")], "claimed");
+    let again = fleet.submit_filing(address, &[("idempotency-key", "lost claim")], "claimed");
     assert_eq!(again.body, reply.body);
     assert_eq!(fleet.run_count("claimed"), 1);
 }
 
 #[test]
-fn the_owner_of_a_key_answers_through_any_box() {
+fn key_owner_responds_through_any_box() {
     let mut plan = Plan::new(36);
     plan.regions = 2;
     plan.boxes = 2;
@@ -148,10 +150,10 @@
         let first =
             fleet.submit_filing(plan.callers_address(0, 0), &[("idempotency-key", key)], id);
         assert_eq!(first.status, StatusCode::CREATED, "{first:?}");
-        for at in
+        for address in
             [plan.callers_address(0, 1), plan.callers_address(1, 0), plan.callers_address(1, 1)]
         {
-            let again = fleet.submit_filing(at, &[("idempotency-key", key)], id);
+            let again = fleet.submit_filing(address, &[("idempotency-key", key)], id);
             assert_eq!(again.body, first.body, "{again:?}");
         }
         assert_eq!(fleet.run_count(id), 1);
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn a_key_whose_owner_was_replaced_is_never_run_again() {
+fn key_of_replaced_owner_is_never_rerun() {
     let mut plan = Plan::new(37);
     plan.boxes = 2;
     let mut fleet = Fleet::start(plan);
@@ -177,55 +179,55 @@
     fleet.kill_box(0, 0);
     fleet.start_box(0, 0);
     fleet.wait_for_version(1);
-    for at in [owner, other] {
+    for address in [owner, other] {
         for (key, id) in [(used.as_str(), "f1"), ("bare", "f2"), (unused.as_str(), "f3")] {
-            let reply = fleet.submit_filing(at, &[("idempotency-key", key)], id);
-            assert_eq!(ran(&reply), "unknown", "{id}: {reply:?}");
+            let reply = fleet.submit_filing(address, &[("idempotency-key", key)], id);
+            assert_eq!(ran_header(&reply), "unknown", "{id}: {reply:?}");
         }
     }
     assert_eq!((fleet.run_count("f1"), fleet.run_count("f2"), fleet.run_count("f3")), (1, 1, 0));
 }
 
 #[test]
-fn a_caller_that_gives_up_finds_the_answer_later() {
+fn response_is_available_after_caller_disconnects() {
     let fleet = Fleet::start(Plan::new(38));
-    let at = fleet.plan.callers_address(0, 0);
+    let address = fleet.plan.callers_address(0, 0);
     fleet.service.set_faults(service::Faults { slow_ms: 300, ..Default::default() });
-    let ticket = fleet.ticket(at);
+    let ticket = fleet.ticket(address);
     fleet.block_on(async {
         let headers = [("idempotency-key", ticket.as_str())];
         let body = json!({"id": "slow"}).to_string();
         let path = "/services/intake/filings";
-        let sending = send(&fleet.client, at, Method::POST, path, &headers, &body);
-        let gone = tokio::time::timeout(Duration::from_millis(100), sending).await;
-        assert!(gone.is_err());
+        let request = send(&fleet.client, address, Method::POST, path, &headers, &body);
+        let timed_out = tokio::time::timeout(Duration::from_millis(100), request).await;
+        assert!(timed_out.is_err());
     });
-    let reply = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "slow");
+    let reply = fleet.submit_filing(address, &[("idempotency-key", &ticket)], "slow");
     assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
     assert_eq!(fleet.run_count("slow"), 1);
 }
 
 #[test]
-fn lost_work_is_not_tried_on_another_server() {
+fn request_that_may_have_run_is_not_retried_on_another_server() {
     let mut plan = Plan::new(39);
     plan.regions = 2;
     let fleet = Fleet::start(plan);
     let mut configuration = plan.configuration();
-    // Two servers of one service in one region; both file into the same book.
+    // Two servers of one service in one region that share their state.
     configuration["services"]["intake"]["servers"] = json!({
         "one": {"region": "north", "failure_domain": "a", "address": plan.service_address(0).to_string()},
         "two": {"region": "north", "failure_domain": "a", "address": plan.service_address(1).to_string()},
     });
     fleet.apply("main", &configuration).expect("applied");
     fleet.wait_for_version(2);
-    let at = plan.callers_address(0, 0);
+    let address = plan.callers_address(0, 0);
     for round in 0..10 {
         fleet.service.set_faults(service::Faults { lose_answers: 1, ..Default::default() });
         let id = format!("lost-{round}");
-        let key = fleet.ticket(at);
+        let key = fleet.ticket(address);
         let headers = [("idempotency-key", key.as_str())];
-        let reply = fleet.submit_filing(at, if round % 2 == 0 { &headers } else { &[] }, &id);
-        assert_eq!(ran(&reply), "unknown", "{reply:?}");
+        let reply = fleet.submit_filing(address, if round % 2 == 0 { &headers } else { &[] }, &id);
+        assert_eq!(ran_header(&reply), "unknown", "{reply:?}");
         assert_eq!(fleet.run_count(&id), 1, "{id}");
     }
 }
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -1,4 +1,5 @@
-//! Several regions: residency, cuts, and the configuration everywhere.
+//! Several regions: residency, partitions and distribution of the
+//! configuration.
 
 mod common;
 
@@ -14,20 +15,20 @@
 use http::StatusCode;
 use serde_json::json;
 
-fn three_regions(test: u8) -> Plan {
-    let mut plan = Plan::new(test);
+fn three_region_plan(test_id: u8) -> Plan {
+    let mut plan = Plan::new(test_id);
     plan.regions = 3;
     plan.boxes = 2;
     plan
 }
 
 #[test]
-fn a_request_runs_only_where_its_rule_allows() {
-    let fleet = Fleet::start(three_regions(50));
+fn request_runs_only_in_residency_regions() {
+    let fleet = Fleet::start(three_region_plan(50));
     fleet.wait_for_members();
-    let bound = json!({"model": "log-first", "messages": [], "max_tokens": 2});
+    let bound_request = json!({"model": "log-first", "messages": [], "max_tokens": 2});
     for region in 0..3 {
-        let reply = fleet.complete(fleet.plan.callers_address(region, 0), &[], &bound);
+        let reply = fleet.complete(fleet.plan.callers_address(region, 0), &[], &bound_request);
         assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
         assert_eq!(reply.header("copperweir-region"), "north");
     }
@@ -36,30 +37,31 @@
 }
 
 #[test]
-fn bound_work_is_refused_rather_than_run_elsewhere() {
-    let fleet = Fleet::start(three_regions(51));
+fn residency_bound_request_is_refused_rather_than_run_elsewhere() {
+    let fleet = Fleet::start(three_region_plan(51));
     fleet.wait_for_members();
     fleet.set_region_cut(0, true);
-    let bound = json!({"model": "log-first", "messages": [], "max_tokens": 2});
+    let bound_request = json!({"model": "log-first", "messages": [], "max_tokens": 2});
     let deadline = [("copperweir-timeout-ms", "3000")];
     for region in 1..3 {
-        let reply = fleet.complete(fleet.plan.callers_address(region, 0), &deadline, &bound);
+        let reply =
+            fleet.complete(fleet.plan.callers_address(region, 0), &deadline, &bound_request);
         assert_ne!(reply.status, StatusCode::OK);
         assert!(!reply.header("copperweir-ran").is_empty());
     }
-    eventually("the cut is known", || {
-        let reply = fleet.complete(fleet.plan.callers_address(1, 0), &deadline, &bound);
+    eventually("the partition is detected", || {
+        let reply = fleet.complete(fleet.plan.callers_address(1, 0), &deadline, &bound_request);
         reply.code() == "no_server" && reply.header("copperweir-ran") == "no"
     });
     assert_eq!(fleet.engines[1][0].completions() + fleet.engines[2][0].completions(), 0);
 }
 
 #[test]
-fn a_region_without_servers_uses_another() {
-    let fleet = Fleet::start(three_regions(52));
+fn region_without_servers_forwards_to_another() {
+    let fleet = Fleet::start(three_region_plan(52));
     fleet.wait_for_members();
     fleet.engines[1][0].set_faults(engine::Faults { leaving: true, ..Default::default() });
-    eventually("work goes to another region", || {
+    eventually("requests run in another region", || {
         let body = json!({"model": "log", "messages": [], "max_tokens": 2, "stream": true});
         let reply = fleet.complete(fleet.plan.callers_address(1, 0), &[], &body);
         reply.status == StatusCode::OK && reply.header("copperweir-region") != "south"
@@ -67,23 +69,27 @@
 }
 
 #[test]
-fn a_region_that_is_cut_off_serves_on_and_catches_up() {
-    let mut fleet = Fleet::start(three_regions(53));
+fn isolated_region_keeps_serving_and_catches_up() {
+    let mut fleet = Fleet::start(three_region_plan(53));
     let plan = fleet.plan;
     fleet.wait_for_members();
-    // Cut off: no other region, no platform.
+    // Isolate the region from the other regions and from the platform.
     fleet.set_region_cut(0, true);
-    let at = plan.callers_address(0, 0);
-    eventually("the others are gone", || fleet.list_boxes(at).boxes.len() == 2);
+    let address = plan.callers_address(0, 0);
+    eventually("the boxes of the other regions are gone", || {
+        fleet.list_boxes(address).boxes.len() == 2
+    });
     for _ in 0..20 {
         let reply =
-            fleet.complete(at, &[], &json!({"model": "log", "messages": [], "max_tokens": 2}));
+            fleet.complete(address, &[], &json!({"model": "log", "messages": [], "max_tokens": 2}));
         assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
     }
-    let ticket = fleet.ticket(at);
-    let filed = fleet.submit_filing(at, &[("idempotency-key", &ticket)], "while cut off");
-    assert_eq!(filed.status, StatusCode::CREATED, "{filed:?}");
-    // A box that is replaced meanwhile gets the configuration from its peer.
+    let ticket = fleet.ticket(address);
+    let filing_reply =
+        fleet.submit_filing(address, &[("idempotency-key", &ticket)], "while cut off");
+    assert_eq!(filing_reply.status, StatusCode::CREATED, "{filing_reply:?}");
+    // A box that is replaced during the partition gets the configuration from
+    // its peer.
     fleet.kill_box(0, 1);
     fleet.start_box(0, 1);
     eventually("the replaced box is ready", || fleet.is_ready(0, 1));
@@ -93,7 +99,8 @@
         &json!({"model": "log", "messages": [], "max_tokens": 2}),
     );
     assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
-    // A change meanwhile is in force elsewhere, and here as soon as the cut is mended.
+    // A change during the partition takes effect in the other regions at once,
+    // and in this one once the partition has healed.
     let mut configuration = plan.configuration();
     configuration["limits"]["body_bytes"] = json!(1234);
     assert_eq!(fleet.apply("main", &configuration).expect("applied"), 2);
@@ -107,8 +114,8 @@
 }
 
 #[test]
-fn the_configuration_reaches_a_region_through_its_peers_alone() {
-    let fleet = Fleet::start(three_regions(54));
+fn successive_configurations_reach_all_regions() {
+    let fleet = Fleet::start(three_region_plan(54));
     fleet.wait_for_members();
     let mut configuration = fleet.plan.configuration();
     for version in 2..6 {
@@ -119,14 +126,14 @@
 }
 
 #[test]
-fn a_stale_store_never_takes_a_box_back() {
-    let mut fleet = Fleet::start(three_regions(55));
+fn stale_store_does_not_downgrade_configuration() {
+    let mut fleet = Fleet::start(three_region_plan(55));
     let plan = fleet.plan;
     fleet.wait_for_members();
     fleet.apply("main", &plan.configuration()).expect("applied");
     fleet.wait_for_version(2);
     fleet.platform.set_faults(platform::Faults { stale: true, ..Default::default() });
-    // A fresh box reads version 1 from the store, and version 2 from its peer.
+    // A new box reads version 1 from the store and version 2 from its peer.
     fleet.kill_box(0, 0);
     fleet.start_box(0, 0);
     eventually("the fresh box is ready", || fleet.is_ready(0, 0));
@@ -134,7 +141,7 @@
 }
 
 #[test]
-fn of_two_operators_who_race_one_wins() {
+fn concurrent_applies_succeed_or_conflict() {
     let fleet = Fleet::without_configuration(Plan::new(56));
     let configuration = fleet.plan.configuration();
     fleet.apply("main", &configuration).expect("applied");
@@ -147,11 +154,11 @@
             let _ = configuration;
             scope.spawn(move || fleet.apply(&format!("extra-{number}"), &extra))
         };
-        let racers: Vec<_> = (0..4).map(apply).collect();
-        racers.into_iter().map(|racer| racer.join().expect("a racer")).collect()
+        let tasks: Vec<_> = (0..4).map(apply).collect();
+        tasks.into_iter().map(|task| task.join().expect("an apply task")).collect()
     });
-    let won = results.iter().filter(|result| result.is_ok()).count();
-    assert!(won >= 1, "{results:?}");
+    let succeeded = results.iter().filter(|result| result.is_ok()).count();
+    assert!(succeeded >= 1, "{results:?}");
     for result in &results {
         match result {
             Ok(version) => assert!(*version > 1),
@@ -159,23 +166,23 @@
             Err(error) => panic!("{error}"),
         }
     }
-    // What was accepted is there; what was refused is not.
+    // Each successful apply added one version, and no failed one did.
     let again = fleet.apply("last", &json!({})).expect("applied");
-    assert_eq!(again, 2 + won as u64);
+    assert_eq!(again, 2 + succeeded as u64);
 }
 
 #[test]
-fn a_lost_answer_to_an_apply_is_resolved() {
+fn lost_apply_response_is_resolved() {
     let fleet = Fleet::without_configuration(Plan::new(57));
     fleet.platform.set_faults(platform::Faults { lose_answers: 1, ..Default::default() });
     assert_eq!(fleet.apply("main", &fleet.plan.configuration()).expect("applied"), 1);
     fleet.platform.set_faults(platform::Faults { down: true, ..Default::default() });
-    let down = fleet.apply("main", &fleet.plan.configuration());
-    assert!(matches!(down, Err(ApplyError::Platform(_))), "{down:?}");
+    let result = fleet.apply("main", &fleet.plan.configuration());
+    assert!(matches!(result, Err(ApplyError::Platform(_))), "{result:?}");
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn planned_stop_completes_streams() {
     let mut plan = Plan::new(58);
     plan.boxes = 2;
     plan.speed.token = Duration::from_millis(20);
@@ -183,7 +190,7 @@
     eventually("the boxes know each other", || {
         fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 2
     });
-    let at = plan.callers_address(0, 0);
+    let address = plan.callers_address(0, 0);
     let (client, runtime) = (fleet.client.clone(), fleet.runtime.handle().clone());
     let body =
         json!({"model": "log", "messages": [], "max_tokens": 100, "stream": true}).to_string();
@@ -192,18 +199,18 @@
             let (client, body) = (client.clone(), body.clone());
             runtime.spawn(async move {
                 let path = "/v1/chat/completions";
-                common::send(&client, at, http::Method::POST, path, &[], &body).await
+                common::send(&client, address, http::Method::POST, path, &[], &body).await
             })
         })
         .collect();
     std::thread::sleep(Duration::from_millis(200));
     let stopping = fleet.stop_box(0, 0);
-    eventually("the other box no longer tells of it", || {
+    eventually("the other box no longer lists it", || {
         fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 1
     });
     eventually("the leaving box refuses new work", || {
         let reply =
-            fleet.complete(at, &[], &json!({"model": "log", "messages": [], "max_tokens": 1}));
+            fleet.complete(address, &[], &json!({"model": "log", "messages": [], "max_tokens": 1}));
         reply.code() == "leaving" && reply.header("copperweir-ran") == "no"
     });
     for stream in streams {
@@ -214,7 +221,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new_even_with_the_store_out() {
+fn leaving_server_gets_no_requests_during_store_outage() {
     let mut plan = Plan::new(59);
     plan.boxes = 3;
     plan.engines = 3;
@@ -222,9 +229,9 @@
     fleet.wait_for_members();
     fleet.platform.set_faults(platform::Faults { down: true, ..Default::default() });
     fleet.engines[0][1].set_faults(engine::Faults { leaving: true, ..Default::default() });
-    let ask = |number: usize, count: usize| {
-        for at in 0..count {
-            let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": number * 1000 + at});
+    let complete_requests = |number: usize, count: usize| {
+        for request_number in 0..count {
+            let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": number * 1000 + request_number});
             let reply = fleet.complete(plan.callers_address(0, number), &[], &body);
             assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
         }
@@ -232,24 +239,24 @@
     std::thread::sleep(Duration::from_secs(2));
     let before = fleet.engines[0][1].completions();
     for number in 0..3 {
-        ask(number, 30);
+        complete_requests(number, 30);
     }
     assert_eq!(fleet.engines[0][1].completions(), before);
 }
 
 #[test]
-fn the_platform_list_takes_a_server_out() {
+fn server_leaving_in_platform_list_gets_no_requests() {
     let mut plan = Plan::new(60);
     plan.engines = 2;
     let fleet = Fleet::start(plan);
     let leaving = vec!["north-engine-0".to_owned()];
     fleet.platform.set_faults(platform::Faults { leaving, ..Default::default() });
-    let mut last = 0;
-    eventually("nothing new goes there", || {
+    let mut prompt_counter = 0;
+    eventually("the server gets no new requests", || {
         let before = fleet.engines[0][0].completions();
         for prompt in 0..20 {
-            last += 1;
-            let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": last * 100 + prompt});
+            prompt_counter += 1;
+            let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": prompt_counter * 100 + prompt});
             fleet.complete(plan.callers_address(0, 0), &[], &body);
         }
         fleet.engines[0][0].completions() == before
--- a/lib/tests/test_serve_rest.rs
+++ b/lib/tests/test_serve_rest.rs
@@ -1,4 +1,4 @@
-//! A plain service that wants rest, behind a box of the product's own interface.
+//! Rest periods that plain services request, as seen by callers of a box.
 
 mod common;
 
@@ -13,71 +13,79 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-/// Before, the time was read by nobody: each of eight requests went to the service in its rest, and callers were told five
-/// seconds whatever the rest was.
+/// Guards against ignoring the rest period that a service requests: each of
+/// eight requests was sent to the resting service, and callers were told to
+/// retry after five seconds regardless of the period.
 #[test]
-fn a_service_that_wants_rest_gets_nothing_and_callers_learn_when_to_come_back() {
+fn resting_service_gets_no_requests_and_callers_get_retry_after() {
     let fleet = Fleet::start(Plan::new(61));
-    let at = fleet.plan.callers_address(0, 0);
-    let patience = [("copperweir-timeout-ms", "500")];
+    let address = fleet.plan.callers_address(0, 0);
+    let timeout_header = [("copperweir-timeout-ms", "500")];
     fleet.service.set_faults(Faults { refuse: true, rest_s: Some(2.5), ..Faults::default() });
-    let begin = Instant::now();
+    let started_at = Instant::now();
     for number in 0..8 {
         let sent_at = Instant::now();
-        let reply = fleet.submit_filing(at, &patience, &format!("refused-{number}"));
+        let reply = fleet.submit_filing(address, &timeout_header, &format!("refused-{number}"));
         assert!(reply.status.is_server_error(), "{reply:?}");
         assert_eq!(reply.header("copperweir-ran"), "no");
-        assert!(sent_at.elapsed() < Duration::from_millis(400), "it is refused at once");
+        assert!(sent_at.elapsed() < Duration::from_millis(400), "the request is refused at once");
         if number > 0 {
-            let after: f64 = reply.header("retry-after").parse().expect("a number");
-            let back = sent_at + Duration::from_secs_f64(after);
-            assert!(back + Duration::from_millis(50) >= begin + Duration::from_millis(2500));
+            let retry_after: f64 = reply.header("retry-after").parse().expect("a number");
+            let retry_at = sent_at + Duration::from_secs_f64(retry_after);
+            assert!(
+                retry_at + Duration::from_millis(50) >= started_at + Duration::from_millis(2500)
+            );
         }
         std::thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(fleet.service.refused().len(), 1);
     fleet.service.set_faults(Faults::default());
     std::thread::sleep(
-        (begin + Duration::from_millis(2700)).saturating_duration_since(Instant::now()),
+        (started_at + Duration::from_millis(2700)).saturating_duration_since(Instant::now()),
     );
-    assert_eq!(fleet.submit_filing(at, &patience, "served").status, StatusCode::CREATED);
+    assert_eq!(fleet.submit_filing(address, &timeout_header, "served").status, StatusCode::CREATED);
 }
 
-/// A request was offered to four services that had just come into need, and failed before the one with room was
-/// asked.
+/// Guards against counting refusals by resting services as attempts: a request
+/// failed after four services that had just begun to rest refused it, before
+/// the one with a free slot was tried.
 #[test]
-fn who_meets_all_resting_services_first_is_served_by_the_next() {
+fn request_refused_by_resting_services_runs_on_next_service() {
     let fleet = Fleet::start(Plan::new(62));
     let mut configuration = fleet.plan.configuration();
     let mut resting = Vec::new();
     for number in 0..8 {
         let service = Service::default();
-        let mut address = fleet.plan.service_address(0);
-        address.set_port(9001 + number);
-        let listener = fleet.runtime.block_on(TcpListener::bind(address)).expect("an address");
+        let mut service_address = fleet.plan.service_address(0);
+        service_address.set_port(9001 + number);
+        let listener =
+            fleet.runtime.block_on(TcpListener::bind(service_address)).expect("an address");
         fleet.runtime.spawn(service.serve(listener));
         configuration["services"]["intake"]["servers"][format!("resting-{number}")] = json!({
-            "region": "north", "failure_domain": "a", "address": address.to_string(),
+            "region": "north", "failure_domain": "a", "address": service_address.to_string(),
         });
         resting.push(service);
     }
     fleet.apply("main", &configuration).expect("more services");
     fleet.wait_for_version(2);
-    let at = fleet.plan.callers_address(0, 0);
-    let patience = [("copperweir-timeout-ms", "5000")];
-    // It has work already, so the others come before it.
+    let address = fleet.plan.callers_address(0, 0);
+    let timeout_header = [("copperweir-timeout-ms", "5000")];
+    // This service already has requests, so the others are chosen before it.
     fleet.service.set_faults(Faults { slow_ms: 1000, ..Faults::default() });
-    let is_at_work = || !fleet.service.runs().is_empty();
+    let is_busy = || !fleet.service.runs().is_empty();
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            for number in (0..).take_while(|_| !is_at_work()) {
-                fleet.submit_filing(at, &patience, &format!("busy-{number}"));
+            for number in (0..).take_while(|_| !is_busy()) {
+                fleet.submit_filing(address, &timeout_header, &format!("busy-{number}"));
             }
         });
-        common::eventually("it is at work", is_at_work);
+        common::eventually("the service is busy", is_busy);
         for service in &resting {
             service.set_faults(Faults { refuse: true, rest_s: Some(3.0), ..Faults::default() });
         }
-        assert_eq!(fleet.submit_filing(at, &patience, "next").status, StatusCode::CREATED);
+        assert_eq!(
+            fleet.submit_filing(address, &timeout_header, "next").status,
+            StatusCode::CREATED
+        );
     });
 }
