--- a/cli/src/commands/boxes.rs
+++ b/cli/src/commands/boxes.rs
@@ -1,7 +1,7 @@
 //! `copperweir boxes`
 
 use anyhow::Context;
-use copperweir_lib::protocol::caller::Boxes;
+use copperweir_lib::protocol::caller::BoxesResponse;
 use lexopt::Arg;
 use lexopt::Parser;
 use lexopt::ValueExt;
@@ -43,7 +43,8 @@
         println!("{}", String::from_utf8_lossy(&body));
         return Ok(());
     }
-    let boxes: Boxes = serde_json::from_slice(&body).context("the box's answer cannot be read")?;
+    let boxes: BoxesResponse =
+        serde_json::from_slice(&body).context("the box's answer cannot be read")?;
     let rows: Vec<Vec<String>> = boxes
         .boxes
         .into_iter()
--- a/cli/src/commands/burn.rs
+++ b/cli/src/commands/burn.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use anyhow::Context;
-use copperweir_lib::state::burn::Report;
-use copperweir_lib::state::burn::Row;
+use copperweir_lib::state::burn::BurnReport;
+use copperweir_lib::state::burn::ObjectiveBurn;
 use copperweir_lib::state::burn::WINDOWS;
 use lexopt::Arg;
 use lexopt::Parser;
@@ -48,7 +48,7 @@
     if targets.is_empty() {
         return Err(CommandError::Usage("--box is missing".to_owned()));
     }
-    let mut merged = Report::default();
+    let mut merged = BurnReport::default();
     let mut youngest = u64::MAX;
     let mut silent = Vec::new();
     let runtime = client::runtime()?;
@@ -77,13 +77,13 @@
     Ok(())
 }
 
-async fn report(target: SocketAddr, key: Option<&str>) -> Result<Report, CommandError> {
+async fn report(target: SocketAddr, key: Option<&str>) -> Result<BurnReport, CommandError> {
     let body = client::get(target, "/burn", key).await?;
     Ok(serde_json::from_slice(&body).context("the box's answer cannot be read")?)
 }
 
-fn print(report: &Report) {
-    let cell = |row: &Row, window: usize| {
+fn print(report: &BurnReport) {
+    let cell = |row: &ObjectiveBurn, window: usize| {
         let count = row.windows.get(window).copied().unwrap_or_default();
         format!("{:.2} ({}/{})", count.burn(row.target), count.bad, count.total)
     };
--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -170,7 +170,7 @@
 ) -> Option<()> {
     let address = plan.targets[sample.target];
     let request = request(plan, ask, address)?;
-    let response = client.exchange(address, request, false).await.ok()?;
+    let response = client.send(address, request, false).await.ok()?;
     let (head, mut exchange) = response.into_parts();
     sample.status = Some(head.status.as_u16());
     let text = |name: &str| {
@@ -193,7 +193,7 @@
     if last.is_none() {
         sample.first_byte = due.elapsed();
     }
-    exchange.finished();
+    exchange.release();
     Some(())
 }
 
--- a/lib/benches/admission.rs
+++ b/lib/benches/admission.rs
@@ -13,14 +13,14 @@
 use copperweir_lib::coordination::quota::Quotas;
 use copperweir_lib::coordination::rendezvous;
 use copperweir_lib::protocol::routing::Limits;
-use copperweir_lib::protocol::routing::Method;
+use copperweir_lib::protocol::routing::Repeatability;
 use copperweir_lib::protocol::routing::Route;
 use copperweir_lib::protocol::routing::Routing;
 use copperweir_lib::protocol::team::KeyDigest;
-use copperweir_lib::protocol::team::Limit;
+use copperweir_lib::protocol::team::RateLimit;
+use copperweir_lib::protocol::team::RateUnit;
 use copperweir_lib::protocol::team::Team;
 use copperweir_lib::protocol::team::Teams;
-use copperweir_lib::protocol::team::Unit;
 
 const REQUESTS: u32 = 100_000;
 const ROUNDS: usize = 7;
@@ -31,14 +31,14 @@
         name: "r".to_owned(),
         host: "h".to_owned(),
         prefix: "/".to_owned(),
-        method: Method::Safe,
+        repeatability: Repeatability::Safe,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         priority: 1,
         services: vec![("s".to_owned(), 1)],
         max_attempts: 1,
         resumable: false,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
         anonymous: false,
     }
 }
@@ -49,9 +49,9 @@
 
 /// Microseconds a request.
 fn measure(count: usize) -> f64 {
-    let limit = Limit { rate: 1e9, burst: 1e9, unit: Unit::Tokens { plain: 200 } };
+    let limit = RateLimit { rate: 1e9, burst: 1e9, unit: RateUnit::Tokens { default_tokens: 200 } };
     let team = |number| {
-        let team = Team { limit: Some(limit), ..Team::named(&format!("team-{number}")) };
+        let team = Team { limit: Some(limit), ..Team::with_name(&format!("team-{number}")) };
         (team, vec![KeyDigest::of(&key(number))])
     };
     let routing = Routing::new(1, Vec::new(), BTreeMap::new(), Limits::default())
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -25,9 +25,9 @@
 use copperweir_lib::protocol::peer::Heartbeat;
 use copperweir_lib::protocol::peer::Member;
 use copperweir_lib::protocol::peer::Phase;
-use copperweir_lib::protocol::peer::Report;
+use copperweir_lib::protocol::peer::ServerReport;
 use copperweir_lib::protocol::peer::wire;
-use copperweir_lib::state::load::Load;
+use copperweir_lib::state::load::ServerLoads;
 use prost::Message;
 use rand::Rng;
 use rand::SeedableRng;
@@ -91,8 +91,8 @@
         name: format!("box-{region}-{number:03}"),
         region: format!("region-{region}"),
         failure_domain: format!("region-{region}-{}", number % 3),
-        callers: address(8080),
-        peers: address(8081),
+        caller_address: address(8080),
+        peer_address: address(8081),
         incarnation: 0x1a23_6abf_a651_0000 + index as u64,
         beat: 1,
         phase: Phase::Serving,
@@ -110,9 +110,9 @@
         for (region, count) in sizes(boxes).into_iter().enumerate() {
             for number in 0..count {
                 let own = member(region, number, nodes.len());
-                addresses.insert(own.peers, nodes.len());
+                addresses.insert(own.peer_address, nodes.len());
                 let membership = Membership::new(own, Tuning::default());
-                let exchange = Exchange { membership, load: Load::default() };
+                let exchange = Exchange { membership, load: ServerLoads::default() };
                 nodes.push(Node {
                     exchange,
                     region,
@@ -221,7 +221,7 @@
         for server in self.nodes[node].duties.clone() {
             {
                 let hash = name_hash(&self.servers[region][server]);
-                let report = Report {
+                let report = ServerReport {
                     server: hash,
                     load: self.rng.random_range(0..16),
                     reachable: true,
@@ -251,8 +251,10 @@
 
     fn compose(&mut self, node: usize, to: usize, mut extra: Extra) -> Vec<u8> {
         let now = self.instant();
-        let demand =
-            |team: usize| Demand { team: name_hash(&format!("team-{team}")), per_minute: 60 };
+        let demand = |team: usize| Demand {
+            team: name_hash(&format!("team-{team}")),
+            requests_per_minute: 60,
+        };
         extra.demands = (0..TEAMS).map(demand).collect();
         let region = self.nodes[to].exchange.membership.own().region.clone();
         let began = Instant::now();
@@ -286,7 +288,7 @@
         let follow_up = self.hear_request(node, bytes);
         let answer = self.compose(node, from, follow_up);
         let arrives = self.now + self.delay(node, from);
-        let peer = self.nodes[node].exchange.membership.own().peers;
+        let peer = self.nodes[node].exchange.membership.own().peer_address;
         self.at(arrives, from, What::Answer(peer, answer));
     }
 
--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -5,7 +5,7 @@
 //! another.
 
 use super::candidate::Outcome;
-use crate::protocol::words::Words;
+use crate::protocol::server_status::ServerStatus;
 
 /// What came of a send, so far or in the end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -61,12 +61,12 @@
     /// What came of it.
     pub event: Event,
     /// What the server said of itself, where the head of an answer has just come.
-    pub words: Option<Words>,
+    pub words: Option<ServerStatus>,
 }
 
 impl Report {
     /// The head of an answer has come.
-    pub fn head(event: Event, words: Words) -> Report {
+    pub fn head(event: Event, words: ServerStatus) -> Report {
         Report { event, words: Some(words) }
     }
 
--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -12,7 +12,7 @@
 use super::loads::Loads;
 use super::rendezvous;
 use super::warmup::Warmup;
-use crate::protocol::adapter::Part;
+use crate::protocol::adapter::PromptSegment;
 use crate::protocol::fleet::Server;
 
 /// Requests on a server, its queue included, against its slots, that boxes
@@ -271,7 +271,7 @@
     }
 
     /// The work that a request would be there, and what is ahead of its first token.
-    pub fn work(&self, parts: &[Part], home: bool, load: Load, now: Instant) -> Work {
+    pub fn work(&self, parts: &[PromptSegment], home: bool, load: Load, now: Instant) -> Work {
         let total: f64 = parts.iter().map(|part| f64::from(part.tokens)).sum();
         let own = parts.last().map_or(0.0, |part| f64::from(part.tokens));
         let kept = self.kept.tokens(parts, now) as f64;
@@ -291,7 +291,7 @@
     }
 
     /// A request goes there.
-    pub fn take(&mut self, parts: &[Part], work: Work, now: Instant) {
+    pub fn take(&mut self, parts: &[PromptSegment], work: Work, now: Instant) {
         self.in_flight += 1;
         self.unread += work.unread;
         self.ejection.tried(now);
--- a/lib/src/coordination/exchange.rs
+++ b/lib/src/coordination/exchange.rs
@@ -16,7 +16,7 @@
 use crate::protocol::peer::Demand;
 use crate::protocol::peer::Heartbeat;
 use crate::protocol::peer::MemberId;
-use crate::state::load::Load;
+use crate::state::load::ServerLoads;
 
 /// Server reports in one heartbeat.
 const REPORTS: usize = 40;
@@ -67,7 +67,7 @@
     /// Members.
     pub membership: Membership,
     /// Observed load of the region's servers.
-    pub load: Load,
+    pub load: ServerLoads,
 }
 
 impl Exchange {
@@ -81,23 +81,23 @@
     ) -> Heartbeat {
         let membership = &self.membership;
         let far_receiver = receiver.is_some_and(|region| *region != membership.own().region);
-        let (near, far) = membership.beats(now, rng);
+        let (same_region, other_regions) = membership.beats(now, rng);
         let mut members = match far_receiver {
             true => membership.introductions(now, rng),
             false => membership.news(now, rng),
         };
         members.extend(membership.records(&extra.given));
         // Counters and load of this region's own are of no use to another one.
-        let (near, reports) = match far_receiver {
+        let (same_region, reports) = match far_receiver {
             true => (Vec::new(), Vec::new()),
-            false => (near, self.load.news(REPORTS, now, rng)),
+            false => (same_region, self.load.reports_to_share(REPORTS, now, rng)),
         };
         Heartbeat {
             sender: membership.own().clone(),
             members,
-            near,
-            far,
-            wanted: extra.wanted,
+            same_region,
+            other_regions,
+            requested: extra.wanted,
             reports,
             credits: extra.credits,
             demands: extra.demands,
@@ -113,19 +113,19 @@
         for member in &heartbeat.members {
             heard.members_changed |= self.membership.hear(member.clone(), now);
         }
-        let mut wanted = self.membership.hear_beats(&heartbeat.near, now);
+        let mut wanted = self.membership.hear_beats(&heartbeat.same_region, now);
         wanted.truncate(WANTED);
-        self.membership.hear_beats(&heartbeat.far, now);
+        self.membership.hear_beats(&heartbeat.other_regions, now);
         if sender.region == own_region {
             heard.load_changed = !heartbeat.reports.is_empty();
             for report in &heartbeat.reports {
                 heard.servers_changed |= self.load.observe(report, now);
             }
         }
-        heard.newer = (sender.version > version).then_some((sender.version, sender.peers));
-        if !wanted.is_empty() || !heartbeat.wanted.is_empty() {
-            let given = heartbeat.wanted.clone();
-            heard.follow_up = Some(FollowUp { to: sender.peers, wanted, given });
+        heard.newer = (sender.version > version).then_some((sender.version, sender.peer_address));
+        if !wanted.is_empty() || !heartbeat.requested.is_empty() {
+            let given = heartbeat.requested.clone();
+            heard.follow_up = Some(FollowUp { to: sender.peer_address, wanted, given });
         }
         heard
     }
--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -9,8 +9,8 @@
 
 use std::sync::Arc;
 
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::Version;
 use crate::protocol::routing::Route;
 use crate::protocol::routing::Routing;
@@ -48,22 +48,22 @@
         return Ok(checked.team.as_deref().map(|name| by_name(routing, name)));
     }
     let Some(teams) = &routing.teams else { return Ok(None) };
-    let holder = claim.key.and_then(|key| teams.holder(&key));
+    let holder = claim.key.and_then(|key| teams.find_by_key(&key));
     match (holder, claim.key) {
         (Some(team), _) => Ok(Some(Arc::clone(team))),
         (None, _) if route.anonymous => Ok(None),
         (None, None) => {
-            Err(Failure::new(Kind::Unauthorized, "expected Authorization: Bearer <key>"))
+            Err(Failure::new(ErrorKind::Unauthorized, "expected Authorization: Bearer <key>"))
         }
         (None, Some(_)) if stale => {
             let message = "the key is not known here, and the configuration may be an older one";
-            Err(Failure::new(Kind::Behind, message))
+            Err(Failure::new(ErrorKind::Behind, message))
         }
-        (None, Some(_)) => Err(Failure::new(Kind::Unauthorized, "the key is not known")),
+        (None, Some(_)) => Err(Failure::new(ErrorKind::Unauthorized, "the key is not known")),
     }
 }
 
 fn by_name(routing: &Routing, name: &str) -> Arc<Team> {
-    let known = routing.teams.as_ref().and_then(|teams| teams.named(name));
-    known.map_or_else(|| Arc::new(Team::named(name)), Arc::clone)
+    let known = routing.teams.as_ref().and_then(|teams| teams.find_by_name(name));
+    known.map_or_else(|| Arc::new(Team::with_name(name)), Arc::clone)
 }
--- a/lib/src/coordination/kept.rs
+++ b/lib/src/coordination/kept.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::protocol::adapter::Part;
+use crate::protocol::adapter::PromptSegment;
 
 /// Part of an engine's memory that shared parts are taken to fill; running requests need the rest.
 const SHARED_MEMORY: f64 = 0.6;
@@ -28,7 +28,7 @@
     }
 
     /// A request with these parts goes there; its last part is its own and not shared.
-    pub fn read(&mut self, parts: &[Part], now: Instant) {
+    pub fn read(&mut self, parts: &[PromptSegment], now: Instant) {
         let Some((_, shared)) = parts.split_last() else { return };
         for part in shared {
             if self.parts.insert(part.id, (part.tokens, now)).is_none() {
@@ -44,9 +44,11 @@
     }
 
     /// Tokens at the beginning of a prompt that need not be read again.
-    pub fn tokens(&self, parts: &[Part], now: Instant) -> u64 {
+    pub fn tokens(&self, parts: &[PromptSegment], now: Instant) -> u64 {
         let Some((_, shared)) = parts.split_last() else { return 0 };
-        let kept = |part: &&Part| self.parts.get(&part.id).is_some_and(|(_, at)| now < *at + LIFE);
+        let kept = |part: &&PromptSegment| {
+            self.parts.get(&part.id).is_some_and(|(_, at)| now < *at + LIFE)
+        };
         shared.iter().take_while(kept).map(|part| u64::from(part.tokens)).sum()
     }
 }
--- a/lib/src/coordination/learning.rs
+++ b/lib/src/coordination/learning.rs
@@ -21,7 +21,7 @@
 use super::quarantine::Reach;
 use super::throttle::ServiceHash;
 use super::throttle::Throttles;
-use crate::protocol::words::Words;
+use crate::protocol::server_status::ServerStatus;
 
 /// What was sent where.
 #[derive(Clone, Copy, Debug)]
@@ -125,13 +125,13 @@
     pub fn asked(
         &mut self,
         speaker: Speaker<'_>,
-        words: &Words,
+        words: &ServerStatus,
         refused: bool,
         now: Instant,
     ) -> Lesson {
         let mut lesson = Lesson::default();
         let cold_left = words.cold_left.or((!refused).then_some(Duration::ZERO));
-        let words = Words { cold_left, ..*words };
+        let words = ServerStatus { cold_left, ..*words };
         self.hear(speaker, &words, false, &mut lesson, now);
         lesson
     }
@@ -140,7 +140,7 @@
     fn hear(
         &mut self,
         speaker: Speaker<'_>,
-        words: &Words,
+        words: &ServerStatus,
         is_whole: bool,
         lesson: &mut Lesson,
         now: Instant,
--- a/lib/src/coordination/limit.rs
+++ b/lib/src/coordination/limit.rs
@@ -62,7 +62,7 @@
 
     /// A box said what demand it sees.
     pub fn hear(&mut self, from: &BoxId, demands: &[Demand]) {
-        let demands = demands.iter().map(|demand| (demand.team, demand.per_minute));
+        let demands = demands.iter().map(|demand| (demand.team, demand.requests_per_minute));
         self.others.insert(from.clone(), demands.collect());
     }
 
@@ -114,10 +114,11 @@
             .iter()
             .map(|(team, state)| Demand {
                 team: name_hash(team),
-                per_minute: state.per_minute.ceil() as u32,
+                requests_per_minute: state.per_minute.ceil() as u32,
             })
             .collect();
-        demands.sort_by(|a, b| (b.per_minute, a.team).cmp(&(a.per_minute, b.team)));
+        demands
+            .sort_by(|a, b| (b.requests_per_minute, a.team).cmp(&(a.requests_per_minute, b.team)));
         demands.truncate(REPORTED_TEAMS);
         demands
     }
--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -156,7 +156,7 @@
 
     /// Peer addresses to try besides those of known members.
     pub fn learn_addresses(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        let own = self.own.peers;
+        let own = self.own.peer_address;
         self.addresses.extend(addresses.into_iter().filter(|address| *address != own));
     }
 
@@ -206,7 +206,9 @@
     /// A call got its answer.
     pub fn answered(&mut self, peer: SocketAddr) {
         self.failing *= 1.0 - SMOOTHING;
-        if let Some(known) = self.others.values_mut().find(|known| known.member.peers == peer) {
+        if let Some(known) =
+            self.others.values_mut().find(|known| known.member.peer_address == peer)
+        {
             known.failures = 0;
         }
     }
@@ -216,7 +218,7 @@
         let live = self
             .others
             .iter()
-            .find(|(_, known)| known.member.peers == peer && self.is_live(known, now));
+            .find(|(_, known)| known.member.peer_address == peer && self.is_live(known, now));
         // Calls to addresses at which nobody is known say nothing of this box.
         let Some(name) = live.map(|(name, _)| name.clone()) else { return false };
         let Some(known) = self.others.get_mut(&name) else { return false };
@@ -329,7 +331,7 @@
 
     /// Where this period's heartbeats go.
     pub fn targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let near = self.live_in(&self.own.region, now).map(|member| member.peers);
+        let near = self.live_in(&self.own.region, now).map(|member| member.peer_address);
         let mut targets = near.choose_multiple(rng, self.tuning.fan_out);
         targets.extend(self.far_targets(now, rng));
         targets.extend(self.doubtful(now));
@@ -344,7 +346,7 @@
     /// Members whose last call got no answer: they are called again.
     fn doubtful(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let doubtful = self.live_known(now).filter(|known| known.failures > 0);
-        doubtful.map(|known| known.member.peers).take(self.tuning.fan_out)
+        doubtful.map(|known| known.member.peer_address).take(self.tuning.fan_out)
     }
 
     /// One contact in each other region, or less often where that region is
@@ -361,7 +363,7 @@
             let size = members.iter().map(|member| member.region_boxes).max().unwrap_or(1);
             let share = (f64::from(size.max(1)) / own_size).min(1.0) * thrift;
             if rng.random_bool(share) {
-                targets.extend(members.iter().choose(rng).map(|member| member.peers));
+                targets.extend(members.iter().choose(rng).map(|member| member.peer_address));
             }
         }
         targets
@@ -369,8 +371,8 @@
 
     /// Addresses at which no live member is known: boxes not met yet, or ones that may be back.
     fn strangers(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let live: BTreeSet<SocketAddr> = self.live(now).map(|member| member.peers).collect();
-        let silent = self.others.values().map(|known| known.member.peers);
+        let live: BTreeSet<SocketAddr> = self.live(now).map(|member| member.peer_address).collect();
+        let silent = self.others.values().map(|known| known.member.peer_address);
         let all: BTreeSet<SocketAddr> = self.addresses.iter().copied().chain(silent).collect();
         all.into_iter().filter(move |peer| !live.contains(peer))
     }
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -34,7 +34,7 @@
 use super::text::Text;
 use super::throttle::Throttles;
 use crate::protocol::ServerId;
-use crate::protocol::adapter::Part;
+use crate::protocol::adapter::PromptSegment;
 use crate::protocol::routing::Service;
 
 /// Part of the connections that a server takes which requests may fill; others rest or close.
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
     /// Parts of the prompt.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptSegment],
     /// Servers that had the request already.
     pub tried: &'a [ServerId],
     /// What other boxes have on the servers.
@@ -182,7 +182,7 @@
                     let reborn = earlier.map(|_| now);
                     let removed = self.removed.get(&id).copied();
                     let unknown_before = removed.max(reborn).max(Some(self.started_at));
-                    Candidate::new(known, service.memory_tokens, unknown_before)
+                    Candidate::new(known, service.kv_cache_tokens, unknown_before)
                 }
             };
             self.servers.insert(id, candidate);
@@ -331,7 +331,7 @@
     }
 
     /// The server of this region that a prompt's shared text belongs to, by its hash.
-    fn home(&self, parts: &[Part]) -> Option<u64> {
+    fn home(&self, parts: &[PromptSegment]) -> Option<u64> {
         let text = Text::of(parts)?;
         let usable = self.servers.values().filter(|candidate| candidate.is_usable());
         usable.map(|candidate| candidate.hash).max_by_key(|hash| text.weight(*hash))
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -27,7 +27,7 @@
 pub use super::server::Lane;
 use super::server::Server;
 use super::server::smooth;
-use crate::error::Kind;
+use crate::error::ErrorKind;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
 use crate::protocol::config::Priority;
@@ -78,7 +78,7 @@
     /// To this region; a credit is used, or the region is the only one with servers.
     Region(RegionId),
     /// Nowhere; the final answer.
-    Refused(Kind, Duration),
+    Refused(ErrorKind, Duration),
 }
 
 /// What becomes of an arrival.
@@ -220,7 +220,7 @@
             self.retries.add(RETRY_SHARE);
         }
         if now >= arrival.deadline {
-            return (refused(Kind::WouldBeLate, Duration::ZERO), Vec::new());
+            return (refused(ErrorKind::WouldBeLate, Duration::ZERO), Vec::new());
         }
         if !arrival.here {
             return (Decision::Now(self.without_local_server(&arrival, now)), Vec::new());
@@ -239,7 +239,7 @@
             return (Decision::Now(self.without_local_server(&arrival, now)), Vec::new());
         }
         if now + wait + self.service_time.unwrap_or_default() > arrival.deadline {
-            return (refused(Kind::WouldBeLate, wait), Vec::new());
+            return (refused(ErrorKind::WouldBeLate, wait), Vec::new());
         }
         self.enqueue(arrival, wait)
     }
@@ -257,9 +257,9 @@
         let mut wakes = Vec::new();
         for waiting in displaced {
             if waiting.id == id {
-                decision = refused(Kind::QueueFull, wait);
+                decision = refused(ErrorKind::QueueFull, wait);
             } else {
-                let placement = Placement::Refused(Kind::QueueFull, wait);
+                let placement = Placement::Refused(ErrorKind::QueueFull, wait);
                 wakes.push(Wake { id: waiting.id, placement });
             }
         }
@@ -281,7 +281,7 @@
             return Placement::Region(region.clone());
         }
         let come_back = self.first_rest_ends(now).map(|until| self.returns.next(until, now));
-        Placement::Refused(Kind::NoServer, come_back.unwrap_or(NO_SERVER_RETRY))
+        Placement::Refused(ErrorKind::NoServer, come_back.unwrap_or(NO_SERVER_RETRY))
     }
 
     /// When the first of the servers takes requests again, if all rest.
@@ -421,7 +421,7 @@
     pub fn pump(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Wake> {
         let late = self.queue.expired(now).into_iter().map(|waiting| Wake {
             id: waiting.id,
-            placement: Placement::Refused(Kind::WouldBeLate, Duration::ZERO),
+            placement: Placement::Refused(ErrorKind::WouldBeLate, Duration::ZERO),
         });
         let mut wakes: Vec<Wake> = late.collect();
         while let Some(waiting) = self.queue.pop() {
@@ -442,6 +442,6 @@
     }
 }
 
-fn refused(kind: Kind, after: Duration) -> Decision {
+fn refused(kind: ErrorKind, after: Duration) -> Decision {
     Decision::Now(Placement::Refused(kind, after.max(Duration::from_secs(1))))
 }
--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -31,7 +31,7 @@
 use self::source::Source;
 use self::source::Word;
 use crate::protocol::RegionId;
-use crate::protocol::team::Limit;
+use crate::protocol::team::RateLimit;
 
 /// What stands for a team in datagrams.
 pub type TeamHash = u64;
@@ -167,7 +167,7 @@
     pub fn admit(
         &mut self,
         team: TeamHash,
-        limit: Limit,
+        limit: RateLimit,
         cost: f64,
         now: Instant,
     ) -> Result<(), Refusal> {
--- a/lib/src/coordination/quota/account.rs
+++ b/lib/src/coordination/quota/account.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::super::rate::Rate;
-use crate::protocol::team::Limit;
+use crate::protocol::team::RateLimit;
 
 /// Time over which demand is smoothed: some reports long, so that a flood shows within one second.
 pub const SMOOTHING: Duration = Duration::from_secs(1);
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Account {
     /// The limit, once a request has come.
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
     /// What all boxes together have left; below zero is debt.
     pub left: f64,
     /// What this box has left of its own part.
@@ -118,7 +118,7 @@
     /// Lets a request in, or says when to come back.
     pub fn admit(
         &mut self,
-        limit: Limit,
+        limit: RateLimit,
         cost: f64,
         terms: Terms,
         now: Instant,
--- a/lib/src/coordination/text.rs
+++ b/lib/src/coordination/text.rs
@@ -6,7 +6,7 @@
 //! would gather all that begin alike at a few engines.
 
 use super::rendezvous;
-use crate::protocol::adapter::Part;
+use crate::protocol::adapter::PromptSegment;
 
 /// From here on a shared text is read at its home, in whichever region that stands, tokens. What a
 /// request loses on the way there and back (110 to 160 ms) it gains twice: the text is not read
@@ -28,7 +28,7 @@
 
 impl Text {
     /// The shared text of a prompt; its last part is the request's own.
-    pub fn of(parts: &[Part]) -> Option<Text> {
+    pub fn of(parts: &[PromptSegment]) -> Option<Text> {
         let (_, shared) = parts.split_last()?;
         let last = shared.last()?;
         let tokens = shared.iter().fold(0, |sum: u32, part| sum.saturating_add(part.tokens));
--- a/lib/src/daemon/call.rs
+++ b/lib/src/daemon/call.rs
@@ -18,9 +18,9 @@
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
 use crate::coordination::ledger::Fingerprint;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::BoxId;
 use crate::protocol::PoolId;
 use crate::protocol::RegionId;
@@ -28,7 +28,7 @@
 use crate::protocol::caller;
 use crate::protocol::caller::Completion;
 use crate::protocol::caller::Endpoint;
-use crate::protocol::caller::Wishes;
+use crate::protocol::caller::RequestOptions;
 use crate::protocol::config::Configuration;
 use crate::protocol::config::Priority;
 use crate::protocol::config::Team;
@@ -116,21 +116,20 @@
         snapshot: Arc<Snapshot>,
     ) -> Result<Call, Failure> {
         let configuration = Arc::clone(&snapshot.configuration);
-        let wishes = Wishes::parse(&incoming.headers, &configuration.limits)?;
-        let team = configuration
-            .teams
-            .get(&incoming.team)
-            .ok_or_else(|| Failure::new(Kind::Unauthorized, "the team is no longer declared"))?;
+        let wishes = RequestOptions::parse(&incoming.headers, &configuration.limits)?;
+        let team = configuration.teams.get(&incoming.team).ok_or_else(|| {
+            Failure::new(ErrorKind::Unauthorized, "the team is no longer declared")
+        })?;
         let target = match endpoint {
             Endpoint::Completion => model_target(&configuration, team, &incoming)?,
             Endpoint::Service { name, path } => {
                 service_target(&configuration, team, &incoming, name, path)?
             }
-            _ => return Err(Failure::new(Kind::NotFound, "nothing to run")),
+            _ => return Err(Failure::new(ErrorKind::NotFound, "nothing to run")),
         };
         if wishes.priority.is_some_and(|priority| priority > team.max_priority) {
             let message = format!("the team may ask for {} at most", team.max_priority.as_str());
-            return Err(Failure::new(Kind::Forbidden, message));
+            return Err(Failure::new(ErrorKind::Forbidden, message));
         }
         let allowed = configuration.allowed_regions(team, target.residency.as_ref());
         Ok(Call {
@@ -186,12 +185,15 @@
         });
         if now >= self.deadline {
             self.not_sent();
-            return Err(Failure::new(Kind::WouldBeLate, "the deadline passed before dispatch"));
+            return Err(Failure::new(
+                ErrorKind::WouldBeLate,
+                "the deadline passed before dispatch",
+            ));
         }
         if self.send_before.is_some_and(|before| now >= before) {
             self.not_sent();
             let message = "the claim of the key may be over; the box was held up";
-            return Err(Failure::new(Kind::StoreUnavailable, message));
+            return Err(Failure::new(ErrorKind::StoreUnavailable, message));
         }
         Ok(())
     }
@@ -207,7 +209,7 @@
 
     /// Says how the request failed. That it was not run must be true.
     pub fn failed(&self, failure: Failure) -> Failure {
-        let not_run = failure.ran() == Ran::No;
+        let not_run = failure.executed() == Executed::No;
         invariant::check(Invariant::RanNoIsTrue, !(not_run && self.maybe_sent()), || {
             format!("request={} failure=\"{failure}\"", self.incoming.id)
         });
@@ -246,10 +248,10 @@
     let model = configuration
         .models
         .get(&name)
-        .ok_or_else(|| Failure::new(Kind::UnknownModel, format!("no model \"{name}\"")))?;
+        .ok_or_else(|| Failure::new(ErrorKind::UnknownModel, format!("no model \"{name}\"")))?;
     if !team.models.contains("*") && !team.models.contains(&name) {
         let message = format!("the team may not use model \"{name}\"");
-        return Err(Failure::new(Kind::Forbidden, message));
+        return Err(Failure::new(ErrorKind::Forbidden, message));
     }
     Ok(Target {
         pool: model.pool.clone(),
@@ -270,10 +272,10 @@
     let service = configuration
         .services
         .get(name)
-        .ok_or_else(|| Failure::new(Kind::UnknownService, format!("no service \"{name}\"")))?;
+        .ok_or_else(|| Failure::new(ErrorKind::UnknownService, format!("no service \"{name}\"")))?;
     if !team.services.contains("*") && !team.services.contains(name) {
         let message = format!("the team may not use service \"{name}\"");
-        return Err(Failure::new(Kind::Forbidden, message));
+        return Err(Failure::new(ErrorKind::Forbidden, message));
     }
     Ok(Target {
         pool: name.to_owned(),
@@ -288,5 +290,5 @@
 pub fn is_passed_on(name: &HeaderName) -> bool {
     let own = name.as_str().starts_with("copperweir-") || *name == caller::IDEMPOTENCY_KEY;
     let end_to_end = [header::AUTHORIZATION, header::HOST];
-    !own && !caller::is_of_connection(name) && !end_to_end.contains(name)
+    !own && !caller::is_hop_by_hop(name) && !end_to_end.contains(name)
 }
--- a/lib/src/daemon/caller.rs
+++ b/lib/src/daemon/caller.rs
@@ -29,13 +29,13 @@
 use super::shared::Shared;
 use super::shared::lock;
 use crate::coordination::ticket::Ticket;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::TeamId;
 use crate::protocol::caller;
-use crate::protocol::caller::BoxRow;
-use crate::protocol::caller::Boxes;
+use crate::protocol::caller::BoxEntry;
+use crate::protocol::caller::BoxesResponse;
 use crate::protocol::caller::Endpoint;
 use crate::protocol::config::Configuration;
 use crate::protocol::peer::Member;
@@ -44,11 +44,11 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::body::Answer;
+use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
 /// An answer to a caller.
-pub type Reply = Response<Answer<Relay>>;
+pub type Reply = Response<ResponseBody<Relay>>;
 
 /// Longest wait for the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
@@ -91,9 +91,9 @@
         Endpoint::Ready => return ready(snapshot),
         _ => {}
     }
-    shared.counters.count(Counter::Requests);
+    shared.counters.increment(Counter::Requests);
     if !snapshot.ready {
-        return Err(Failure::new(Kind::NotReady, "the box has no configuration yet"));
+        return Err(Failure::new(ErrorKind::NotReady, "the box has no configuration yet"));
     }
     let team = authenticate(&snapshot.configuration, &parts.headers)?;
     match endpoint {
@@ -146,7 +146,7 @@
 
 fn ready(snapshot: &Snapshot) -> Result<Reply, Failure> {
     if !snapshot.ready {
-        return Err(Failure::new(Kind::NotReady, "the box has no configuration yet"));
+        return Err(Failure::new(ErrorKind::NotReady, "the box has no configuration yet"));
     }
     if snapshot.own.phase == Phase::Leaving {
         return Err(leaving(snapshot));
@@ -158,17 +158,17 @@
     let other = snapshot.members.iter().filter(|member| member.phase == Phase::Serving);
     let nearest = other.min_by_key(|member| member.region != snapshot.own.region);
     let message = match nearest {
-        Some(member) => format!("this box is leaving; use {}", member.callers),
+        Some(member) => format!("this box is leaving; use {}", member.caller_address),
         None => "this box is leaving".to_owned(),
     };
-    Failure::new(Kind::Leaving, message)
+    Failure::new(ErrorKind::Leaving, message)
 }
 
 /// The team of a request. Keys are compared by their hashes, which the
 /// configuration holds; the time of a look-up says nothing of a key.
 fn authenticate(configuration: &Configuration, headers: &HeaderMap) -> Result<TeamId, Failure> {
-    let unauthorized = |text: &str| Failure::new(Kind::Unauthorized, text);
-    match caller::bearer(headers)? {
+    let unauthorized = |text: &str| Failure::new(ErrorKind::Unauthorized, text);
+    match caller::bearer_token(headers)? {
         Some(key) => {
             let digest = KeyDigest::of(key).to_string();
             let team = configuration.keys.get(&digest).or(configuration.anonymous.as_ref());
@@ -183,16 +183,17 @@
 
 fn limit(shared: &Shared, configuration: &Configuration, team: &TeamId) -> Result<(), Failure> {
     let Some(rate) = configuration.teams.get(team).map(|team| team.requests_per_second) else {
-        return Err(Failure::new(Kind::Unauthorized, "the team is not declared"));
+        return Err(Failure::new(ErrorKind::Unauthorized, "the team is not declared"));
     };
     lock(&shared.limiter).admit(team, rate, clock::now()).map_err(|after| {
         let message = format!("the team is over {rate} requests a second");
-        Failure::new(Kind::RateLimited, message).with_retry_after(after)
+        Failure::new(ErrorKind::RateLimited, message).with_retry_after(after)
     })
 }
 
 async fn read_body(body: RequestBody, limit: usize) -> Result<Bytes, Failure> {
-    let too_large = || Failure::new(Kind::BodyTooLarge, format!("the body is over {limit} bytes"));
+    let too_large =
+        || Failure::new(ErrorKind::BodyTooLarge, format!("the body is over {limit} bytes"));
     let announced = http_body::Body::size_hint(&body).lower();
     if announced > limit as u64 {
         tokio::spawn(discard(body));
@@ -201,13 +202,13 @@
     let mut body = body;
     let whole = Limited::new(&mut body, limit).collect();
     match timer::timeout(BODY_TIMEOUT, whole).await {
-        Err(_) => Err(Failure::new(Kind::BodyTimeout, "the body did not arrive in time")),
+        Err(_) => Err(Failure::new(ErrorKind::BodyTimeout, "the body did not arrive in time")),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             tokio::spawn(discard(body));
             Err(too_large())
         }
-        Ok(Err(error)) => Err(Failure::new(Kind::BadRequest, format!("the body: {error}"))),
+        Ok(Err(error)) => Err(Failure::new(ErrorKind::BadRequest, format!("the body: {error}"))),
     }
 }
 
@@ -251,11 +252,11 @@
     members.sort_by_key(|member| {
         (member.region != *own_region, member.region.clone(), member.in_flight)
     });
-    let rows = members.into_iter().take(MAX_BOXES).map(|member| BoxRow {
+    let rows = members.into_iter().take(MAX_BOXES).map(|member| BoxEntry {
         name: member.name.clone(),
         region: member.region.clone(),
         failure_domain: member.failure_domain.clone(),
-        address: member.callers.to_string(),
+        address: member.caller_address.to_string(),
         weight: (FULL_WEIGHT / (1 + member.in_flight)).max(1),
     });
     let now = clock::now();
@@ -265,7 +266,7 @@
         issued: Duration::from_millis(shared.uptime(now).as_millis() as u64),
         nonce: rand::rng().random(),
     };
-    let boxes = Boxes {
+    let boxes = BoxesResponse {
         boxes: rows.collect(),
         valid_ms: BOXES_VALID.as_millis() as u64,
         ticket: ticket.to_string(),
@@ -275,11 +276,11 @@
 }
 
 fn text(text: &'static str) -> Reply {
-    Response::new(Answer::whole(text))
+    Response::new(ResponseBody::buffered(text))
 }
 
 fn json_reply(value: &serde_json::Value) -> Reply {
-    let mut reply = Response::new(Answer::whole(value.to_string()));
+    let mut reply = Response::new(ResponseBody::buffered(value.to_string()));
     let json = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(header::CONTENT_TYPE, json);
     reply
@@ -296,14 +297,14 @@
 }
 
 fn failed(shared: &Shared, failure: &Failure) -> Reply {
-    shared.counters.count(Counter::Failed);
-    if failure.ran() == Ran::No {
-        shared.counters.count(Counter::Refused);
+    shared.counters.increment(Counter::Failed);
+    if failure.executed() == Executed::No {
+        shared.counters.increment(Counter::Refused);
     }
-    let mut reply = Response::new(Answer::whole(caller::failure_body(failure)));
+    let mut reply = Response::new(ResponseBody::buffered(caller::failure_body(failure)));
     *reply.status_mut() = failure.status();
-    caller::failure_headers(failure, reply.headers_mut());
-    if failure.kind == Kind::BodyTooLarge || failure.kind == Kind::BodyTimeout {
+    caller::add_failure_headers(failure, reply.headers_mut());
+    if failure.kind == ErrorKind::BodyTooLarge || failure.kind == ErrorKind::BodyTimeout {
         // The rest of the body is not read.
         reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -21,7 +21,7 @@
 use crate::coordination::rollout::Offer;
 use crate::protocol::Version;
 use crate::protocol::config::document::Document;
-use crate::protocol::config::document::KEY;
+use crate::protocol::config::document::STORE_KEY;
 use crate::protocol::platform::Store;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -43,7 +43,7 @@
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
-            let entry = platform.get(KEY).await.ok().flatten();
+            let entry = platform.get(STORE_KEY).await.ok().flatten();
             let document = entry.map(|entry| Bytes::from(entry.value));
             let _ = events.send(Event::Document(document)).await;
             let _ = events.send(Event::SourceDone).await;
@@ -83,8 +83,8 @@
                 let jitter = rng.random_range(0.5..1.5);
                 let watches = watching.load(Ordering::Relaxed);
                 let answer = match watches {
-                    true => platform.watch(KEY, after, WATCH_WAIT).await,
-                    false => platform.get(KEY).await,
+                    true => platform.watch(STORE_KEY, after, WATCH_WAIT).await,
+                    false => platform.get(STORE_KEY).await,
                 };
                 let pause = match answer {
                     Err(_) => RETRY_PERIOD.mul_f64(jitter),
@@ -136,7 +136,7 @@
         }
         let now = clock::now();
         let holder = self.exchange.membership.live(now).find(|member| member.version >= version);
-        if let Some(address) = holder.map(|member| member.peers) {
+        if let Some(address) = holder.map(|member| member.peer_address) {
             self.fetch_from(address);
         }
     }
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -18,7 +18,7 @@
 use crate::protocol::peer::Phase;
 use crate::protocol::peer::wire;
 use crate::protocol::platform::Directory;
-use crate::protocol::platform::Listing;
+use crate::protocol::platform::DirectoryEntry;
 use crate::state::clock;
 use crate::state::counters::Counter;
 
@@ -74,7 +74,8 @@
         let now = clock::now();
         self.exchange.membership.update_own(|own| own.beat += 1);
         let region = self.shared.settings.region.clone();
-        let members = self.exchange.membership.live_in(&region, now).map(|member| member.peers);
+        let members =
+            self.exchange.membership.live_in(&region, now).map(|member| member.peer_address);
         let targets: Vec<SocketAddr> = members.take(TOLD_OF_LEAVING).collect();
         for target in targets {
             self.send_heartbeat(target, now);
@@ -88,11 +89,12 @@
     }
 
     fn send_with(&mut self, target: SocketAddr, extra: Extra, now: Instant) {
-        let member = self.exchange.membership.live(now).find(|member| member.peers == target);
+        let member =
+            self.exchange.membership.live(now).find(|member| member.peer_address == target);
         let region = member.map(|member| member.region.clone());
         let heartbeat = wire::Heartbeat::from(&self.compose(region.as_ref(), extra, now));
         let counters = Arc::clone(&self.shared.counters);
-        counters.count(Counter::HeartbeatsSent);
+        counters.increment(Counter::HeartbeatsSent);
         counters.add(Counter::HeartbeatBytes, heartbeat.encoded_len() as u64);
         let peers = Arc::clone(&self.peers);
         let events = self.events.clone();
@@ -100,7 +102,7 @@
             let answer = peers.exchange(target, heartbeat).await;
             let answered = answer.is_ok();
             let _ = events.send(Event::Called { peer: target, answered, sent_at: now }).await;
-            let Ok(answer) = answer else { return counters.count(Counter::HeartbeatsFailed) };
+            let Ok(answer) = answer else { return counters.increment(Counter::HeartbeatsFailed) };
             counters.add(Counter::HeartbeatBytes, answer.encoded_len() as u64);
             if let Ok(heartbeat) = Heartbeat::try_from(answer) {
                 let _ = events.send(Event::Heartbeat(Box::new(heartbeat), None)).await;
@@ -150,8 +152,8 @@
             let lender = self.lenders.entry(id.clone()).or_default();
             let slots = lender.lend(share, share.div_ceil(2), now);
             if slots > 0 {
-                let life = crate::coordination::lending::LIFE;
-                credits.push(Credit { pool: id.clone(), slots, life });
+                let ttl = crate::coordination::lending::LIFE;
+                credits.push(Credit { pool: id.clone(), slots, ttl });
             }
         }
         credits
@@ -202,7 +204,7 @@
         }
         for credit in credits {
             if let Some(pool) = self.shared.pools.get(&credit.pool) {
-                pool.with(|pool| pool.credit(from.clone(), credit.slots, credit.life, now));
+                pool.with(|pool| pool.credit(from.clone(), credit.slots, credit.ttl, now));
             }
         }
     }
@@ -227,12 +229,12 @@
         if own.phase == Phase::Starting {
             return;
         }
-        let listing = Listing {
+        let listing = DirectoryEntry {
             name: own.name.clone(),
             region: own.region.clone(),
             failure_domain: own.failure_domain.clone(),
-            callers: own.callers.to_string(),
-            peers: own.peers.to_string(),
+            callers: own.caller_address.to_string(),
+            peers: own.peer_address.to_string(),
             leaving: own.phase == Phase::Leaving,
         };
         let platform = self.platform.clone();
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -47,15 +47,15 @@
 use crate::protocol::peer::Heartbeat;
 use crate::protocol::peer::Member;
 use crate::protocol::peer::Phase;
-use crate::protocol::peer::Report;
+use crate::protocol::peer::ServerReport;
+use crate::protocol::platform::BoxListEntry;
 use crate::protocol::platform::LeaseId;
-use crate::protocol::platform::Listed;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::state::load::Load;
+use crate::state::load::ServerLoads;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::metrics;
 use crate::transport::peer;
 use crate::transport::platform::Platform;
@@ -97,9 +97,9 @@
     /// A forwarded request was decided by a newer version than ours.
     Behind(Version),
     /// A backend server was probed.
-    Probed(Report),
+    Probed(ServerReport),
     /// The platform's list came in.
-    Listed(Vec<Listed>),
+    Listed(Vec<BoxListEntry>),
     /// Word on the lease of this region's duty.
     Lease(lease::Event, Option<LeaseId>),
     /// The operator asks to stop.
@@ -135,7 +135,7 @@
 pub struct Control {
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
-    stop: watch::Sender<Stop>,
+    stop: watch::Sender<Shutdown>,
     exchange: Exchange,
     rollout: Rollout,
     configuration: Arc<Configuration>,
@@ -146,7 +146,7 @@
     peers: Arc<peer::Client>,
     platform: Platform,
     backend: backend::Client,
-    metrics: Option<metrics::Sink>,
+    metrics: Option<metrics::StatsdSink>,
     watching: Arc<AtomicBool>,
     fetching: Arc<AtomicBool>,
     live: BTreeSet<(String, u64, bool)>,
@@ -163,7 +163,7 @@
     pub fn new(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
-        stop: watch::Sender<Stop>,
+        stop: watch::Sender<Shutdown>,
         own: Member,
         peers: peer::Client,
     ) -> Control {
@@ -173,12 +173,12 @@
         let mut membership = Membership::new(own, membership::Tuning::default());
         membership.learn_addresses(settings.seeds.iter().copied());
         let metrics = settings.statsd.and_then(|address| {
-            metrics::Sink::open(address, &settings.name, &settings.region)
+            metrics::StatsdSink::open(address, &settings.name, &settings.region)
                 .inspect_err(|error| log::warn!("event=metrics_off error=\"{error}\""))
                 .ok()
         });
         Control {
-            exchange: Exchange { membership, load: Load::default() },
+            exchange: Exchange { membership, load: ServerLoads::default() },
             rollout: Rollout::new(now, START_WAIT),
             configuration: Arc::new(Configuration::default()),
             drain: Drain::new(tuning),
@@ -216,7 +216,7 @@
             }
         }
         let stage = self.drain.stage();
-        let stop = if stage == Stage::Done { Stop::Gently } else { Stop::Now };
+        let stop = if stage == Stage::Done { Shutdown::Graceful } else { Shutdown::Now };
         let _ = self.stop.send(stop);
         stage
     }
@@ -238,7 +238,7 @@
         timer.subscribe(Topic::Sweep, SWEEP_PERIOD, SWEEP_PERIOD);
         let (sender, mut ticks) = mpsc::channel(1);
         let events = self.events.clone();
-        tokio::spawn(timer::watch_suspensions());
+        tokio::spawn(timer::watch_for_suspensions());
         tokio::spawn(timer.run(sender));
         tokio::spawn(async move {
             while let Some(tick) = ticks.recv().await {
@@ -274,7 +274,7 @@
 
     fn tick(&mut self, tick: Tick<Topic>) {
         match tick.topic {
-            Topic::Heartbeat => self.beat(tick.now, tick.late),
+            Topic::Heartbeat => self.beat(tick.now, tick.lateness),
             Topic::Probe => self.probe(),
             Topic::Pools => self.refresh_pools(tick.now),
             Topic::List => self.read_list(false),
@@ -386,6 +386,6 @@
     }
 
     fn count(&self, counter: Counter) {
-        self.shared.counters.count(counter);
+        self.shared.counters.increment(counter);
     }
 }
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -33,8 +33,8 @@
 use crate::state::counters::Counters;
 use crate::transport::backend;
 use crate::transport::engine::Engine;
-use crate::transport::engine::Loaded;
-use crate::transport::engine::Model;
+use crate::transport::engine::LoadedModels;
+use crate::transport::engine::ModelVersion;
 use crate::transport::engine::OrderError;
 use crate::transport::platform::Platform;
 
@@ -132,7 +132,7 @@
                     let order = Order {
                         server: id.clone(),
                         address: server.address,
-                        wanted: Loaded { epoch, models: models.clone() },
+                        wanted: LoadedModels { epoch, models: models.clone() },
                         until,
                     };
                     let counters = Arc::clone(&self.shared.counters);
@@ -143,10 +143,10 @@
     }
 }
 
-fn wanted(configuration: &Configuration, pool: &PoolId) -> Vec<Model> {
+fn wanted(configuration: &Configuration, pool: &PoolId) -> Vec<ModelVersion> {
     let models = configuration.models.iter().filter(|(_, model)| model.pool == *pool);
     models
-        .map(|(name, model)| Model { name: name.clone(), version: model.version.clone() })
+        .map(|(name, model)| ModelVersion { name: name.clone(), version: model.version.clone() })
         .collect()
 }
 
@@ -178,7 +178,7 @@
 struct Order {
     server: ServerId,
     address: SocketAddr,
-    wanted: Loaded,
+    wanted: LoadedModels,
     until: Instant,
 }
 
@@ -197,16 +197,16 @@
         invariant::check(Invariant::OrderUnderLease, clock::now() < self.until, || {
             format!("server={} epoch={}", self.server, self.wanted.epoch)
         });
-        counters.count(Counter::Orders);
+        counters.increment(Counter::Orders);
         let timeout = lease::Tuning::default().flight;
         let epoch: Epoch = self.wanted.epoch;
         match engine.order(self.address, &self.wanted, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
             Err(OrderError::Fenced) => {
-                counters.count(Counter::OrdersFailed);
+                counters.increment(Counter::OrdersFailed);
                 log::warn!("event=order_fenced server={} epoch={epoch}", self.server);
             }
-            Err(OrderError::Failed(_)) => counters.count(Counter::OrdersFailed),
+            Err(OrderError::Failed(_)) => counters.increment(Counter::OrdersFailed),
         }
     }
 }
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -16,15 +16,15 @@
 use crate::protocol::ServerId;
 use crate::protocol::config;
 use crate::protocol::name_hash;
-use crate::protocol::peer::Report;
+use crate::protocol::peer::ServerReport;
 use crate::protocol::platform::BoxList;
-use crate::protocol::platform::Listed;
-use crate::protocol::platform::ListedState;
+use crate::protocol::platform::BoxListEntry;
+use crate::protocol::platform::BoxListState;
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::transport::backend;
 use crate::transport::engine::Engine;
-use crate::transport::engine::Load;
+use crate::transport::engine::EngineLoad;
 
 /// Time between probes of a server by one box.
 pub(super) const PROBE_PERIOD: Duration = Duration::from_millis(500);
@@ -85,7 +85,7 @@
                 slots: server.slots,
                 leaving: server.leaving || self.exchange.load.leaving(id, now),
                 reachable: observed.is_none_or(|observed| observed.reachable),
-                report: observed.map(|observed| (observed.load, observed.at)),
+                report: observed.map(|observed| (observed.load, observed.observed_at)),
             }
         };
         here.map(|(id, server)| (id.clone(), lane(id, server))).collect()
@@ -142,7 +142,7 @@
                 false => backend.load(address).await,
             };
             let (reachable, load) = (load.is_some(), load.unwrap_or_default());
-            let report = Report {
+            let report = ServerReport {
                 server: name_hash(&server),
                 load: load.running + load.queued,
                 reachable,
@@ -155,7 +155,7 @@
     }
 
     /// A probe ended.
-    pub(super) fn probed(&mut self, report: &Report) {
+    pub(super) fn probed(&mut self, report: &ServerReport) {
         self.pools_dirty = true;
         if self.exchange.load.observe(report, clock::now()) {
             self.refresh_pools(clock::now());
@@ -182,7 +182,7 @@
     }
 
     /// The platform's list came in: peers to meet, and servers that are leaving.
-    pub(super) fn listed(&mut self, listed: &[Listed]) {
+    pub(super) fn listed(&mut self, listed: &[BoxListEntry]) {
         let region = self.shared.settings.region.clone();
         let fresh = !self.shared.snapshot.load().ready;
         let mut addresses = BTreeSet::new();
@@ -198,7 +198,7 @@
         self.exchange.membership.learn_addresses(addresses);
         let now = clock::now();
         let mut news = false;
-        for row in listed.iter().filter(|row| row.state == ListedState::Leaving) {
+        for row in listed.iter().filter(|row| row.state == BoxListState::Leaving) {
             news |= self.exchange.load.observe_listed(name_hash(&row.name), now, now);
         }
         self.pools_dirty = true;
@@ -213,6 +213,6 @@
     pool::Limits { queue: pool.queue_limit, bytes: pool.queue_bytes, boxes }
 }
 
-async fn connects(address: SocketAddr) -> Option<Load> {
-    backend::reachable(address, CONNECT_TIMEOUT).await.then(Load::default)
+async fn connects(address: SocketAddr) -> Option<EngineLoad> {
+    backend::accepts_connections(address, CONNECT_TIMEOUT).await.then(EngineLoad::default)
 }
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -34,17 +34,17 @@
 use crate::coordination::invariant::Invariant;
 use crate::coordination::pool::Arrival;
 use crate::coordination::pool::Outcome;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
 use crate::protocol::caller;
 use crate::protocol::retry_after;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::backend::Attempt;
-use crate::transport::backend::Exchange;
+use crate::transport::backend::AttemptError;
+use crate::transport::backend::PooledBody;
 use crate::transport::timer;
 
 /// Most attempts for one request, whatever the budget says.
@@ -83,13 +83,13 @@
     let pool = shared
         .pools
         .get(&call.pool)
-        .ok_or_else(|| Failure::new(Kind::NoServer, "the pool has no backend servers"))?;
+        .ok_or_else(|| Failure::new(ErrorKind::NoServer, "the pool has no backend servers"))?;
     check_region(call)?;
     let mut tried = Vec::new();
     let mut rests = 0;
     let mut elsewhere = call.elsewhere();
     loop {
-        let queued = || shared.counters.count(Counter::Queued);
+        let queued = || shared.counters.increment(Counter::Queued);
         let grant = pool.acquire(arrival(shared, call, &tried, &elsewhere), queued).await;
         let grant = grant.map_err(|failure| after_attempts(call, failure))?;
         let progress = progress.take().unwrap_or_else(|| shared.progress());
@@ -101,11 +101,11 @@
                     Ok(started) => Tried::Started(Box::new(started)),
                     // A region that cannot be reached, or refuses, is no reason to refuse what can run
                     // here: its slots may be lent for seconds after the last word of it.
-                    Err(failure) if failure.ran() == Ran::No && !call.maybe_sent() => {
+                    Err(failure) if failure.executed() == Executed::No && !call.maybe_sent() => {
                         log::debug!("event=region_left_out region={region} cause=\"{failure}\"");
                         continue;
                     }
-                    Err(failure) if failure.ran() == Ran::No => Tried::NotRun(failure),
+                    Err(failure) if failure.executed() == Executed::No => Tried::NotRun(failure),
                     Err(failure) => Tried::Lost(failure),
                 }
             }
@@ -129,7 +129,7 @@
         if !(may_repeat && in_time && here && may_retry(&pool)) {
             return Err(after_attempts(call, failure));
         }
-        shared.counters.count(Counter::Retries);
+        shared.counters.increment(Counter::Retries);
     }
 }
 
@@ -140,11 +140,11 @@
 /// A request that found no further place after an attempt that may have run
 /// must not be called "not run", whatever the later one came to.
 fn after_attempts(call: &Call, failure: Failure) -> Failure {
-    if failure.ran() != Ran::No || !call.maybe_sent() {
+    if failure.executed() != Executed::No || !call.maybe_sent() {
         return failure;
     }
     let message = format!("the first attempt failed, and then: {}", failure.message);
-    Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)
+    Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown)
 }
 
 fn arrival(shared: &Shared, call: &Call, tried: &[ServerId], elsewhere: &[RegionId]) -> Arrival {
@@ -168,7 +168,7 @@
     }
     if call.incoming.purpose == Purpose::Region || call.allowed.is_empty() {
         let message = format!("the request may not run in {own}");
-        return Err(Failure::new(Kind::OutsideRegion, message));
+        return Err(Failure::new(ErrorKind::OutsideRegion, message));
     }
     Ok(())
 }
@@ -179,7 +179,7 @@
     invariant::check(Invariant::Residency, allowed, || format!("request={}", call.incoming.id));
     if !allowed {
         let message = format!("the request may not run in {own}");
-        return Tried::NotRun(Failure::new(Kind::OutsideRegion, message));
+        return Tried::NotRun(Failure::new(ErrorKind::OutsideRegion, message));
     }
     let request = match request(call, &slot) {
         Ok(request) => request,
@@ -189,8 +189,8 @@
     if let Err(failure) = call.about_to_send(sent) {
         return Tried::NotRun(failure);
     }
-    shared.counters.count(Counter::Attempts);
-    let exchange = shared.backend.exchange(slot.address, request, !call.repeatable);
+    shared.counters.increment(Counter::Attempts);
+    let exchange = shared.backend.send(slot.address, request, !call.repeatable);
     let response = match timer::timeout_at(call.deadline, exchange).await {
         Ok(Ok(response)) => response,
         Ok(Err(attempt)) => {
@@ -200,13 +200,15 @@
         Err(_) => {
             slot.set_outcome(Outcome::Failed);
             let message = format!("{} did not answer before the deadline", slot.server);
-            return Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown));
+            return Tried::Lost(
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
+            );
         }
     };
     if says_not_run(&response) {
         call.not_sent();
         let message = format!("{} refused the request", slot.server);
-        let failure = Failure::new(Kind::BackendFailed, message).with_ran(Ran::No);
+        let failure = Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::No);
         let rest = retry_after::read(response.headers());
         let Some(rest) = rest.filter(|rest| !rest.is_zero()) else {
             slot.set_outcome(Outcome::Failed);
@@ -218,28 +220,28 @@
     Tried::Started(Box::new(started(shared, call, slot, progress, sent, response)))
 }
 
-fn failed(call: &Call, slot: &Slot, attempt: Attempt) -> Tried {
+fn failed(call: &Call, slot: &Slot, attempt: AttemptError) -> Tried {
     let message = format!("{}: {attempt}", slot.server);
-    let failure = Failure::new(Kind::BackendFailed, message);
+    let failure = Failure::new(ErrorKind::BackendFailed, message);
     match attempt {
-        Attempt::Unsent(_) | Attempt::Withheld => {
+        AttemptError::NotSent(_) | AttemptError::Withheld => {
             call.not_sent();
-            Tried::NotRun(failure.with_ran(Ran::No))
+            Tried::NotRun(failure.with_executed(Executed::No))
         }
-        Attempt::Lost(_) => Tried::Lost(failure.with_ran(Ran::Unknown)),
+        AttemptError::NoResponse(_) => Tried::Lost(failure.with_executed(Executed::Unknown)),
     }
 }
 
 /// The backend server itself says that it did not run the request.
-fn says_not_run(response: &Response<Exchange>) -> bool {
+fn says_not_run(response: &Response<PooledBody>) -> bool {
     let status = response.status();
     let refused =
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-    refused && response.headers().get(caller::RAN).is_some_and(|ran| ran == Ran::No.as_str())
+    refused && response.headers().get(caller::RAN).is_some_and(|ran| ran == Executed::No.as_str())
 }
 
 fn request(call: &Call, slot: &Slot) -> Result<Request<Full<bytes::Bytes>>, Failure> {
-    let malformed = |_| Failure::new(Kind::BadRequest, "the path cannot be passed on");
+    let malformed = |_| Failure::new(ErrorKind::BadRequest, "the path cannot be passed on");
     let uri: Uri = call.backend_path.parse().map_err(malformed)?;
     let mut request = Request::new(Full::new(call.incoming.body.clone()));
     *request.method_mut() = call.incoming.method.clone();
@@ -269,7 +271,7 @@
     slot: Slot,
     progress: Progress,
     sent: Instant,
-    response: Response<Exchange>,
+    response: Response<PooledBody>,
 ) -> Started {
     let (head, exchange) = response.into_parts();
     let events = call.stream && is_event_stream(&head.headers);
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -23,9 +23,9 @@
 use super::shared::Shared;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::Incarnation;
 use crate::protocol::RegionId;
 use crate::protocol::caller;
@@ -55,12 +55,13 @@
         .filter(|member| member.region == *region && member.phase == Phase::Serving);
     let boxes = serving.choose_multiple(&mut rand::rng(), BOXES_TRIED);
     let mut progress = Some(progress);
-    let mut failure = Failure::new(Kind::NoServer, format!("no box of {region} can be reached"));
+    let mut failure =
+        Failure::new(ErrorKind::NoServer, format!("no box of {region} can be reached"));
     for member in boxes {
         let progress = progress.take().unwrap_or_else(|| shared.progress());
         match send(shared, call, member, Purpose::Region, progress).await {
             Ok(started) => return Ok(started),
-            Err(Sent::Nothing(text)) => failure = Failure::new(Kind::NoServer, text),
+            Err(Sent::Nothing(text)) => failure = Failure::new(ErrorKind::NoServer, text),
             Err(Sent::Refused(refusal)) => return Err(refusal),
         }
     }
@@ -77,7 +78,7 @@
     let gone = || {
         let message =
             format!("box {owner}, which owned the key, is gone; the request may have run");
-        Failure::new(Kind::OwnerGone, message)
+        Failure::new(ErrorKind::OwnerGone, message)
     };
     let member = call
         .snapshot
@@ -106,24 +107,26 @@
 ) -> Result<Started, Sent> {
     if call.incoming.visited.len() >= MAX_VISITED {
         let message = "the request was passed on as often as allowed";
-        return Err(Sent::Refused(Failure::new(Kind::TooManyHops, message)));
+        return Err(Sent::Refused(Failure::new(ErrorKind::TooManyHops, message)));
     }
     let back = call.incoming.visited.contains(&member.name);
     invariant::check(Invariant::Hops, !back, || format!("request={}", call.incoming.id));
     let sent = clock::now();
     call.about_to_send(sent).map_err(Sent::Refused)?;
     let request = message(shared, call, member, purpose, sent);
-    shared.counters.count(Counter::ForwardedOut);
+    shared.counters.increment(Counter::ForwardedOut);
     let exchange = async {
-        let mut frames = shared.peers.forward(member.peers, request).await?;
-        let first = frames.message().await.map_err(|status| CallError::Lost(Box::new(status)))?;
+        let mut frames = shared.peers.forward(member.peer_address, request).await?;
+        let first =
+            frames.message().await.map_err(|status| CallError::NoResponse(Box::new(status)))?;
         Ok((frames, first))
     };
     let answer = match timer::timeout_at(call.deadline, exchange).await {
         Ok(answer) => answer,
         Err(_) => {
             let message = format!("box {} did not answer before the deadline", member.name);
-            let failure = Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown);
+            let failure =
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown);
             return Err(Sent::Refused(failure));
         }
     };
@@ -132,13 +135,13 @@
             let account = account(shared, call, None, progress, sent);
             read_head(frames, first, call, account, &member.region)
         }
-        Err(CallError::Unsent(text)) => {
+        Err(CallError::NotSent(text)) => {
             call.not_sent();
             Err(Sent::Nothing(text))
         }
-        Err(error @ CallError::Lost(_)) => {
-            let failure = Failure::new(Kind::BackendFailed, error.to_string());
-            Err(Sent::Refused(failure.with_ran(Ran::Unknown)))
+        Err(error @ CallError::NoResponse(_)) => {
+            let failure = Failure::new(ErrorKind::BackendFailed, error.to_string());
+            Err(Sent::Refused(failure.with_executed(Executed::Unknown)))
         }
     }
 }
@@ -192,8 +195,9 @@
     account: super::relay::Account,
     region: &RegionId,
 ) -> Result<Started, Sent> {
-    let unknown =
-        |text: &str| Sent::Refused(Failure::new(Kind::BackendFailed, text).with_ran(Ran::Unknown));
+    let unknown = |text: &str| {
+        Sent::Refused(Failure::new(ErrorKind::BackendFailed, text).with_executed(Executed::Unknown))
+    };
     match first.and_then(|frame| frame.frame) {
         Some(Frame::Head(head)) => {
             let status =
@@ -216,7 +220,7 @@
         }
         Some(Frame::Failure(failure)) => {
             let failure = failure_from(&failure);
-            if failure.ran() == Ran::No {
+            if failure.executed() == Executed::No {
                 call.not_sent();
             }
             Err(Sent::Refused(failure))
@@ -252,8 +256,8 @@
 }
 
 fn failure_from(raw: &wire::Failure) -> Failure {
-    let kind = Kind::parse(&raw.kind).unwrap_or(Kind::BackendFailed);
-    let failure = Failure::new(kind, raw.message.clone()).with_ran(Ran::parse(&raw.ran));
+    let kind = ErrorKind::parse(&raw.kind).unwrap_or(ErrorKind::BackendFailed);
+    let failure = Failure::new(kind, raw.message.clone()).with_executed(Executed::parse(&raw.ran));
     match raw.retry_after_ms {
         0 => failure,
         millis => failure.with_retry_after(std::time::Duration::from_millis(millis.into())),
@@ -263,9 +267,9 @@
 /// A failure as other boxes read it.
 pub(super) fn failure_to(failure: &Failure) -> wire::Failure {
     wire::Failure {
-        kind: failure.kind.row().code.to_owned(),
+        kind: failure.kind.spec().code.to_owned(),
         message: failure.message.clone(),
-        ran: failure.ran().as_str().to_owned(),
+        ran: failure.executed().as_str().to_owned(),
         retry_after_ms: failure
             .retry_after()
             .map_or(0, |after| after.as_millis().try_into().unwrap_or(u32::MAX)),
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -44,16 +44,16 @@
 use crate::protocol::peer::Phase;
 use crate::protocol::peer::wire::peer_server::PeerServer;
 use crate::protocol::settings::Settings;
-use crate::state::burn::Burn;
+use crate::state::burn::BurnTracker;
 use crate::state::clock;
 use crate::state::counters::Counters;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
 use crate::transport::listen;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::peer as peer_transport;
 use crate::transport::platform::Platform;
-use crate::transport::worker;
+use crate::transport::traffic_thread;
 
 /// Low bits of an incarnation that are random; the rest is the time of the start.
 const RANDOM_BITS: u32 = 20;
@@ -107,7 +107,7 @@
             operators: operators.local_addr()?,
         };
         let (events, receiver) = mpsc::channel(control::EVENTS);
-        let (stop, stopping) = watch::channel(Stop::No);
+        let (stop, stopping) = watch::channel(Shutdown::No);
         let shared = Arc::new(shared(settings, addresses, events.clone())?);
         let control = start_control(&shared, events, receiver, stop)?;
         let traffic = start_traffic(&shared, [callers, peers, operators], stopping)?;
@@ -206,7 +206,7 @@
         pools: pools::Table::default(),
         limiter: Mutex::new(Limiter::default()),
         once: once::Memory::default(),
-        burn: Mutex::new(Burn::new(now)),
+        burn: Mutex::new(BurnTracker::new(now)),
         counters,
         backend: backend::Client::default(),
         control,
@@ -225,8 +225,8 @@
         name: settings.name.clone(),
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
-        callers: addresses.callers,
-        peers: addresses.peers,
+        caller_address: addresses.callers,
+        peer_address: addresses.peers,
         incarnation,
         beat: 1,
         phase: Phase::Starting,
@@ -240,7 +240,7 @@
     shared: &Arc<Shared>,
     events: mpsc::Sender<control::Event>,
     receiver: mpsc::Receiver<control::Event>,
-    stop: watch::Sender<Stop>,
+    stop: watch::Sender<Shutdown>,
 ) -> Result<JoinHandle<Stage>, StartError> {
     let peers = peer_client(&shared.settings)?;
     let own = shared.now_in_force().own.clone();
@@ -255,19 +255,19 @@
 
 /// What the traffic threads are given.
 struct Thread {
-    accepted: [listen::Accepted; PORTS],
+    accepted: [listen::AcceptedStreams; PORTS],
 }
 
 fn start_traffic(
     shared: &Arc<Shared>,
     listeners: [TcpListener; PORTS],
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<Vec<JoinHandle<()>>, StartError> {
     let mut senders: [Vec<mpsc::Sender<TcpStream>>; PORTS] = Default::default();
     let mut threads = Vec::new();
     for index in 0..shared.settings.traffic_threads {
         let accepted = senders.each_mut().map(|senders| {
-            let (sender, accepted) = mpsc::channel(listen::HANDED_OVER);
+            let (sender, accepted) = mpsc::channel(listen::HANDOVER_QUEUE_LEN);
             senders.push(sender);
             accepted
         });
@@ -285,7 +285,7 @@
 /// Starts a thread with a runtime of its own; it ends with its work, or at once when told so.
 fn spawn_thread<F>(
     index: usize,
-    mut stopping: watch::Receiver<Stop>,
+    mut stopping: watch::Receiver<Shutdown>,
     work: impl FnOnce() -> F + Send + 'static,
 ) -> Result<JoinHandle<()>, StartError>
 where
@@ -293,11 +293,11 @@
 {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let run = move || {
-        worker::set_index(index);
+        traffic_thread::set_index(index);
         runtime.block_on(async {
             let ended = tokio::select! {
                 ended = work() => ended,
-                _ = stopping.wait_for(|stop| *stop == Stop::Now) => Ok(()),
+                _ = stopping.wait_for(|stop| *stop == Shutdown::Now) => Ok(()),
             };
             if let Err(error) = ended {
                 log::error!("event=traffic_failed thread={index} error=\"{error}\"");
@@ -310,7 +310,7 @@
 /// Accepts on all ports until the stop has ended.
 async fn accept(
     ports: Vec<(TcpListener, Vec<mpsc::Sender<TcpStream>>)>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<(), StartError> {
     let mut accepting = JoinSet::new();
     for (listener, threads) in ports {
@@ -325,7 +325,7 @@
 async fn serve(
     shared: Arc<Shared>,
     thread: Thread,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<(), StartError> {
     let [callers, peers, operators] = thread.accepted;
     let state = Arc::clone(&shared);
@@ -333,8 +333,8 @@
     let state = Arc::clone(&shared);
     let for_operators = move |request| operators::handle(Arc::clone(&state), request);
     let service = PeerServer::new(peer::Service::new(shared))
-        .max_decoding_message_size(peer_transport::MAX_MESSAGE)
-        .max_encoding_message_size(peer_transport::MAX_MESSAGE);
+        .max_decoding_message_size(peer_transport::MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(peer_transport::MAX_MESSAGE_BYTES);
     tokio::spawn(peer_transport::serve(peers, service, stopping.clone()));
     tokio::join!(
         listen::serve(callers, for_callers, stopping.clone()),
--- a/lib/src/daemon/once.rs
+++ b/lib/src/daemon/once.rs
@@ -38,17 +38,17 @@
 use crate::coordination::ledger::Ledger;
 use crate::coordination::ledger::Verdict;
 use crate::coordination::ticket::Ticket;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::RegionId;
 use crate::protocol::platform::PlatformError;
 use crate::protocol::platform::Put;
 use crate::protocol::platform::Store;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::body::Answer;
-use crate::transport::body::Part;
+use crate::transport::body::Chunk;
+use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
 /// Bounds of the memory.
@@ -128,7 +128,7 @@
     /// Region that ran it.
     pub region: RegionId,
     /// Body.
-    pub body: Answer<Relay>,
+    pub body: ResponseBody<Relay>,
 }
 
 impl From<Started> for Replied {
@@ -137,7 +137,7 @@
             status: started.status,
             headers: started.headers,
             region: started.region,
-            body: Answer::Relay(started.relay),
+            body: ResponseBody::Relay(started.relay),
         }
     }
 }
@@ -172,30 +172,30 @@
 
 fn still_running() -> Failure {
     let message = "a request with this key is still running";
-    Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown)
+    Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
 fn settled(shared: &Shared, verdict: Verdict) -> Result<Replied, Failure> {
     match verdict {
         Verdict::Replay(kept) => {
-            shared.counters.count(Counter::Replayed);
+            shared.counters.increment(Counter::Replayed);
             Ok(replay(shared, kept))
         }
         Verdict::Ran => {
             let message = "the request ran; its answer is no longer kept";
-            Err(Failure::new(Kind::AlreadyRan, message))
+            Err(Failure::new(ErrorKind::AlreadyRan, message))
         }
         Verdict::Reused => {
             let message = "the key was used before with another request";
-            Err(Failure::new(Kind::KeyReused, message))
+            Err(Failure::new(ErrorKind::KeyReused, message))
         }
         Verdict::Full => {
             let message = "the box remembers as many keys as it can";
-            Err(Failure::new(Kind::LedgerFull, message))
+            Err(Failure::new(ErrorKind::LedgerFull, message))
         }
         Verdict::Unknown | Verdict::Run | Verdict::Wait => {
             let message = "an earlier request with this key may have run";
-            Err(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown))
+            Err(Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown))
         }
     }
 }
@@ -212,7 +212,7 @@
         status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
         headers: map,
         region: shared.settings.region.clone(),
-        body: Answer::whole(kept.body),
+        body: ResponseBody::buffered(kept.body),
     }
 }
 
@@ -220,7 +220,7 @@
     let limits = &call.snapshot.configuration.limits;
     let now = clock::now();
     let ticket = Ticket::parse(&key.text)
-        .map_err(|error| Failure::new(Kind::BadRequest, error.to_string()))?;
+        .map_err(|error| Failure::new(ErrorKind::BadRequest, error.to_string()))?;
     let Some(ticket) = ticket else {
         let keep_until = now + CLAIM_LIFE + limits.max_timeout + CLAIM_MARGIN;
         return Ok(Owner::Here { keep_until, claim: true });
@@ -229,11 +229,11 @@
         return Ok(Owner::There(ticket));
     }
     let Some(age) = shared.uptime(now).checked_sub(ticket.issued) else {
-        return Err(Failure::new(Kind::BadRequest, "the ticket was not handed out yet"));
+        return Err(Failure::new(ErrorKind::BadRequest, "the ticket was not handed out yet"));
     };
     if age > limits.ticket_life && !shared.once.knows(key) {
         let message = "the life of the ticket is over; whether it was used is no longer known";
-        return Err(Failure::new(Kind::TicketExpired, message));
+        return Err(Failure::new(ErrorKind::TicketExpired, message));
     }
     let expires = shared.started_at + ticket.issued + limits.ticket_life;
     Ok(Owner::Here { keep_until: expires.max(now) + limits.max_timeout, claim: false })
@@ -243,7 +243,7 @@
     let own = ticket.owner == shared.settings.name;
     if own || call.incoming.purpose != Purpose::Caller {
         let message = "the box that owned the key is gone; the request may have run";
-        return Err(Failure::new(Kind::OwnerGone, message));
+        return Err(Failure::new(ErrorKind::OwnerGone, message));
     }
     forward::to_owner(shared, call, &ticket.owner, ticket.incarnation).await.map(Replied::from)
 }
@@ -272,7 +272,7 @@
     let run = Run { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
     tokio::spawn(execute(run, call, claim, sender));
     receiver.await.unwrap_or_else(|_| {
-        Err(Failure::new(Kind::Internal, "the run was lost").with_ran(Ran::Unknown))
+        Err(Failure::new(ErrorKind::Internal, "the run was lost").with_executed(Executed::Unknown))
     })
 }
 
@@ -291,12 +291,12 @@
         Ok(replied) => replied,
         Err(failure) => {
             let at_another_owner = claim && call.send_before.is_none();
-            run.conclusion = match failure.ran() {
+            run.conclusion = match failure.executed() {
                 // What became of it is for its owner to say.
                 _ if at_another_owner => Conclusion::NotRun,
-                Ran::No => Conclusion::NotRun,
-                Ran::Unknown => Conclusion::Unknown,
-                Ran::Yes => Conclusion::Answered(None),
+                Executed::No => Conclusion::NotRun,
+                Executed::Unknown => Conclusion::Unknown,
+                Executed::Yes => Conclusion::Answered(None),
             };
             drop(run);
             let _ = head.send(Err(failure));
@@ -304,7 +304,7 @@
         }
     };
     let (sender, receiver) = mpsc::channel(PARTS);
-    let body = std::mem::replace(&mut replied.body, Answer::Channel(receiver));
+    let body = std::mem::replace(&mut replied.body, ResponseBody::Channel(receiver));
     let (status, headers) = (replied.status, replied.headers.clone());
     let _ = head.send(Ok(replied));
     if let Some(body) = pump(body, &sender).await {
@@ -317,8 +317,8 @@
 /// Passes all parts on, also when nobody takes them any more. Gives the whole
 /// body, or `None` if it was cut. A body too large to keep is given as `Some(None)`.
 async fn pump(
-    mut body: Answer<Relay>,
-    parts: &mpsc::Sender<Option<Part>>,
+    mut body: ResponseBody<Relay>,
+    parts: &mpsc::Sender<Option<Chunk>>,
 ) -> Option<Option<Bytes>> {
     let mut kept = Some(BytesMut::new());
     while let Some(frame) = body.frame().await {
@@ -377,7 +377,7 @@
     let path = claim_path(key);
     let value = serde_json::json!(Claim { ticket: mine.to_string() }).to_string();
     let life_ms = u64::try_from(CLAIM_LIFE.as_millis()).ok();
-    shared.counters.count(Counter::Claims);
+    shared.counters.increment(Counter::Claims);
     let put = Put { value, expect: 0, lease: None, life_ms };
     match shared.platform.put(&path, put).await {
         Ok(_) => Ok(mine.clone()),
@@ -402,7 +402,7 @@
     let message = format!(
         "the key cannot be claimed ({reason}); use a ticket of GET /v1/boxes, which needs no claim"
     );
-    Failure::new(Kind::StoreUnavailable, message)
+    Failure::new(ErrorKind::StoreUnavailable, message)
 }
 
 fn claim_path(key: &Key) -> String {
--- a/lib/src/daemon/operators.rs
+++ b/lib/src/daemon/operators.rs
@@ -22,8 +22,8 @@
 use super::shared::lock;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::caller;
 use crate::protocol::peer::Member;
 use crate::protocol::peer::Phase;
@@ -96,7 +96,7 @@
     answer(&shared, &request).unwrap_or_else(|failure| {
         let mut reply = Response::new(Full::from(caller::failure_body(&failure)));
         *reply.status_mut() = failure.status();
-        caller::failure_headers(&failure, reply.headers_mut());
+        caller::add_failure_headers(&failure, reply.headers_mut());
         reply
     })
 }
@@ -104,25 +104,25 @@
 fn answer(shared: &Shared, request: &Request<Incoming>) -> Result<Reply, Failure> {
     authorize(shared, request.headers())?;
     if request.method() != Method::GET {
-        return Err(Failure::new(Kind::MethodNotAllowed, "the operators' port takes GET"));
+        return Err(Failure::new(ErrorKind::MethodNotAllowed, "the operators' port takes GET"));
     }
     match request.uri().path() {
         "/status" => Ok(json_reply(&json!(status(shared)))),
         "/counters" => Ok(Response::new(Full::from(counters(shared)))),
         "/burn" => Ok(json_reply(&json!(burn(shared)))),
         "/configuration" => Ok(Response::new(Full::new((**shared.document.load()).clone()))),
-        path => Err(Failure::new(Kind::NotFound, format!("no such path: {path}"))),
+        path => Err(Failure::new(ErrorKind::NotFound, format!("no such path: {path}"))),
     }
 }
 
 fn authorize(shared: &Shared, headers: &HeaderMap) -> Result<(), Failure> {
     let Some(expected) = &shared.settings.operator_key_sha256 else { return Ok(()) };
-    let key = caller::bearer(headers)?.unwrap_or_default();
+    let key = caller::bearer_token(headers)?.unwrap_or_default();
     let shown: String = Sha256::digest(key).iter().map(|byte| format!("{byte:02x}")).collect();
     if bool::from(shown.as_bytes().ct_eq(expected.as_bytes())) {
         return Ok(());
     }
-    Err(Failure::new(Kind::Unauthorized, "expected Authorization: Bearer <operators' key>"))
+    Err(Failure::new(ErrorKind::Unauthorized, "expected Authorization: Bearer <operators' key>"))
 }
 
 fn json_reply(value: &serde_json::Value) -> Reply {
@@ -176,7 +176,7 @@
     BoxStatus {
         name: member.name.clone(),
         region: member.region.clone(),
-        callers: member.callers.to_string(),
+        callers: member.caller_address.to_string(),
         phase: phase.to_owned(),
         version: member.version,
     }
@@ -202,7 +202,7 @@
     text
 }
 
-fn burn(shared: &Shared) -> crate::state::burn::Report {
+fn burn(shared: &Shared) -> crate::state::burn::BurnReport {
     let snapshot = shared.now_in_force();
     let burn = lock(&shared.burn);
     burn.report(&shared.settings.name, &snapshot.configuration, clock::now())
--- a/lib/src/daemon/peer.rs
+++ b/lib/src/daemon/peer.rs
@@ -26,9 +26,9 @@
 use super::once::Replied;
 use super::relay::Relay;
 use super::shared::Shared;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::Version;
 use crate::protocol::caller;
 use crate::protocol::caller::Endpoint;
@@ -39,7 +39,7 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::body::Answer;
+use crate::transport::body::ResponseBody;
 use crate::transport::peer::authorize;
 use crate::transport::timer;
 
@@ -61,7 +61,7 @@
 
     fn let_in<T>(&self, request: &Request<T>) -> Result<(), Status> {
         authorize(request, &self.shared.settings.peer_secret)
-            .inspect_err(|_| self.shared.counters.count(Counter::PeerRefused))
+            .inspect_err(|_| self.shared.counters.increment(Counter::PeerRefused))
     }
 }
 
@@ -76,7 +76,7 @@
         self.let_in(&request)?;
         let raw = request.into_inner();
         let counters = &self.shared.counters;
-        counters.count(Counter::HeartbeatsReceived);
+        counters.increment(Counter::HeartbeatsReceived);
         counters.add(Counter::HeartbeatBytes, raw.encoded_len() as u64);
         let heartbeat = Heartbeat::try_from(raw);
         let heartbeat = heartbeat.map_err(|error| Status::invalid_argument(error.to_string()))?;
@@ -106,7 +106,7 @@
         request: Request<wire::ForwardRequest>,
     ) -> Result<Response<Frames>, Status> {
         self.let_in(&request)?;
-        self.shared.counters.count(Counter::ForwardedIn);
+        self.shared.counters.increment(Counter::ForwardedIn);
         let frames = match run(&self.shared, request.into_inner()).await {
             Ok(replied) => Frames::answer(replied),
             Err(failure) => Frames::failure(&failure),
@@ -137,13 +137,13 @@
     let name = &shared.settings.name;
     let within = raw.visited.len() <= MAX_VISITED && !raw.visited.contains(name);
     if !within {
-        return Err(Failure::new(Kind::TooManyHops, "the request came here before"));
+        return Err(Failure::new(ErrorKind::TooManyHops, "the request came here before"));
     }
     if raw.target_region != shared.settings.region || raw.target_incarnation != shared.incarnation {
         let message = "the request was sent to a box that has been replaced";
         let kind = match raw.purpose() {
-            wire::Purpose::Owner => Kind::OwnerGone,
-            wire::Purpose::Region => Kind::NoServer,
+            wire::Purpose::Owner => ErrorKind::OwnerGone,
+            wire::Purpose::Region => ErrorKind::NoServer,
         };
         return Err(Failure::new(kind, message));
     }
@@ -161,7 +161,7 @@
         }
         if clock::now() >= give_up {
             let message = format!("this box does not have configuration {version} yet");
-            return Err(Failure::new(Kind::Behind, message));
+            return Err(Failure::new(ErrorKind::Behind, message));
         }
         if !std::mem::replace(&mut asked, true) {
             let _ = shared.control.try_send(control::Event::Behind(version));
@@ -172,7 +172,7 @@
 
 fn incoming(raw: wire::ForwardRequest, purpose: Purpose) -> Result<(Incoming, Duration), Failure> {
     let method = Method::from_bytes(raw.method.as_bytes())
-        .map_err(|_| Failure::new(Kind::BadRequest, "a malformed method"))?;
+        .map_err(|_| Failure::new(ErrorKind::BadRequest, "a malformed method"))?;
     let timeout = Duration::from_millis(raw.timeout_ms.into());
     let mut headers = forward::headers(&raw.headers);
     headers.remove(caller::TIMEOUT);
@@ -193,7 +193,7 @@
 /// The frames of an answer to another box.
 pub struct Frames {
     first: Option<Frame>,
-    body: Option<Answer<Relay>>,
+    body: Option<ResponseBody<Relay>>,
     bytes: u64,
 }
 
@@ -235,9 +235,9 @@
                 }
                 Poll::Ready(Some(Err(cut))) => {
                     self.body = None;
-                    let failure = Failure::new(Kind::BackendFailed, cut.to_string());
+                    let failure = Failure::new(ErrorKind::BackendFailed, cut.to_string());
                     return frame(Frame::Failure(forward::failure_to(
-                        &failure.with_ran(Ran::Unknown),
+                        &failure.with_executed(Executed::Unknown),
                     )));
                 }
                 Poll::Ready(Some(Ok(part))) => {
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -27,8 +27,8 @@
 use crate::coordination::pool::Pool;
 use crate::coordination::pool::Wake;
 use crate::coordination::queue::RequestId;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::PoolId;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
@@ -190,13 +190,14 @@
 }
 
 fn lost_place() -> Failure {
-    Failure::new(Kind::Internal, "the place in the queue was lost").with_ran(crate::error::Ran::No)
+    Failure::new(ErrorKind::Internal, "the place in the queue was lost")
+        .with_executed(crate::error::Executed::No)
 }
 
-fn refusal(kind: Kind, after: Duration) -> Failure {
+fn refusal(kind: ErrorKind, after: Duration) -> Failure {
     let message = match kind {
-        Kind::QueueFull => "the queue is full",
-        Kind::WouldBeLate => "the answer would come after the deadline",
+        ErrorKind::QueueFull => "the queue is full",
+        ErrorKind::WouldBeLate => "the answer would come after the deadline",
         _ => "no backend server that may run the request can be reached",
     };
     Failure::new(kind, message).with_retry_after(after)
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -34,8 +34,8 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::backend::Exchange;
-use crate::transport::body::Cut;
+use crate::transport::backend::PooledBody;
+use crate::transport::body::BodyError;
 
 /// Longest time between looks whether a stream is silent: the runtime's timer stands still while the
 /// machine is suspended, and the clock that decides does not.
@@ -47,7 +47,7 @@
 /// Where an answer comes from.
 pub enum Source {
     /// A backend server of this region.
-    Backend(Box<Exchange>),
+    Backend(Box<PooledBody>),
     /// Another box.
     Peer {
         /// Its frames.
@@ -79,7 +79,7 @@
 
 /// The end of a stream that was cut, after its error event.
 struct Ending {
-    cut: Cut,
+    cut: BodyError,
     flushed: bool,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match &mut self.source {
             Source::Backend(exchange) => poll_backend(exchange, context),
             Source::Peer { frames, ended } => poll_peer(frames, ended, self.bytes, context),
@@ -176,17 +176,17 @@
             self.record_burn();
         }
         if let Source::Backend(exchange) = &mut self.source {
-            exchange.finished();
+            exchange.release();
         }
         if let Some(slot) = &mut self.account.slot {
             slot.set_outcome(Outcome::Answered { first_byte, total });
         }
         self.account.slot = None;
-        self.account.shared.counters.count(Counter::Answered);
+        self.account.shared.counters.increment(Counter::Answered);
     }
 
-    fn cut(&mut self, cut: Cut) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        self.account.shared.counters.count(Counter::Cut);
+    fn cut(&mut self, cut: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.account.shared.counters.increment(Counter::Cut);
         if let Some(slot) = &mut self.account.slot {
             slot.set_outcome(Outcome::Failed);
         }
@@ -203,12 +203,12 @@
 
 impl Body for Relay {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(ending) = self.ending.as_mut() {
             // An error makes the server drop what it has not written yet: give
             // it one turn to write the error event.
@@ -230,12 +230,12 @@
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Poll::Ready(Some(Err(cut))) => self.cut(cut),
-            Poll::Ready(None) if !self.is_whole() => self.cut(Cut::Unfinished),
+            Poll::Ready(None) if !self.is_whole() => self.cut(BodyError::MissingEnd),
             Poll::Ready(None) => {
                 self.end();
                 Poll::Ready(None)
             }
-            Poll::Pending if self.silent(context) => self.cut(Cut::Silent),
+            Poll::Pending if self.silent(context) => self.cut(BodyError::IdleTimeout),
             Poll::Pending => Poll::Pending,
         }
     }
@@ -248,21 +248,21 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            self.account.shared.counters.count(Counter::CallerGone);
+            self.account.shared.counters.increment(Counter::CallerGone);
         }
     }
 }
 
 fn poll_backend(
-    exchange: &mut Exchange,
+    exchange: &mut PooledBody,
     context: &mut Context<'_>,
-) -> Poll<Option<Result<Bytes, Cut>>> {
+) -> Poll<Option<Result<Bytes, BodyError>>> {
     loop {
         match Pin::new(exchange.body()).poll_frame(context) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(None) => return Poll::Ready(None),
             Poll::Ready(Some(Err(error))) => {
-                return Poll::Ready(Some(Err(Cut::Broken(error.to_string()))));
+                return Poll::Ready(Some(Err(BodyError::ConnectionLost(error.to_string()))));
             }
             // Trailers are not passed on.
             Poll::Ready(Some(Ok(frame))) => {
@@ -279,15 +279,15 @@
     ended: &mut bool,
     bytes: u64,
     context: &mut Context<'_>,
-) -> Poll<Option<Result<Bytes, Cut>>> {
+) -> Poll<Option<Result<Bytes, BodyError>>> {
     if *ended {
         return Poll::Ready(None);
     }
     let frame = match Pin::new(frames).poll_next(context) {
         Poll::Pending => return Poll::Pending,
-        Poll::Ready(None) => return Poll::Ready(Some(Err(Cut::Unfinished))),
+        Poll::Ready(None) => return Poll::Ready(Some(Err(BodyError::MissingEnd))),
         Poll::Ready(Some(Err(status))) => {
-            return Poll::Ready(Some(Err(Cut::Broken(status.message().to_owned()))));
+            return Poll::Ready(Some(Err(BodyError::ConnectionLost(status.message().to_owned()))));
         }
         Poll::Ready(Some(Ok(frame))) => frame.frame,
     };
@@ -301,11 +301,13 @@
             invariant::check(Invariant::WholeAnswer, end.bytes == bytes, || {
                 format!("sent={} received={bytes}", end.bytes)
             });
-            Poll::Ready(Some(Err(Cut::Broken("bytes are missing".to_owned()))))
+            Poll::Ready(Some(Err(BodyError::ConnectionLost("bytes are missing".to_owned()))))
+        }
+        Some(Kind::Failure(failure)) => {
+            Poll::Ready(Some(Err(BodyError::ConnectionLost(failure.message))))
         }
-        Some(Kind::Failure(failure)) => Poll::Ready(Some(Err(Cut::Broken(failure.message)))),
         Some(Kind::Head(_)) | None => {
-            Poll::Ready(Some(Err(Cut::Broken("a frame out of order".to_owned()))))
+            Poll::Ready(Some(Err(BodyError::ConnectionLost("a frame out of order".to_owned()))))
         }
     }
 }
@@ -320,7 +322,7 @@
     bytes.windows(mark.len()).any(|window| window == mark)
 }
 
-fn error_event(cut: &Cut) -> Bytes {
+fn error_event(cut: &BodyError) -> Bytes {
     let error = json!({"error": {
         "message": cut.to_string(), "type": "backend_error", "code": "backend_failed",
     }});
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -21,9 +21,9 @@
 use crate::coordination::limit::Limiter;
 use crate::protocol::Incarnation;
 use crate::protocol::settings::Settings;
-use crate::state::burn::Burn;
+use crate::state::burn::BurnTracker;
 use crate::state::counters::Counters;
-use crate::state::snapshot::Published;
+use crate::state::snapshot::SharedSnapshot;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
 use crate::transport::peer;
@@ -51,7 +51,7 @@
     /// Start of the process; tickets count their time from it.
     pub started_at: Instant,
     /// Control state as traffic sees it.
-    pub snapshot: Published,
+    pub snapshot: SharedSnapshot,
     /// The stored configuration in force, byte for byte.
     pub document: ArcSwap<Bytes>,
     /// Pools.
@@ -61,7 +61,7 @@
     /// Keyed requests.
     pub once: once::Memory,
     /// Burn of the objectives.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnTracker>,
     /// Counters.
     pub counters: Arc<Counters>,
     /// Connections to backend servers.
--- a/lib/src/error.rs
+++ b/lib/src/error.rs
@@ -1,6 +1,6 @@
 //! The closed list of error kinds, and the one table from kind to answer.
 //!
-//! Everything a caller can be told when a request fails is a [`Kind`]. The
+//! Everything a caller can be told when a request fails is a [`ErrorKind`]. The
 //! table gives its HTTP status, the `type` in the error body, what the answer
 //! may say about whether the request ran, and when to come back. No other
 //! place in the program chooses a status for a failure.
@@ -12,7 +12,7 @@
 
 /// What is known about whether a request ran on a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ran {
+pub enum Executed {
     /// No byte of it can have reached a backend server.
     No,
     /// It may have run.
@@ -21,22 +21,22 @@
     Yes,
 }
 
-impl Ran {
-    /// The value of the `Copperweir-Ran` header.
+impl Executed {
+    /// The value of the `Copperweir-Executed` header.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
-            Ran::Yes => "yes",
+            Executed::No => "no",
+            Executed::Unknown => "unknown",
+            Executed::Yes => "yes",
         }
     }
 
-    /// Reads a `Copperweir-Ran` value; anything unexpected is `Unknown`.
-    pub fn parse(text: &str) -> Ran {
+    /// Reads a `Copperweir-Executed` value; anything unexpected is `Unknown`.
+    pub fn parse(text: &str) -> Executed {
         match text {
-            "no" => Ran::No,
-            "yes" => Ran::Yes,
-            _ => Ran::Unknown,
+            "no" => Executed::No,
+            "yes" => Executed::Yes,
+            _ => Executed::Unknown,
         }
     }
 }
@@ -52,17 +52,17 @@
 
 /// One row of the table.
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
+pub struct ErrorSpec {
     /// The kind.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// `code` in the error body.
     pub code: &'static str,
     /// HTTP status.
     pub status: u16,
     /// `type` in the error body.
-    pub class: &'static str,
+    pub error_type: &'static str,
     /// What the kind says about the request having run; `None` where the failure decides.
-    pub ran: Option<Ran>,
+    pub executed: Option<Executed>,
     /// When to come back.
     pub retry: Retry,
 }
@@ -71,28 +71,28 @@
     ($($kind:ident $code:literal $status:literal $class:literal $ran:expr, $retry:expr, $doc:literal;)*) => {
         /// Every way in which a request can fail.
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-        pub enum Kind {
+        pub enum ErrorKind {
             $(#[doc = $doc] $kind,)*
         }
 
         /// The table from kind to answer.
-        pub const TABLE: &[Row] = &[
-            $(Row {
-                kind: Kind::$kind,
+        pub const TABLE: &[ErrorSpec] = &[
+            $(ErrorSpec {
+                kind: ErrorKind::$kind,
                 code: $code,
                 status: $status,
-                class: $class,
-                ran: $ran,
+                error_type: $class,
+                executed: $ran,
                 retry: $retry,
             },)*
         ];
     };
 }
 
-const NO: Option<Ran> = Some(Ran::No);
-const YES: Option<Ran> = Some(Ran::Yes);
-const UNKNOWN: Option<Ran> = Some(Ran::Unknown);
-const VARIES: Option<Ran> = None;
+const NO: Option<Executed> = Some(Executed::No);
+const YES: Option<Executed> = Some(Executed::Yes);
+const UNKNOWN: Option<Executed> = Some(Executed::Unknown);
+const VARIES: Option<Executed> = None;
 const NEVER: Retry = Retry::Never;
 
 kinds! {
@@ -127,14 +127,14 @@
     Internal "internal" 500 "internal_error" VARIES, Retry::After(1), "A fault of the gateway.";
 }
 
-impl Kind {
+impl ErrorKind {
     /// The kind's row.
-    pub fn row(self) -> &'static Row {
+    pub fn spec(self) -> &'static ErrorSpec {
         &TABLE[self as usize]
     }
 
     /// Finds a kind by its code.
-    pub fn parse(code: &str) -> Option<Kind> {
+    pub fn parse(code: &str) -> Option<ErrorKind> {
         TABLE.iter().find(|row| row.code == code).map(|row| row.kind)
     }
 }
@@ -143,27 +143,27 @@
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// The kind.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// For people.
     pub message: String,
-    ran: Ran,
+    executed: Executed,
     retry_after: Option<Duration>,
 }
 
 impl Failure {
     /// A failure whose kind says whether the request ran; `Unknown` where the kind does not.
-    pub fn new(kind: Kind, message: impl Into<String>) -> Failure {
+    pub fn new(kind: ErrorKind, message: impl Into<String>) -> Failure {
         Failure {
             kind,
             message: message.into(),
-            ran: kind.row().ran.unwrap_or(Ran::Unknown),
+            executed: kind.spec().executed.unwrap_or(Executed::Unknown),
             retry_after: None,
         }
     }
 
     /// Says whether the request ran, where the kind leaves it open.
-    pub fn with_ran(mut self, ran: Ran) -> Failure {
-        self.ran = self.kind.row().ran.unwrap_or(ran);
+    pub fn with_executed(mut self, ran: Executed) -> Failure {
+        self.executed = self.kind.spec().executed.unwrap_or(ran);
         self
     }
 
@@ -174,17 +174,17 @@
     }
 
     /// Whether the request ran.
-    pub fn ran(&self) -> Ran {
-        self.ran
+    pub fn executed(&self) -> Executed {
+        self.executed
     }
 
     /// Whole seconds for `Retry-After`, if a retry makes sense. A request that
     /// may have run is never invited to be repeated.
     pub fn retry_after(&self) -> Option<Duration> {
-        if self.ran != Ran::No {
+        if self.executed != Executed::No {
             return None;
         }
-        match self.kind.row().retry {
+        match self.kind.spec().retry {
             Retry::Never => None,
             Retry::After(seconds) => Some(self.retry_after.unwrap_or(Duration::from_secs(seconds))),
         }
@@ -192,13 +192,13 @@
 
     /// HTTP status.
     pub fn status(&self) -> StatusCode {
-        StatusCode::from_u16(self.kind.row().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
+        StatusCode::from_u16(self.kind.spec().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
     }
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.kind.row().code, self.message)
+        write!(f, "{}: {}", self.kind.spec().code, self.message)
     }
 }
 
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -24,17 +24,17 @@
 use super::stream::Stream;
 use crate::coordination::attempt::Event;
 use crate::coordination::attempt::Report;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Verdict;
+use crate::protocol::adapter::ResponseMetadata;
 use crate::protocol::caller;
 use crate::protocol::retry_after;
 use crate::state::counters::Counter;
 use crate::transport::backend;
-use crate::transport::backend::Attempt;
-use crate::transport::backend::Exchange;
+use crate::transport::backend::AttemptError;
+use crate::transport::backend::PooledBody;
 use crate::transport::timer;
 
 /// Largest answer that is read whole before it is passed on, bytes.
@@ -82,7 +82,7 @@
     last_event: Option<u64>,
 ) -> Tried<A> {
     let request = job.for_server(&shared.adapter, &held.place.server, last_event);
-    shared.counters.count(Counter::Attempts);
+    shared.counters.increment(Counter::Attempts);
     // A request that may run only once takes a new connection: nothing that an
     // earlier answer left behind can be taken for its own.
     let fresh = !job.route.repeatable();
@@ -109,13 +109,13 @@
     last_event: Option<u64>,
 ) -> Tried<A> {
     let request = job.for_peer(&shared.adapter, last_event);
-    shared.counters.count(Counter::ForwardedOut);
+    shared.counters.increment(Counter::ForwardedOut);
     match send(&shared.peers, job, address, request, false, || true).await {
         Ok(response) => match refusal(&response) {
-            Some(failure) if failure.ran() == Ran::No && !was_sent(&response) => {
+            Some(failure) if failure.executed() == Executed::No && !was_sent(&response) => {
                 Tried::Unsent(failure)
             }
-            Some(failure) if failure.ran() == Ran::No => Tried::Refused(failure),
+            Some(failure) if failure.executed() == Executed::No => Tried::Refused(failure),
             Some(failure) => Tried::Lost(failure),
             None => receive(shared, job, response, None).await,
         },
@@ -134,12 +134,14 @@
         let message = format!("{target}: {}", self.message);
         match self.event {
             Event::Unreachable | Event::Withheld => {
-                Tried::Unsent(Failure::new(Kind::NoServer, message))
+                Tried::Unsent(Failure::new(ErrorKind::NoServer, message))
             }
-            Event::Silent => {
-                Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
-            }
-            _ => Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)),
+            Event::Silent => Tried::Lost(
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
+            ),
+            _ => Tried::Lost(
+                Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown),
+            ),
         }
     }
 }
@@ -151,16 +153,20 @@
     request: Request<Full<Bytes>>,
     fresh: bool,
     admits: impl Fn() -> bool,
-) -> Result<Response<Exchange>, Unanswered> {
-    let exchange = client.exchange_if(address, request, fresh, admits);
+) -> Result<Response<PooledBody>, Unanswered> {
+    let exchange = client.send_if(address, request, fresh, admits);
     match timer::timeout_at(job.deadline, exchange).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(Attempt::Unsent(message))) => Err(Unanswered { event: Event::Unreachable, message }),
-        Ok(Err(Attempt::Withheld)) => {
+        Ok(Err(AttemptError::NotSent(message))) => {
+            Err(Unanswered { event: Event::Unreachable, message })
+        }
+        Ok(Err(AttemptError::Withheld)) => {
             let message = "the server takes nothing by now".to_owned();
             Err(Unanswered { event: Event::Withheld, message })
         }
-        Ok(Err(Attempt::Lost(message))) => Err(Unanswered { event: Event::BrokenOff, message }),
+        Ok(Err(AttemptError::NoResponse(message))) => {
+            Err(Unanswered { event: Event::BrokenOff, message })
+        }
         Err(_) => {
             let message = "no answer before the deadline".to_owned();
             Err(Unanswered { event: Event::Silent, message })
@@ -169,21 +175,22 @@
 }
 
 /// Whether the box that answered had sent the request to a server.
-fn was_sent(response: &Response<Exchange>) -> bool {
+fn was_sent(response: &Response<PooledBody>) -> bool {
     response.headers().get(SENDS).is_none_or(|sends| sends != "0")
 }
 
 /// The failure that another box answered with, unless it passes a server's answer on.
-fn refusal(response: &Response<Exchange>) -> Option<Failure> {
-    let ran = response.headers().get(caller::RAN)?.to_str().map_or(Ran::Unknown, Ran::parse);
+fn refusal(response: &Response<PooledBody>) -> Option<Failure> {
+    let ran =
+        response.headers().get(caller::RAN)?.to_str().map_or(Executed::Unknown, Executed::parse);
     let message = format!("the box answered {}", response.status());
     let kind = match (ran, response.status()) {
-        (Ran::No, StatusCode::UNAUTHORIZED) => Kind::Unauthorized,
-        (Ran::No, _) => Kind::QueueFull,
-        (_, StatusCode::GATEWAY_TIMEOUT) => Kind::BackendTimeout,
-        _ => Kind::BackendFailed,
+        (Executed::No, StatusCode::UNAUTHORIZED) => ErrorKind::Unauthorized,
+        (Executed::No, _) => ErrorKind::QueueFull,
+        (_, StatusCode::GATEWAY_TIMEOUT) => ErrorKind::BackendTimeout,
+        _ => ErrorKind::BackendFailed,
     };
-    let failure = Failure::new(kind, message).with_ran(ran);
+    let failure = Failure::new(kind, message).with_executed(ran);
     Some(match retry_after::read(response.headers()) {
         Some(come_back) => failure.with_retry_after(come_back),
         None => failure,
@@ -194,38 +201,40 @@
 async fn receive<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    response: Response<Exchange>,
+    response: Response<PooledBody>,
     mut held: Option<Held<A>>,
 ) -> Tried<A> {
     let (head, mut exchange) = response.into_parts();
-    let verdict = shared.adapter.verdict(head.status, &head.headers);
+    let verdict = shared.adapter.parse_response(head.status, &head.headers);
     let lost = |held: &mut Option<Held<A>>, event, kind, message: &str| {
         learning::end(shared, job, held, event);
-        Tried::Lost(Failure::new(kind, message).with_ran(Ran::Unknown))
+        Tried::Lost(Failure::new(kind, message).with_executed(Executed::Unknown))
     };
     if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
         let message = "the answer is that of another request";
-        return lost(&mut held, Event::Invalid, Kind::BackendFailed, message);
+        return lost(&mut held, Event::Invalid, ErrorKind::BackendFailed, message);
     }
     let event = event(&verdict);
-    if let Some(held) = held.as_ref().filter(|_| verdict.words.says_something()) {
-        record::server_said(job, &held.place.server, &verdict.words, head.status);
+    if let Some(held) = held.as_ref().filter(|_| verdict.server_status.reports_anything()) {
+        record::server_said(job, &held.place.server, &verdict.server_status, head.status);
     }
-    learning::report(shared, job, &mut held, &Report::head(event, verdict.words));
+    learning::report(shared, job, &mut held, &Report::head(event, verdict.server_status));
     match event {
         Event::Replaced => {
             let message = "another instance has the address";
-            return Tried::Refused(Failure::new(Kind::NoServer, message));
+            return Tried::Refused(Failure::new(ErrorKind::NoServer, message));
         }
         Event::Refused => {
-            exchange.finished_for(idle_time(verdict.keep_alive));
-            let failure = Failure::new(Kind::QueueFull, "the backend server refused");
-            let rests = verdict.words.rest.is_some_and(|rest| !rest.is_zero());
+            exchange.release_for(idle_time(verdict.keep_alive));
+            let failure = Failure::new(ErrorKind::QueueFull, "the backend server refused");
+            let rests = verdict.server_status.rest.is_some_and(|rest| !rest.is_zero());
             return if rests { Tried::Rests(failure) } else { Tried::Refused(failure) };
         }
         Event::Invalid => {
             let message = "the answer has no mark of its server";
-            return Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown));
+            return Tried::Lost(
+                Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown),
+            );
         }
         _ => {}
     }
@@ -238,25 +247,25 @@
     let body = Limited::new(exchange.body(), WHOLE_LIMIT).collect();
     match timer::timeout_at(job.deadline, body).await {
         Ok(Ok(body)) => {
-            exchange.finished_for(idle);
+            exchange.release_for(idle);
             held.iter_mut().for_each(Held::first_byte);
             learning::end(shared, job, &mut held, whole(head.status));
             let payload = Payload::Whole(body.to_bytes());
             Tried::Answered(Reply { status: head.status, headers, payload })
         }
         Ok(Err(error)) => {
-            lost(&mut held, Event::BrokenOff, Kind::BackendFailed, &error.to_string())
+            lost(&mut held, Event::BrokenOff, ErrorKind::BackendFailed, &error.to_string())
         }
         Err(_) => {
             let message = "the answer did not end in time";
-            lost(&mut held, Event::Invalid, Kind::BackendTimeout, message)
+            lost(&mut held, Event::Invalid, ErrorKind::BackendTimeout, message)
         }
     }
 }
 
 /// What the head of an answer says became of the send so far.
-fn event(verdict: &Verdict) -> Event {
-    if verdict.other_instance {
+fn event(verdict: &ResponseMetadata) -> Event {
+    if verdict.instance_mismatch {
         Event::Replaced
     } else if verdict.not_run {
         Event::Refused
@@ -294,12 +303,17 @@
         }
         Ok(Err(cut)) => {
             learning::end(shared, job, stream.held(), Event::BrokenOff);
-            Tried::Lost(Failure::new(Kind::BackendFailed, cut.to_string()).with_ran(Ran::Unknown))
+            Tried::Lost(
+                Failure::new(ErrorKind::BackendFailed, cut.to_string())
+                    .with_executed(Executed::Unknown),
+            )
         }
         Err(_) => {
             learning::end(shared, job, stream.held(), Event::Silent);
             let message = "no event before the deadline";
-            Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
+            Tried::Lost(
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
+            )
         }
     }
 }
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -42,7 +42,7 @@
 use crate::protocol::platform::Position;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::store;
 use crate::transport::timer;
 
@@ -68,7 +68,7 @@
     own: BoxRecord,
     record: watch::Sender<BoxRecord>,
     drain: Drain,
-    stop: watch::Sender<Stop>,
+    stop: watch::Sender<Shutdown>,
     store_away_since: Option<Instant>,
     /// When the store is asked next, whoever else is drawn to do so.
     look_at: Option<Instant>,
@@ -89,7 +89,7 @@
         store: store::Client<A>,
         facts: Facts,
         own: BoxRecord,
-        stop: watch::Sender<Stop>,
+        stop: watch::Sender<Shutdown>,
     ) -> Control<A> {
         let tuning = drain::Tuning { grace: STOP_GRACE, limit: shared.settings.stop_limit };
         let (record, _) = watch::channel(own.clone());
@@ -136,7 +136,7 @@
             log::warn!("event=connections_cut reason=\"answers were not read in time\"");
         }
         // A traffic thread that has ended need not be told.
-        let _ = self.stop.send(Stop::Now);
+        let _ = self.stop.send(Shutdown::Now);
         drop(self.record);
         if timer::timeout(FLUSH_TIMEOUT, keeper).await.is_err() {
             log::info!("event=lease_not_ended error=\"no answer in time\"");
@@ -212,7 +212,7 @@
     /// longer has.
     fn begin_era(&mut self, at: Instant, before: Position, position: Position) {
         log::warn!("event=store_restored position={position} before={before}");
-        self.shared.counters.count(Counter::StoreRestored);
+        self.shared.counters.increment(Counter::StoreRestored);
         self.facts.store_is_restored(at);
         self.tell_store_is_back();
     }
@@ -283,7 +283,7 @@
             log::info!("event=stop_stage stage={stage:?} in_flight={in_flight}");
             if stage == Stage::Closing {
                 // A traffic thread that has ended need not be told.
-                let _ = self.stop.send(Stop::Gently);
+                let _ = self.stop.send(Shutdown::Graceful);
             }
             self.publish();
         }
--- a/lib/src/gateway/control/follow.rs
+++ b/lib/src/gateway/control/follow.rs
@@ -21,10 +21,10 @@
 use crate::gateway::shared::lock;
 use crate::gateway::throttle;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Answer;
 use crate::protocol::adapter::Change;
-use crate::protocol::adapter::Item;
+use crate::protocol::adapter::KeyValue;
 use crate::protocol::adapter::Operation;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::adapter::Subject;
 use crate::protocol::fleet::BoxRecord;
 use crate::protocol::platform::Era;
@@ -32,7 +32,7 @@
 use crate::protocol::platform::Position;
 use crate::state::clock;
 use crate::transport::store;
-use crate::transport::store::Told;
+use crate::transport::store::ResponseWithEra;
 use crate::transport::timer;
 
 /// All keys are followed by one watch: each change wakes a box once.
@@ -52,7 +52,7 @@
 const SHORTEST_WATCH_GAP: Duration = Duration::from_millis(200);
 
 /// A call to the store that follows its changes.
-type Call = Pin<Box<dyn Future<Output = Result<Told, PlatformError>>>>;
+type Call = Pin<Box<dyn Future<Output = Result<ResponseWithEra, PlatformError>>>>;
 
 /// Calls to the store that read all that it holds.
 type Reading = Pin<Box<dyn Future<Output = Result<Whole, PlatformError>>>>;
@@ -60,7 +60,7 @@
 /// What the store has told.
 enum Heard {
     /// Changes.
-    Told(Told),
+    Told(ResponseWithEra),
     /// All that it holds.
     Whole(Whole),
 }
@@ -90,7 +90,7 @@
 
 /// All that the store holds.
 struct Whole {
-    items: Vec<Item>,
+    items: Vec<KeyValue>,
     /// Place in the history from which on changes are to be watched for.
     position: Position,
 }
@@ -107,12 +107,12 @@
     let mut all = Vec::new();
     loop {
         let prefix = EVERYTHING.to_owned();
-        let told = store.read(&Operation::Range { prefix, after }).await?;
-        let Answer::Page { items, more, revision } = told.answer else {
+        let told = store.call_with_era(&Operation::Range { prefix, after }).await?;
+        let StoreResponse::Page { items, more, revision } = told.response else {
             return Err(PlatformError::Malformed("not a page".to_owned()));
         };
         let era = told.era.unwrap_or(known_era);
-        if era < store.era() || oldest.is_some_and(|oldest| oldest.era != era) {
+        if era < store.newest_era() || oldest.is_some_and(|oldest| oldest.era != era) {
             return Err(PlatformError::Lost("the store went back meanwhile".to_owned()));
         }
         let position = Position { era, revision };
@@ -144,7 +144,7 @@
     }
 
     /// Takes in the whole state at a place in the history; what it does not show is gone.
-    fn replace(&mut self, items: Vec<Item>, position: Position) {
+    fn replace(&mut self, items: Vec<KeyValue>, position: Position) {
         let before = self.position();
         if before.era != position.era && self.facts.routing.is_some() {
             self.begin_era(clock::now(), before, position);
@@ -233,7 +233,7 @@
     /// need not fail: the new history may have passed the revision that is known of the old one.
     pub(super) fn is_superseded(&self) -> bool {
         let mut freshness = lock(&self.shared.freshness);
-        freshness.hear_era(self.store.era());
+        freshness.hear_era(self.store.newest_era());
         freshness.is_superseded()
     }
 
@@ -251,7 +251,7 @@
         let prefix = EVERYTHING.to_owned();
         let operation = Operation::Watch { prefix, after: self.position().revision, wait };
         let store = self.store.clone();
-        Box::pin(async move { store.read(&operation).await })
+        Box::pin(async move { store.call_with_era(&operation).await })
     }
 
     /// A call, or several, that tells all that the store holds.
@@ -267,10 +267,15 @@
                 self.take_whole(whole);
                 Taken::News
             }
-            Ok(Heard::Told(Told { era, .. })) if era.is_some_and(|era| era != known.era) => {
+            Ok(Heard::Told(ResponseWithEra { era, .. }))
+                if era.is_some_and(|era| era != known.era) =>
+            {
                 Taken::Superseded
             }
-            Ok(Heard::Told(Told { answer: Answer::Changes { changes, revision }, .. })) => {
+            Ok(Heard::Told(ResponseWithEra {
+                response: StoreResponse::Changes { changes, revision },
+                ..
+            })) => {
                 self.store_answered();
                 let changed = !changes.is_empty();
                 changes.into_iter().for_each(|change| self.changed(change));
@@ -374,7 +379,7 @@
     }
 
     /// Takes in a key that was written.
-    fn written(&mut self, item: Item) {
+    fn written(&mut self, item: KeyValue) {
         lock(&self.shared.replica).insert(&item);
         if let Some((region, name)) =
             item.key.strip_prefix(ROSTER).and_then(|entry| entry.split_once('/'))
@@ -408,7 +413,7 @@
         if subject == Subject::Other {
             return;
         }
-        match self.shared.adapter.fact(&subject, &item.value) {
+        match self.shared.adapter.decode_fact(&subject, &item.value) {
             Ok(Some(fact)) => {
                 self.facts.learn(fact, item.revision, clock::now());
             }
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -18,11 +18,11 @@
 use crate::coordination::drain::Stage;
 use crate::coordination::presence::Presence;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Question;
+use crate::protocol::adapter::DirectoryQuery;
 use crate::protocol::fleet::BoxRecord;
 use crate::state::clock;
-use crate::transport::body::Answer;
-use crate::transport::body::Passed;
+use crate::transport::body::RelayFreeBody;
+use crate::transport::body::ResponseBody;
 
 /// Most boxes in one answer.
 const MAX_BOXES: usize = 64;
@@ -36,8 +36,8 @@
 pub async fn ready<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
-) -> Response<Passed> {
-    if !shared.adapter.asks_ready(request.method(), request.uri()) {
+) -> Response<RelayFreeBody> {
+    if !shared.adapter.is_readiness_check(request.method(), request.uri()) {
         return status(StatusCode::NOT_FOUND);
     }
     let snapshot = shared.snapshot.load();
@@ -50,8 +50,9 @@
     shared: Arc<Shared<A>>,
     own: Arc<BoxRecord>,
     request: Request<Incoming>,
-) -> Response<Passed> {
-    let Some(question) = shared.adapter.question(request.method(), request.uri()) else {
+) -> Response<RelayFreeBody> {
+    let Some(question) = shared.adapter.parse_directory_query(request.method(), request.uri())
+    else {
         return status(StatusCode::NOT_FOUND);
     };
     let (addresses, near) = {
@@ -59,8 +60,8 @@
         addresses(&shared.snapshot.load(), &presence, &own, &question, clock::now())
     };
     let life = if near { shared.settings.directory_life } else { FAR_LIFE };
-    let body = shared.adapter.directory(&addresses, life);
-    let mut response = Response::new(Answer::whole(body));
+    let body = shared.adapter.directory_body(&addresses, life);
+    let mut response = Response::new(ResponseBody::buffered(body));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
@@ -76,7 +77,7 @@
     snapshot: &Snapshot,
     presence: &Presence,
     own: &BoxRecord,
-    question: &Question,
+    question: &DirectoryQuery,
     now: Instant,
 ) -> (Vec<SocketAddr>, bool) {
     let boxes = snapshot.boxes.iter();
@@ -99,7 +100,7 @@
     }
     let routes = |record: &BoxRecord| {
         let routing = snapshot.routing.as_ref();
-        routing.map_or(0, |routing| routing.routes_of_host_in(&question.host, &record.region))
+        routing.map_or(0, |routing| routing.count_routes(&question.host, &record.region))
     };
     let most = serving.iter().chain(&accepting).map(|record| routes(record)).max();
     let named = callers(&serving, |record| Some(routes(record)) == most);
@@ -114,8 +115,8 @@
     wanted.take(MAX_BOXES).map(|record| record.callers).collect()
 }
 
-fn status(status: StatusCode) -> Response<Passed> {
-    let mut response = Response::new(Answer::whole(""));
+fn status(status: StatusCode) -> Response<RelayFreeBody> {
+    let mut response = Response::new(ResponseBody::buffered(""));
     *response.status_mut() = status;
     response
 }
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/elsewhere.rs
@@ -72,7 +72,7 @@
 /// The box beside the home of the request's text, if that stands in another region. Only the
 /// first send follows the text; after that any place will do.
 pub fn home<A: Adapter>(shared: &Shared<A>, job: &Job, course: &Course) -> Option<SocketAddr> {
-    let text = Text::of(&job.ask.parts)?;
+    let text = Text::of(&job.ask.segments)?;
     if !is_first_send(job, course) || !text.travels() {
         return None;
     }
@@ -100,7 +100,7 @@
     course: &Course,
     now: Instant,
 ) -> Option<(SocketAddr, Reason)> {
-    let has_home = Text::of(&job.ask.parts).is_some_and(|text| text.travels());
+    let has_home = Text::of(&job.ask.segments).is_some_and(|text| text.travels());
     if !is_first_send(job, course) || has_home {
         return None;
     }
--- a/lib/src/gateway/ended.rs
+++ b/lib/src/gateway/ended.rs
@@ -22,13 +22,13 @@
 
 /// Whether a server has ended: its port refuses connections.
 pub async fn has_ended(address: SocketAddr) -> bool {
-    let mut ended = backend::refuses(address, LOOK).await;
+    let mut ended = backend::refuses_connections(address, LOOK).await;
     for pause in LOOK_AGAIN {
         if ended {
             break;
         }
         timer::sleep(pause).await;
-        ended = backend::refuses(address, LOOK).await;
+        ended = backend::refuses_connections(address, LOOK).await;
     }
     ended
 }
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -285,7 +285,7 @@
             if entry.server.failure_domain != domain {
                 continue;
             }
-            let cold = routing.services.get(&entry.server.service).map(|service| service.cold);
+            let cold = routing.services.get(&entry.server.service).map(|service| service.cold_time);
             let until = now + cold.unwrap_or_default();
             entry.cold_until = entry.cold_until.max(Some(until));
         }
--- a/lib/src/gateway/handover.rs
+++ b/lib/src/gateway/handover.rs
@@ -30,12 +30,12 @@
 use crate::coordination::restored::RETURN_GRACE;
 use crate::coordination::unlisted::Neighbor;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Item;
+use crate::protocol::adapter::KeyValue;
 use crate::protocol::platform::Position;
 use crate::state::clock;
 use crate::transport::backend;
-use crate::transport::body::Answer;
-use crate::transport::body::Passed;
+use crate::transport::body::RelayFreeBody;
+use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
 /// Who asks: what stands for the box in datagrams, hex.
@@ -126,7 +126,7 @@
     /// that will be written again.
     pub returned: Option<Duration>,
     /// Keys that the asker lacks.
-    pub written: Vec<Item>,
+    pub written: Vec<KeyValue>,
     /// Keys that are gone.
     pub gone: Gone,
     /// Requests that are refused because servers end under them, if this box had nothing yet.
@@ -172,16 +172,16 @@
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
-) -> Response<Passed> {
+) -> Response<RelayFreeBody> {
     if let Some(asker) = asker(request.headers()) {
         lock(&shared.unlisted).hear(asker, clock::now());
     }
     let Some(question) = read(request.into_body()).await else {
-        let mut refusal = Response::new(Answer::whole(Bytes::new()));
+        let mut refusal = Response::new(ResponseBody::buffered(Bytes::new()));
         *refusal.status_mut() = StatusCode::BAD_REQUEST;
         return refusal;
     };
-    Response::new(Answer::whole(answer(&shared, question).encode_to_vec()))
+    Response::new(ResponseBody::buffered(answer(&shared, question).encode_to_vec()))
 }
 
 /// Reads a question; an empty one comes from a box that has nothing.
@@ -195,7 +195,8 @@
     let knows_nothing = question == Question::default();
     let age_ms = u64::try_from(shared.state_age_ms()).ok();
     let replica = lock(&shared.replica);
-    let to_entry = |item: Item| (item.key, Entry { value: item.value, revision: item.revision });
+    let to_entry =
+        |item: KeyValue| (item.key, Entry { value: item.value, revision: item.revision });
     let after = Position { era: question.era, revision: question.revision };
     let (entries, removed) = match question.held {
         Some(Hashes { hashes }) => {
@@ -306,8 +307,11 @@
         Some(removed) => Gone::Keys(removed.hashes.into_iter().collect()),
         None => Gone::AllBut(reply.keys.into_iter().collect()),
     };
-    let item =
-        |(key, entry): (String, Entry)| Item { key, value: entry.value, revision: entry.revision };
+    let item = |(key, entry): (String, Entry)| KeyValue {
+        key,
+        value: entry.value,
+        revision: entry.revision,
+    };
     let position = Position { era: reply.era, revision: reply.revision };
     Ok(Some(State {
         told_by: address,
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -23,25 +23,25 @@
 use super::shared::Progress;
 use super::shared::Shared;
 use crate::coordination::drain::Stage;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::caller;
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::latency::Timing;
-use crate::transport::body::Answer;
-use crate::transport::body::Passed;
+use crate::transport::body::RelayFreeBody;
+use crate::transport::body::ResponseBody;
 
 /// Answers a request.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     origin: Origin,
     request: Request<Incoming>,
-) -> Response<Passed> {
+) -> Response<RelayFreeBody> {
     let progress = shared.progress();
-    shared.counters.count(match origin {
+    shared.counters.increment(match origin {
         Origin::Caller => Counter::Requests,
         Origin::Peer => Counter::ForwardedIn,
     });
@@ -58,12 +58,12 @@
     origin: Origin,
     request: Request<Incoming>,
     progress: Progress<A>,
-) -> Response<Passed> {
+) -> Response<RelayFreeBody> {
     let mut course = Course::default();
-    let ask = match shared.adapter.ask(request.headers()) {
+    let ask = match shared.adapter.parse_request(request.headers()) {
         Ok(ask) => ask,
         Err(problem) => {
-            let failure = Failure::new(Kind::BadRequest, problem);
+            let failure = Failure::new(ErrorKind::BadRequest, problem);
             return failed(shared, "-", None, &course, &failure);
         }
     };
@@ -82,7 +82,7 @@
     match run::run(shared, &job, &mut course).await {
         Ok(reply) => pass_on(shared, job, course, reply, progress),
         Err(failure) => {
-            if course.sends == 0 && failure.ran() == Ran::No {
+            if course.sends == 0 && failure.executed() == Executed::No {
                 quotas::give_back(shared, charge);
             }
             failed(shared, &id, Some(&job), &course, &failure)
@@ -96,20 +96,20 @@
     course: Course,
     reply: Reply<A>,
     progress: Progress<A>,
-) -> Response<Passed> {
+) -> Response<RelayFreeBody> {
     let body = match reply.payload {
         Payload::Whole(bytes) => {
-            shared.counters.count(Counter::Answered);
+            shared.counters.increment(Counter::Answered);
             shared.latencies.record(Timing::WholeAnswer, clock::since(job.arrived));
             record::answered(&job, &course, reply.status.as_u16());
-            Answer::whole(bytes)
+            ResponseBody::buffered(bytes)
         }
         Payload::Stream(stream) => {
             let pace = Pace::begin(job.arrived, clock::now());
             shared.latencies.record(Timing::FirstEvent, pace.first);
             let shared = Arc::clone(shared);
             let relay = Relay { shared, job, stream: *stream, course, progress, pace };
-            Answer::Channel(relay.start())
+            ResponseBody::Channel(relay.start())
         }
     };
     let mut response = Response::new(body);
@@ -124,24 +124,24 @@
     job: Option<&Job>,
     course: &Course,
     failure: &Failure,
-) -> Response<Passed> {
-    shared.counters.count(Counter::Failed);
+) -> Response<RelayFreeBody> {
+    shared.counters.increment(Counter::Failed);
     match failure.kind {
-        Kind::Unauthorized => shared.counters.count(Counter::Unauthorized),
-        Kind::RateLimited => shared.counters.count(Counter::OverLimit),
+        ErrorKind::Unauthorized => shared.counters.increment(Counter::Unauthorized),
+        ErrorKind::RateLimited => shared.counters.increment(Counter::OverLimit),
         _ => {}
     }
-    if failure.ran() == Ran::No {
-        shared.counters.count(Counter::Refused);
+    if failure.executed() == Executed::No {
+        shared.counters.increment(Counter::Refused);
         if let Some(job) = job {
             shared.latencies.record(Timing::Refusal, clock::since(job.arrived));
         }
     }
     record::failed(id, job, course, failure);
-    let mut response = Response::new(Answer::whole(caller::failure_body(failure)));
+    let mut response = Response::new(ResponseBody::buffered(caller::failure_body(failure)));
     *response.status_mut() = failure.status();
-    caller::failure_headers(failure, response.headers_mut());
+    caller::add_failure_headers(failure, response.headers_mut());
     response.headers_mut().insert(SENDS, course.arrivals().into());
-    shared.adapter.mark(response.headers_mut(), id, failure.retry_after());
+    shared.adapter.add_failure_headers(response.headers_mut(), id, failure.retry_after());
     response
 }
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -27,11 +27,11 @@
 use crate::coordination::identity::Checked;
 use crate::coordination::identity::Claim;
 use crate::coordination::urgency;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Ask;
-use crate::protocol::adapter::Outbound;
+use crate::protocol::adapter::OutboundMetadata;
+use crate::protocol::adapter::RequestMetadata;
 use crate::protocol::caller;
 use crate::protocol::routing::Route;
 use crate::protocol::routing::Routing;
@@ -71,7 +71,7 @@
 /// A checked request.
 pub struct Job {
     /// What the caller's headers say.
-    pub ask: Ask,
+    pub ask: RequestMetadata,
     /// Who sent it.
     pub origin: Origin,
     /// Its route.
@@ -101,7 +101,7 @@
     pub async fn read<A: Adapter>(
         shared: &Shared<A>,
         origin: Origin,
-        mut ask: Ask,
+        mut ask: RequestMetadata,
         request: Request<Incoming>,
     ) -> Result<Job, Failure> {
         let arrived = clock::now();
@@ -112,15 +112,15 @@
         let claim = claim(origin, &ask, &head.headers);
         ask.key = claim.key;
         let team = identify(shared, &claim, &routing, &route)?;
-        let patience = ask.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
+        let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let deadline = arrived + patience;
         let body = read_body(body, routing.limits.body_bytes, deadline).await?;
         let fingerprint = fingerprint(origin, &ask, &head, &body);
         let point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
         let service = route
-            .service(point)
+            .pick_service(point)
             .cloned()
-            .ok_or_else(|| Failure::new(Kind::NoServer, "the route has no service"))?;
+            .ok_or_else(|| Failure::new(ErrorKind::NoServer, "the route has no service"))?;
         Ok(Job {
             ask,
             origin,
@@ -171,15 +171,15 @@
         instance: &str,
         last_event: Option<u64>,
     ) -> Request<http_body_util::Full<Bytes>> {
-        let outbound = Outbound {
-            left: self.left(clock::now()),
+        let outbound = OutboundMetadata {
+            time_left: self.left(clock::now()),
             instance,
             priority: self.priority(),
             last_event,
             team: self.team.as_ref().map(|team| team.name.as_str()),
         };
         let mut request = self.request();
-        adapter.outbound(request.headers_mut(), &outbound);
+        adapter.set_server_headers(request.headers_mut(), &outbound);
         request
     }
 
@@ -191,7 +191,7 @@
     ) -> Request<http_body_util::Full<Bytes>> {
         let mut request = self.request();
         let headers = request.headers_mut();
-        adapter.forward(headers, self.left(clock::now()));
+        adapter.set_forward_headers(headers, self.left(clock::now()));
         headers.insert(PASSED_ON, HeaderValue::from_static("1"));
         headers.insert(VERSION, self.version.into());
         if let Ok(fingerprint) = HeaderValue::try_from(self.fingerprint.to_string()) {
@@ -219,21 +219,21 @@
 }
 
 fn routing(snapshot: &Snapshot) -> Result<Arc<Routing>, Failure> {
-    let missing = || Failure::new(Kind::NotReady, "the box has no configuration yet");
+    let missing = || Failure::new(ErrorKind::NotReady, "the box has no configuration yet");
     snapshot.routing.clone().ok_or_else(missing)
 }
 
 fn find(routing: &Routing, headers: &HeaderMap, uri: &Uri) -> Result<Arc<Route>, Failure> {
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = routing.find(host, uri.path());
-    let none = || Failure::new(Kind::NotFound, format!("no route for {host}{}", uri.path()));
+    let none = || Failure::new(ErrorKind::NotFound, format!("no route for {host}{}", uri.path()));
     route.cloned().ok_or_else(none)
 }
 
 /// What the request is known by. Another box has seen its caller, and says so.
 fn fingerprint(
     origin: Origin,
-    ask: &Ask,
+    ask: &RequestMetadata,
     head: &http::request::Parts,
     body: &Bytes,
 ) -> Fingerprint {
@@ -243,7 +243,7 @@
         return told;
     }
     let host = text(&header::HOST).unwrap_or_default();
-    let address = head.extensions.get::<http1::Origin>().map(|origin| origin.0);
+    let address = head.extensions.get::<http1::ClientIp>().map(|origin| origin.0);
     Fingerprint {
         content: fingerprint::content(&head.method, host, &head.uri, body),
         caller: fingerprint::caller(ask.key.as_ref(), address),
@@ -253,17 +253,17 @@
 async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Failure> {
     let read = Limited::new(body, most).collect();
     match timer::timeout_at(deadline, read).await {
-        Err(_) => Err(Failure::new(Kind::BodyTimeout, "the body did not arrive in time")),
+        Err(_) => Err(Failure::new(ErrorKind::BodyTimeout, "the body did not arrive in time")),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-            Err(Failure::new(Kind::BodyTooLarge, format!("the body has over {most} bytes")))
+            Err(Failure::new(ErrorKind::BodyTooLarge, format!("the body has over {most} bytes")))
         }
-        Ok(Err(error)) => Err(Failure::new(Kind::BadRequest, format!("the body: {error}"))),
+        Ok(Err(error)) => Err(Failure::new(ErrorKind::BadRequest, format!("the body: {error}"))),
     }
 }
 
 /// What a request says of its caller; only boxes can say more than a key.
-fn claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Claim {
+fn claim(origin: Origin, ask: &RequestMetadata, headers: &HeaderMap) -> Claim {
     if origin == Origin::Caller {
         return Claim { key: ask.key, checked: None };
     }
@@ -286,7 +286,7 @@
     let too_old = shared.settings.keys_hold.filter(|holds| age.is_none_or(|age| age > *holds));
     if team.is_some() && too_old.is_some() {
         let message = "the keys in force cannot be made sure of: the store is away";
-        return Err(Failure::new(Kind::Behind, message));
+        return Err(Failure::new(ErrorKind::Behind, message));
     }
     Ok(team)
 }
@@ -303,7 +303,7 @@
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let stays =
-            caller::is_of_connection(name) || BETWEEN_BOXES.contains(name) || named.contains(name);
+            caller::is_hop_by_hop(name) || BETWEEN_BOXES.contains(name) || named.contains(name);
         if !stays {
             kept.append(name.clone(), value.clone());
         }
--- a/lib/src/gateway/learning.rs
+++ b/lib/src/gateway/learning.rs
@@ -93,7 +93,7 @@
 pub fn announce<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Lesson) {
     for note in &lesson.notes {
         if let Note::Ended(_) = note {
-            shared.counters.count(Counter::ServersEnded);
+            shared.counters.increment(Counter::ServersEnded);
         }
         record::learned(server, note);
     }
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -13,10 +13,10 @@
 use super::keys;
 use crate::coordination::restored::COPY_AGE;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Answer;
+use crate::protocol::adapter::KeyWrite;
 use crate::protocol::adapter::NO_LEASE;
 use crate::protocol::adapter::Operation;
-use crate::protocol::adapter::Row;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::fleet::BoxRecord;
 use crate::protocol::platform::Era;
 use crate::protocol::platform::LeaseId;
@@ -72,7 +72,7 @@
     let mut listed = false;
     let mut told = false;
     loop {
-        let era = store.era();
+        let era = store.newest_era();
         if lease.as_ref().is_some_and(|lease| lease.may_be_lost(era)) {
             log::warn!(
                 "event=lease_lost era={era} reason=\"the store came back from an older copy\""
@@ -99,7 +99,7 @@
         };
         match done {
             Ok(()) => {
-                let era = store.era();
+                let era = store.newest_era();
                 lease.iter_mut().for_each(|lease| lease.confirm(era));
                 pause = store::RETRY_PAUSE;
                 if written && !told {
@@ -148,18 +148,18 @@
 
 /// Takes the record out of the store, so that others need not wait for the lease's end.
 async fn end<A: Adapter>(store: &store::Client<A>, lease: Option<Lease>) {
-    let Some(lease) = lease.filter(|lease| !lease.may_be_lost(store.era())) else { return };
-    if let Err(error) = store.call(&Operation::End(lease.id)).await {
+    let Some(lease) = lease.filter(|lease| !lease.may_be_lost(store.newest_era())) else { return };
+    if let Err(error) = store.call(&Operation::Revoke(lease.id)).await {
         log::info!("event=lease_not_ended error=\"{error}\"");
     }
 }
 
 async fn grant<A: Adapter>(store: &store::Client<A>) -> Result<Lease, PlatformError> {
     let now = clock::now();
-    let told = store.read(&Operation::Grant { life: LIFE }).await?;
-    let era = told.era.unwrap_or_else(|| store.era());
-    match told.answer {
-        Answer::Lease(id) => Ok(Lease { id, era, granted_at: now, held_at: now }),
+    let told = store.call_with_era(&Operation::Grant { life: LIFE }).await?;
+    let era = told.era.unwrap_or_else(|| store.newest_era());
+    match told.response {
+        StoreResponse::Lease(id) => Ok(Lease { id, era, granted_at: now, held_at: now }),
         _ => Err(PlatformError::Malformed("not a lease".to_owned())),
     }
 }
@@ -171,9 +171,9 @@
     list: bool,
 ) -> Result<(), PlatformError> {
     let (key, value) = keys::record(record);
-    let mut rows = vec![Row { key, value, lease }];
+    let mut rows = vec![KeyWrite { key, value, lease }];
     if list {
-        rows.push(Row { key: keys::listed(record), value: Bytes::new(), lease: NO_LEASE });
+        rows.push(KeyWrite { key: keys::listed(record), value: Bytes::new(), lease: NO_LEASE });
     }
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -15,15 +15,15 @@
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::body::Answer;
-use crate::transport::body::Passed;
+use crate::transport::body::RelayFreeBody;
+use crate::transport::body::ResponseBody;
 
 /// Answers on the metrics port, whatever the path.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     _request: Request<Incoming>,
-) -> Response<Passed> {
-    let mut response = Response::new(Answer::whole(page(&shared)));
+) -> Response<RelayFreeBody> {
+    let mut response = Response::new(ResponseBody::buffered(page(&shared)));
     let text = HeaderValue::from_static("text/plain; charset=utf-8");
     response.headers_mut().insert(header::CONTENT_TYPE, text);
     response
@@ -45,7 +45,7 @@
     let _ = writeln!(text, "copperweir_state_era {}", position.era);
     let _ = writeln!(text, "copperweir_state_revision {}", position.revision);
     let _ = writeln!(text, "copperweir_state_age_ms {}", shared.state_age_ms());
-    let _ = writeln!(text, "copperweir_store_era {}", shared.eras.newest());
+    let _ = writeln!(text, "copperweir_store_era {}", shared.eras.get());
     let refused = lock(&shared.quarantine).len();
     let _ = writeln!(text, "copperweir_quarantined_contents {refused}");
     let throttled = lock(&shared.throttles).len();
@@ -57,6 +57,6 @@
     let resting: usize = services.values().map(|service| service.placement.resting(now)).sum();
     drop(services);
     let _ = writeln!(text, "copperweir_resting_servers {resting}");
-    shared.latencies.page(&mut text);
+    shared.latencies.write_metrics(&mut text);
     text
 }
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -72,10 +72,10 @@
 use crate::state::latency::Latencies;
 use crate::transport::backend;
 use crate::transport::http1;
-use crate::transport::http1::Bounds;
-use crate::transport::listen::Stop;
+use crate::transport::http1::ConnectionLimits;
+use crate::transport::listen::Shutdown;
 use crate::transport::store;
-use crate::transport::store::Eras;
+use crate::transport::store::NewestEra;
 use crate::transport::timer;
 
 /// Longest wait for a connection to a backend server: they stand in the same region, and a
@@ -133,9 +133,11 @@
         let counters = Arc::new(Counters::default());
         let own = own_record(&settings);
         let latencies = Arc::new(Latencies::default());
-        let measures =
-            store::Measures { counters: Arc::clone(&counters), latencies: Arc::clone(&latencies) };
-        let eras = Eras::default();
+        let measures = store::StoreMetrics {
+            counters: Arc::clone(&counters),
+            latencies: Arc::clone(&latencies),
+        };
+        let eras = NewestEra::default();
         let store = store::Client::new(settings.store, adapter.clone(), measures, eras.clone());
         let shared = Arc::new(Shared {
             incarnation: own.incarnation,
@@ -174,7 +176,7 @@
             latencies,
             settings,
         });
-        let (stop, stopping) = watch::channel(Stop::No);
+        let (stop, stopping) = watch::channel(Shutdown::No);
         log::info!(
             "event=started box={} incarnation={:x} region={} callers={}",
             own.name,
@@ -291,7 +293,7 @@
     shared: Arc<Shared<A>>,
     own: Arc<BoxRecord>,
     ports: Ports,
-    stop: watch::Receiver<Stop>,
+    stop: watch::Receiver<Shutdown>,
 ) {
     let Ports { callers, ready, directory, peers, handover, metrics, reports } = ports;
     match tokio::net::UdpSocket::from_std(reports) {
@@ -300,7 +302,7 @@
         }
         Err(error) => log::error!("event=reports_off error=\"{error}\""),
     }
-    tokio::spawn(timer::watch_suspensions());
+    tokio::spawn(timer::watch_for_suspensions());
     tokio::spawn(probe::ask_servers(Arc::clone(&shared), stop.clone()));
     let (Some(callers), Some(ready), Some(directory), Some(peers), Some(handover), Some(metrics)) = (
         listener(callers),
@@ -328,7 +330,8 @@
     let for_metrics = move |request| metrics::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
     let for_handover = move |request| handover::handle(Arc::clone(&state), request);
-    let small = || Bounds { header_bytes: 8 << 10, idle: Duration::from_secs(60) };
+    let small =
+        || ConnectionLimits { header_bytes: 8 << 10, idle_timeout: Duration::from_secs(60) };
     tokio::join!(
         http1::serve(callers, places(CALLERS_PART), bounds.clone(), for_callers, stop.clone()),
         http1::serve(peers, places(PEERS_PART), small, for_peers, stop.clone()),
@@ -340,10 +343,10 @@
 }
 
 /// The bounds on callers' connections as the configuration has them now.
-fn bounds<A: Adapter>(shared: &Shared<A>) -> Bounds {
+fn bounds<A: Adapter>(shared: &Shared<A>) -> ConnectionLimits {
     let limits = shared.snapshot.load().routing.as_ref().map(|routing| routing.limits);
     let limits = limits.unwrap_or_default();
-    Bounds { header_bytes: limits.header_bytes, idle: limits.idle }
+    ConnectionLimits { header_bytes: limits.header_bytes, idle_timeout: limits.idle_timeout }
 }
 
 /// Address of a port on the same machine as another address.
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -34,7 +34,7 @@
 use crate::protocol::routing::ServiceId;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::timer;
 
 /// Longest wait for an answer; a server without a free slot answers late.
@@ -61,14 +61,14 @@
 }
 
 /// Asks until told to stop.
-pub async fn ask_servers<A: Adapter>(shared: Arc<Shared<A>>, mut stop: watch::Receiver<Stop>) {
+pub async fn ask_servers<A: Adapter>(shared: Arc<Shared<A>>, mut stop: watch::Receiver<Shutdown>) {
     let mut asked: HashMap<ServerId, Question> = HashMap::new();
     let mut asking = false;
     loop {
         let tick = if asking { warmup::SHORTEST_PAUSE } else { warmup::LONGEST_PAUSE };
         tokio::select! {
             () = timer::sleep(tick) => {}
-            _ = stop.wait_for(|stop| *stop != Stop::No) => return,
+            _ = stop.wait_for(|stop| *stop != Shutdown::No) => return,
         }
         let now = clock::now();
         let aging = lock(&shared.freshness).is_aging(now);
@@ -116,9 +116,9 @@
 
 /// Asks one server, and tells the other boxes at once if it has turned cold.
 async fn ask<A: Adapter>(shared: Arc<Shared<A>>, duty: Duty) {
-    shared.counters.count(Counter::Probes);
+    shared.counters.increment(Counter::Probes);
     let Some(answer) = fetch(&shared, &duty).await else { return };
-    let verdict = shared.adapter.verdict(answer.status(), answer.headers());
+    let verdict = shared.adapter.parse_response(answer.status(), answer.headers());
     let now = clock::now();
     let Duty { service, server, .. } = &duty;
     if verdict.instance.as_deref().is_some_and(|instance| instance != server) {
@@ -129,7 +129,7 @@
     let speaker = Speaker { server, life: duty.life, service: throttle::service_hash(service) };
     let refused = answer.status() != StatusCode::OK;
     let lesson = learning::with_learner(&shared, service, |learner| {
-        learner.asked(speaker, &verdict.words, refused, now)
+        learner.asked(speaker, &verdict.server_status, refused, now)
     });
     learning::announce(&shared, server, &lesson);
 }
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -20,13 +20,13 @@
 use crate::coordination::quarantine::Suspicion;
 use crate::coordination::quarantine::Target;
 use crate::coordination::rendezvous;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::ServerId;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Answer;
+use crate::protocol::adapter::KeyWrite;
 use crate::protocol::adapter::Operation;
-use crate::protocol::adapter::Row;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::platform::PlatformError;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -60,10 +60,10 @@
     }
     let Some(left) = quarantine.refuses(job.fingerprint, clock::now()) else { return Ok(()) };
     drop(quarantine);
-    shared.counters.count(Counter::Quarantined);
+    shared.counters.increment(Counter::Quarantined);
     shared.verdicts.notify_one();
     let message = format!("servers ended under request {} before", job.fingerprint);
-    Err(Failure::new(Kind::Quarantined, message).with_retry_after(left))
+    Err(Failure::new(ErrorKind::Quarantined, message).with_retry_after(left))
 }
 
 /// What is known of a request that goes to a server, and of these.
@@ -176,17 +176,17 @@
     targets: &[Target],
 ) -> Result<(), PlatformError> {
     let grant = Operation::Grant { life: quarantine::LIFE };
-    let Answer::Lease(lease) = store.call(&grant).await? else {
+    let StoreResponse::Lease(lease) = store.call(&grant).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
     let rows = targets.iter().map(|target| row(*target, lease)).collect();
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
 
-fn row(target: Target, lease: u64) -> Row {
+fn row(target: Target, lease: u64) -> KeyWrite {
     let Target { content, caller } = target;
     let who = caller.map_or_else(|| ANYONE.to_owned(), |caller| format!("{caller:016x}"));
     // Two numbers cannot fail to be written.
     let value = serde_json::to_vec(&Record { content, caller }).unwrap_or_default();
-    Row { key: format!("{QUARANTINE}{content:016x}/{who}"), value: Bytes::from(value), lease }
+    KeyWrite { key: format!("{QUARANTINE}{content:016x}/{who}"), value: Bytes::from(value), lease }
 }
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -7,8 +7,8 @@
 use super::shared::lock;
 use crate::coordination::quota::TeamHash;
 use crate::coordination::rendezvous;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::team::Team;
 use crate::state::clock;
@@ -38,7 +38,7 @@
             "team {} is over its limit of {:.0} a second: {:.0} left, {:.0} asked for a second, {:.0} by this request",
             team.name, limit.rate, refusal.left, refusal.demand, charge.cost,
         );
-        Failure::new(Kind::RateLimited, message).with_retry_after(refusal.come_back)
+        Failure::new(ErrorKind::RateLimited, message).with_retry_after(refusal.come_back)
     })
 }
 
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/record.rs
@@ -16,9 +16,9 @@
 use crate::coordination::quarantine::Suspicion;
 use crate::coordination::text::Text;
 use crate::error::Failure;
-use crate::protocol::words::Words;
+use crate::protocol::server_status::ServerStatus;
 use crate::state::clock;
-use crate::transport::body::Cut;
+use crate::transport::body::BodyError;
 
 /// Lines of this target are about single requests; their number is bounded.
 pub const TARGET: &str = "request";
@@ -33,7 +33,7 @@
 
 /// What stands for the shared text of the prompt; 0 where there is none.
 fn text(job: &Job) -> u64 {
-    Text::of(&job.ask.parts).map_or(0, |text| text.id())
+    Text::of(&job.ask.segments).map_or(0, |text| text.id())
 }
 
 /// A request under which servers have ended goes to one.
@@ -113,7 +113,7 @@
         job.map_or("-", |job| job.route.name.as_str()),
         job.map_or("-", team),
         failure.status().as_u16(),
-        failure.ran().as_str(),
+        failure.executed().as_str(),
         course.arrivals(),
         course.unsent,
         job.map_or(0, |job| job.version),
@@ -140,7 +140,7 @@
     course: &Course,
     server: Option<&str>,
     last_id: Option<u64>,
-    cut: &Cut,
+    cut: &BodyError,
 ) {
     log::info!(
         target: TARGET,
@@ -155,7 +155,7 @@
 }
 
 /// The head of an answer says something of its server that bears on what it may get.
-pub fn server_said(job: &Job, server: &str, words: &Words, status: StatusCode) {
+pub fn server_said(job: &Job, server: &str, words: &ServerStatus, status: StatusCode) {
     log::info!(
         target: TARGET,
         "event=server_said request={} route={} server={server} leaving={} rest_ms={} rate={} cold_ms={} status={} age_ms={}",
@@ -209,7 +209,7 @@
     course: &Course,
     server: Option<&str>,
     pace: &Pace,
-    ended: &Result<(), Cut>,
+    ended: &Result<(), BodyError>,
 ) {
     let cause = ended.as_ref().err().map_or(String::new(), |cut| format!(" cause=\"{cut}\""));
     log::info!(
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -19,8 +19,8 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::latency::Timing;
-use crate::transport::body::Cut;
-use crate::transport::body::Part;
+use crate::transport::body::BodyError;
+use crate::transport::body::Chunk;
 use crate::transport::timer;
 
 /// Events that wait for a caller who reads slowly.
@@ -44,27 +44,27 @@
 
 impl<A: Adapter> Relay<A> {
     /// Starts the task; gives what the caller's answer reads from.
-    pub fn start(self) -> mpsc::Receiver<Option<Part>> {
+    pub fn start(self) -> mpsc::Receiver<Option<Chunk>> {
         let (sender, receiver) = mpsc::channel(WAITING_EVENTS);
         tokio::spawn(self.run(sender));
         receiver
     }
 
-    async fn run(mut self, caller: mpsc::Sender<Option<Part>>) {
+    async fn run(mut self, caller: mpsc::Sender<Option<Chunk>>) {
         let deadline = self.job.deadline;
         let ended = tokio::select! {
             ended = self.pass_on(&caller) => ended,
-            () = caller.closed() => Err(Cut::GivenUp),
-            () = timer::sleep_until(deadline) => Err(Cut::Silent),
+            () = caller.closed() => Err(BodyError::TaskGone),
+            () = timer::sleep_until(deadline) => Err(BodyError::IdleTimeout),
         };
         let counters = &self.shared.counters;
         match &ended {
             Ok(()) => {
-                counters.count(Counter::Answered);
+                counters.increment(Counter::Answered);
                 self.shared.latencies.record(Timing::Stream, clock::since(self.job.arrived));
             }
-            Err(Cut::GivenUp) => counters.count(Counter::CallerGone),
-            Err(_) => counters.count(Counter::Cut),
+            Err(BodyError::TaskGone) => counters.increment(Counter::CallerGone),
+            Err(_) => counters.increment(Counter::Cut),
         }
         record::stream_ended(&self.job, &self.course, self.stream.server(), &self.pace, &ended);
         // The caller may be gone already.
@@ -75,7 +75,7 @@
         drop(self.progress);
     }
 
-    async fn pass_on(&mut self, caller: &mpsc::Sender<Option<Part>>) -> Result<(), Cut> {
+    async fn pass_on(&mut self, caller: &mpsc::Sender<Option<Chunk>>) -> Result<(), BodyError> {
         let mut last_id = self.job.ask.last_event;
         loop {
             match self.stream.next().await {
@@ -83,7 +83,7 @@
                     last_id = self.stream.last_id().or(last_id);
                     self.pace.event(clock::now());
                     if caller.send(Some(Ok(events))).await.is_err() {
-                        return Err(Cut::GivenUp);
+                        return Err(BodyError::TaskGone);
                     }
                 }
                 Ok(None) => {
@@ -99,7 +99,11 @@
     }
 
     /// The rest of the stream from another server.
-    async fn resume(&mut self, last_id: Option<u64>, cut: Cut) -> Result<Stream<A>, Cut> {
+    async fn resume(
+        &mut self,
+        last_id: Option<u64>,
+        cut: BodyError,
+    ) -> Result<Stream<A>, BodyError> {
         if !self.job.route.resumable {
             return Err(cut);
         }
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -11,7 +11,7 @@
 
 use crate::coordination::freshness::Version;
 use crate::coordination::rendezvous;
-use crate::protocol::adapter::Item;
+use crate::protocol::adapter::KeyValue;
 use crate::protocol::platform::Position;
 use crate::protocol::platform::Revision;
 
@@ -48,7 +48,7 @@
 
 impl Replica {
     /// Takes in a key that was written.
-    pub fn insert(&mut self, item: &Item) {
+    pub fn insert(&mut self, item: &KeyValue) {
         self.drop_entry(&item.key);
         self.removals.written(key_hash(&item.key));
         let digest = digest(item);
@@ -97,7 +97,7 @@
     }
 
     /// Keys that were written after a place in the history; all if that is another history.
-    pub fn written_after(&self, after: Position) -> impl Iterator<Item = Item> {
+    pub fn written_after(&self, after: Position) -> impl Iterator<Item = KeyValue> {
         let revision = if after.era == self.version.position.era { after.revision } else { 0 };
         let written = self.entries.iter().filter(move |(_, entry)| entry.revision > revision);
         written.map(|(key, entry)| to_item(key, entry))
@@ -119,7 +119,7 @@
     }
 
     /// Keys whose digests are not among these.
-    pub fn written_beside(&self, digests: &HashSet<u64>) -> impl Iterator<Item = Item> {
+    pub fn written_beside(&self, digests: &HashSet<u64>) -> impl Iterator<Item = KeyValue> {
         let written = self.entries.iter().filter(|(_, entry)| !digests.contains(&entry.digest));
         written.map(|(key, entry)| to_item(key, entry))
     }
@@ -168,11 +168,11 @@
 }
 
 /// Two histories may give one revision to one key with different values.
-fn digest(item: &Item) -> u64 {
+fn digest(item: &KeyValue) -> u64 {
     let written = rendezvous::mix(key_hash(&item.key), item.revision);
     rendezvous::mix(written, rapidhash_v3(&item.value))
 }
 
-fn to_item(key: &str, entry: &Entry) -> Item {
-    Item { key: key.to_owned(), value: entry.value.clone(), revision: entry.revision }
+fn to_item(key: &str, entry: &Entry) -> KeyValue {
+    KeyValue { key: key.to_owned(), value: entry.value.clone(), revision: entry.revision }
 }
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -33,7 +33,7 @@
 use crate::protocol::fleet::BoxRecord;
 use crate::protocol::platform::Position;
 use crate::state::clock;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::timer;
 
 /// Time between reports: some tenths of a short request's life.
@@ -54,7 +54,7 @@
 pub async fn exchange<A: Adapter>(
     shared: Arc<Shared<A>>,
     socket: UdpSocket,
-    mut stop: watch::Receiver<Stop>,
+    mut stop: watch::Receiver<Shutdown>,
 ) {
     let mut buffer = vec![0; DATAGRAM];
     let mut next_at = clock::now();
@@ -89,7 +89,7 @@
                 }
                 hear(&shared, &socket, &mut buffer);
             }
-            _ = stop.wait_for(|stop| *stop != Stop::No) => return,
+            _ = stop.wait_for(|stop| *stop != Shutdown::No) => return,
         }
     }
 }
@@ -152,9 +152,9 @@
         age,
         beside: same_region,
     };
-    shared.eras.hear(position.era, from);
+    shared.eras.observe(position.era, from);
     let mut freshness = lock(&shared.freshness);
-    freshness.hear_era(shared.eras.newest());
+    freshness.hear_era(shared.eras.get());
     if freshness.hear(&word, now) {
         shared.behind.notify_one();
     }
--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/run.rs
@@ -27,9 +27,9 @@
 use crate::coordination::placement::Among;
 use crate::coordination::placement::Blocked;
 use crate::coordination::placement::Demand;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::ServerId;
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
@@ -117,7 +117,7 @@
     after: Option<u64>,
 ) -> Result<Reply<A>, Step> {
     if job.left(clock::now()) < MIN_LEFT {
-        let failure = Failure::new(Kind::WouldBeLate, "no time is left");
+        let failure = Failure::new(ErrorKind::WouldBeLate, "no time is left");
         return Err(Step::Stop(failure));
     }
     // Between two sends, other boxes may have seen what this request does.
@@ -162,7 +162,7 @@
     };
     record::attempt_failed(job, course, &failure);
     // A box with a newer configuration than this one says that the key is no longer held by anyone.
-    let taken_away = failure.kind == Kind::Unauthorized;
+    let taken_away = failure.kind == ErrorKind::Unauthorized;
     if taken_away || (course.maybe_ran && !job.route.repeatable()) {
         return Err(Step::Stop(failure));
     }
@@ -217,8 +217,14 @@
         let chosen = shared.with_service(&job.service, |service| {
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
-            let demand =
-                Demand { parts: &job.ask.parts, tried, loads, throttles: &throttles, among, stale };
+            let demand = Demand {
+                parts: &job.ask.segments,
+                tried,
+                loads,
+                throttles: &throttles,
+                among,
+                stale,
+            };
             let place = service.placement.choose(demand, now, &mut rand::rng())?;
             throttles.sent(place.life, now);
             Ok(place)
@@ -240,19 +246,19 @@
 }
 
 fn refusal<A: Adapter>(shared: &Shared<A>, job: &Job, blocked: Blocked) -> Failure {
-    let come_back = job.route.objective / COME_BACK;
+    let come_back = job.route.latency_objective / COME_BACK;
     match blocked {
         Blocked::Throttled => return throttle::refuse(shared, job),
         Blocked::NoServer => {
-            Failure::new(Kind::NoServer, "no backend server may run the request now")
+            Failure::new(ErrorKind::NoServer, "no backend server may run the request now")
         }
         Blocked::Resting { until } => return rest_refusal(shared, job, until),
         Blocked::Leaving => {
             let message = "the backend servers leave";
-            return Failure::new(Kind::NoServer, message).with_retry_after(REPLACED_AFTER);
+            return Failure::new(ErrorKind::NoServer, message).with_retry_after(REPLACED_AFTER);
         }
-        Blocked::Full => Failure::new(Kind::QueueFull, "all backend servers are full"),
-        Blocked::Failing => Failure::new(Kind::NoServer, "all backend servers failed lately"),
+        Blocked::Full => Failure::new(ErrorKind::QueueFull, "all backend servers are full"),
+        Blocked::Failing => Failure::new(ErrorKind::NoServer, "all backend servers failed lately"),
     }
     .with_retry_after(come_back)
 }
@@ -260,7 +266,7 @@
 /// Refuses a request for which only servers are left that want nothing before some moment.
 fn rest_refusal<A: Adapter>(shared: &Shared<A>, job: &Job, until: Instant) -> Failure {
     let message = "the backend servers want no requests for a while";
-    let failure = Failure::new(Kind::QueueFull, message);
+    let failure = Failure::new(ErrorKind::QueueFull, message);
     let now = clock::now();
     let come_back =
         shared.with_service(&job.service, |service| service.placement.come_back(until, now));
@@ -296,7 +302,7 @@
     let boxes = job.snapshot.fleet;
     let admitted = shared.with_service(&job.service, |service| service.budget.repeat(boxes, now));
     let admitted = admitted.unwrap_or(false);
-    shared.counters.count(if admitted { Counter::Retries } else { Counter::RetriesDenied });
+    shared.counters.increment(if admitted { Counter::Retries } else { Counter::RetriesDenied });
     admitted
 }
 
@@ -309,9 +315,9 @@
 
 /// A request of which a send may have run is never called "not run".
 fn truthful(course: &Course, failure: Failure) -> Failure {
-    if !course.maybe_ran || failure.ran() != Ran::No {
+    if !course.maybe_ran || failure.executed() != Executed::No {
         return failure;
     }
     let message = format!("an earlier send may have run, and then: {}", failure.message);
-    Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)
+    Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown)
 }
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -42,7 +42,7 @@
 use crate::state::counters::Counters;
 use crate::state::latency::Latencies;
 use crate::transport::backend;
-use crate::transport::store::Eras;
+use crate::transport::store::NewestEra;
 
 /// What control knows, as a whole.
 #[derive(Clone, Debug)]
@@ -108,7 +108,7 @@
     /// When the store answered this box again after it did not.
     pub store_back_at: Mutex<Option<Instant>>,
     /// Eras that the store has told this box.
-    pub eras: Eras,
+    pub eras: NewestEra,
     /// There is something that the other boxes of the region must hear at once.
     pub news: Notify,
     /// There is something that all boxes must hear at once.
--- a/lib/src/gateway/stream.rs
+++ b/lib/src/gateway/stream.rs
@@ -8,12 +8,12 @@
 use super::shared::Held;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::events::Splitter;
-use crate::transport::backend::Exchange;
-use crate::transport::body::Cut;
+use crate::transport::backend::PooledBody;
+use crate::transport::body::BodyError;
 
 /// Events as they come.
 pub struct Stream<A: Adapter> {
-    exchange: Exchange,
+    exchange: PooledBody,
     held: Option<Held<A>>,
     splitter: Splitter,
     /// Events that were read to see that the stream has begun.
@@ -23,12 +23,12 @@
 
 impl<A: Adapter> Stream<A> {
     /// A stream whose connection may rest for `idle` afterwards.
-    pub fn new(exchange: Exchange, held: Option<Held<A>>, idle: Duration) -> Stream<A> {
+    pub fn new(exchange: PooledBody, held: Option<Held<A>>, idle: Duration) -> Stream<A> {
         Stream { exchange, held, splitter: Splitter::default(), first: None, idle }
     }
 
     /// Waits for the first event.
-    pub async fn begin(&mut self) -> Result<(), Cut> {
+    pub async fn begin(&mut self) -> Result<(), BodyError> {
         self.first = self.read().await?;
         if let Some(held) = &mut self.held {
             held.first_byte();
@@ -37,7 +37,7 @@
     }
 
     /// The next whole events; `None` at the proper end.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         match self.first.take() {
             Some(first) => Ok(Some(first)),
             None => self.read().await,
@@ -59,19 +59,19 @@
         self.held.as_ref().map(|held| held.place.server.as_str())
     }
 
-    async fn read(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn read(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             let Some(frame) = self.exchange.body().frame().await else { break };
-            let frame = frame.map_err(|error| Cut::Broken(error.to_string()))?;
+            let frame = frame.map_err(|error| BodyError::ConnectionLost(error.to_string()))?;
             let Ok(bytes) = frame.into_data() else { continue };
             if let Some(events) = self.splitter.push(bytes) {
                 return Ok(Some(events));
             }
         }
-        if !self.splitter.is_whole() {
-            return Err(Cut::Unfinished);
+        if !self.splitter.is_at_boundary() {
+            return Err(BodyError::MissingEnd);
         }
-        self.exchange.finished_for(self.idle);
+        self.exchange.release_for(self.idle);
         Ok(None)
     }
 }
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -15,12 +15,12 @@
 use crate::coordination::throttle::ServerLife;
 use crate::coordination::throttle::ServiceHash;
 use crate::coordination::throttle::Stored;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::adapter::Adapter;
-use crate::protocol::adapter::Answer;
+use crate::protocol::adapter::KeyWrite;
 use crate::protocol::adapter::Operation;
-use crate::protocol::adapter::Row;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::platform::PlatformError;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -39,13 +39,13 @@
 
 /// Refuses a request for which only servers are left that get as much as they take.
 pub fn refuse<A: Adapter>(shared: &Shared<A>, job: &Job) -> Failure {
-    shared.counters.count(Counter::Throttled);
+    shared.counters.increment(Counter::Throttled);
     let come_back = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
         lock(&shared.throttles).come_back(service, placement.lives(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
-    let failure = Failure::new(Kind::Throttled, message);
+    let failure = Failure::new(ErrorKind::Throttled, message);
     match come_back {
         Some(come_back) => failure.with_retry_after(come_back),
         None => failure,
@@ -93,10 +93,11 @@
     store: &store::Client<A>,
     words: &[Stored],
 ) -> Result<(), PlatformError> {
-    let Answer::Lease(lease) = store.call(&Operation::Grant { life: STORED_LIFE }).await? else {
+    let StoreResponse::Lease(lease) = store.call(&Operation::Grant { life: STORED_LIFE }).await?
+    else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
-    let row = |word: &Stored| Row {
+    let row = |word: &Stored| KeyWrite {
         key: format!("{RATES}{:016x}", word.server),
         // Numbers cannot fail to be written.
         value: Bytes::from(serde_json::to_vec(word).unwrap_or_default()),
--- a/lib/src/operators/apply.rs
+++ b/lib/src/operators/apply.rs
@@ -11,7 +11,7 @@
 use crate::protocol::config::check::Files;
 use crate::protocol::config::document::Document;
 use crate::protocol::config::document::DocumentError;
-use crate::protocol::config::document::KEY;
+use crate::protocol::config::document::STORE_KEY;
 use crate::protocol::platform::Entry;
 use crate::protocol::platform::PlatformError;
 use crate::protocol::platform::Put;
@@ -47,13 +47,13 @@
 
 /// Applies files; `id` tells this change from all others.
 pub async fn apply(store: &impl Store, files: &Files, id: &str) -> Result<Version, ApplyError> {
-    let entry = store.get(KEY).await.map_err(ApplyError::Platform)?;
+    let entry = store.get(STORE_KEY).await.map_err(ApplyError::Platform)?;
     let (current, revision) = read(entry)?;
     let next = current.with_files(files, id);
     next.check()?;
     let value = String::from_utf8_lossy(&next.encode()?).into_owned();
     let put = Put { value, expect: revision, lease: None, life_ms: None };
-    match store.put(KEY, put).await {
+    match store.put(STORE_KEY, put).await {
         Ok(_) => Ok(next.version),
         Err(PlatformError::Conflict(_)) => read_back(store, id, current.version, false).await,
         Err(PlatformError::Lost(_)) => read_back(store, id, current.version, true).await,
@@ -78,11 +78,11 @@
 ) -> Result<Version, ApplyError> {
     let mut last = PlatformError::Lost("the change is not there yet".to_owned());
     for _ in 0..READ_BACKS {
-        match store.get(KEY).await {
+        match store.get(STORE_KEY).await {
             Err(error) => last = error,
             Ok(entry) => {
                 let (stands, _) = read(entry)?;
-                if let Some(version) = stands.version_of(id) {
+                if let Some(version) = stands.version_of_change(id) {
                     return Ok(version);
                 }
                 if stands.version > based_on || !lost {
--- a/lib/src/protocol/adapter.rs
+++ b/lib/src/protocol/adapter.rs
@@ -19,12 +19,12 @@
 use super::platform::PlatformError;
 use super::platform::Revision;
 use super::routing::Routing;
+use super::server_status::ServerStatus;
 use super::team::KeyDigest;
-use super::words::Words;
 
 /// A part of a prompt that requests may share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Part {
+pub struct PromptSegment {
     /// Identity of its text.
     pub id: u64,
     /// Length, tokens.
@@ -33,13 +33,13 @@
 
 /// What a caller's headers say.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// Identity of this attempt of the caller, as sent.
     pub id: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Parts of the prompt, in order; the last is the request's own.
-    pub parts: Vec<Part>,
+    pub segments: Vec<PromptSegment>,
     /// Last event that the caller has already.
     pub last_event: Option<u64>,
     /// Digest of the caller's key, if it sent one.
@@ -50,9 +50,9 @@
 
 /// What the gateway adds to a request on its way to a backend server.
 #[derive(Clone, Debug)]
-pub struct Outbound<'a> {
+pub struct OutboundMetadata<'a> {
     /// Time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The instance that is meant; any other refuses the request.
     pub instance: &'a str,
     /// Urgency, 0 to 9; 0 is let in first.
@@ -65,7 +65,7 @@
 
 /// What the head of a backend server's answer says.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
+pub struct ResponseMetadata {
     /// Request that it answers, if it says so.
     pub id: Option<String>,
     /// Whether it carries the mark of the server that ran it.
@@ -73,18 +73,18 @@
     /// The server says that it did not run the request.
     pub not_run: bool,
     /// The address belongs to another instance now.
-    pub other_instance: bool,
+    pub instance_mismatch: bool,
     /// Name of the server that answers, if it says so.
     pub instance: Option<String>,
     /// How long an idle connection is kept, if it says so.
     pub keep_alive: Option<Duration>,
     /// What the server says of itself.
-    pub words: Words,
+    pub server_status: ServerStatus,
 }
 
 /// A question of a caller that looks for a box.
 #[derive(Clone, Debug, Default)]
-pub struct Question {
+pub struct DirectoryQuery {
     /// Host that the caller wants to reach.
     pub host: String,
     /// Region of the caller.
@@ -94,35 +94,35 @@
 }
 
 /// Translates what callers and backend servers say.
-pub trait Dialect: Clone + Send + Sync + 'static {
+pub trait HttpCodec: Clone + Send + Sync + 'static {
     /// Reads the headers of a caller's request; the error says what is malformed.
-    fn ask(&self, headers: &HeaderMap) -> Result<Ask, String>;
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMetadata, String>;
 
     /// Marks a failure of the gateway as the answer to a request, and says when to come back.
-    fn mark(&self, headers: &mut HeaderMap, id: &str, come_back: Option<Duration>);
+    fn add_failure_headers(&self, headers: &mut HeaderMap, id: &str, come_back: Option<Duration>);
 
     /// Adds what a backend server is told, in place of what the caller sent.
-    fn outbound(&self, headers: &mut HeaderMap, outbound: &Outbound<'_>);
+    fn set_server_headers(&self, headers: &mut HeaderMap, outbound: &OutboundMetadata<'_>);
 
     /// Changes the time left in a request that goes to another box, and takes out the caller's key.
-    fn forward(&self, headers: &mut HeaderMap, left: Duration);
+    fn set_forward_headers(&self, headers: &mut HeaderMap, left: Duration);
 
     /// Reads the head of a backend server's answer.
-    fn verdict(&self, status: StatusCode, headers: &HeaderMap) -> Verdict;
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Whether this asks if the box takes requests.
-    fn asks_ready(&self, method: &Method, uri: &Uri) -> bool;
+    fn is_readiness_check(&self, method: &Method, uri: &Uri) -> bool;
 
     /// Reads a question for a box; `None` if it is something else.
-    fn question(&self, method: &Method, uri: &Uri) -> Option<Question>;
+    fn parse_directory_query(&self, method: &Method, uri: &Uri) -> Option<DirectoryQuery>;
 
     /// The body of the answer to a question.
-    fn directory(&self, addresses: &[SocketAddr], life: Duration) -> Bytes;
+    fn directory_body(&self, addresses: &[SocketAddr], life: Duration) -> Bytes;
 }
 
 /// A key with its value.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
     pub key: String,
     /// Value.
@@ -135,7 +135,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
     /// It was written.
-    Written(Item),
+    Written(KeyValue),
     /// It was removed.
     Removed(String),
 }
@@ -167,9 +167,9 @@
     /// Renews a lease.
     Renew(LeaseId),
     /// Ends a lease and removes its keys.
-    End(LeaseId),
+    Revoke(LeaseId),
     /// Writes keys, all or none.
-    Put(Vec<Row>),
+    Put(Vec<KeyWrite>),
 }
 
 /// Stands for no lease: the key stays.
@@ -177,7 +177,7 @@
 
 /// A key to be written.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Row {
+pub struct KeyWrite {
     /// Key.
     pub key: String,
     /// Value.
@@ -188,11 +188,11 @@
 
 /// The store's answer.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum StoreResponse {
     /// A page; `more` says that others follow.
     Page {
         /// Items, by key.
-        items: Vec<Item>,
+        items: Vec<KeyValue>,
         /// Whether there is another page.
         more: bool,
         /// Revision of the store.
@@ -213,7 +213,7 @@
 
 /// A call as HTTP.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct StoreRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -247,9 +247,9 @@
 }
 
 /// Translates what the store holds and says.
-pub trait Codec: Clone + Send + Sync + 'static {
+pub trait StoreCodec: Clone + Send + Sync + 'static {
     /// A call as HTTP.
-    fn encode(&self, operation: &Operation) -> Call;
+    fn encode(&self, operation: &Operation) -> StoreRequest;
 
     /// The answer to a call.
     fn decode(
@@ -257,7 +257,7 @@
         operation: &Operation,
         status: StatusCode,
         body: &[u8],
-    ) -> Result<Answer, PlatformError>;
+    ) -> Result<StoreResponse, PlatformError>;
 
     /// The era of the store that sent these headers; `None` if they do not tell it.
     fn era(&self, headers: &HeaderMap) -> Option<Era>;
@@ -266,10 +266,10 @@
     fn subject(&self, key: &str) -> Subject;
 
     /// Reads a value of the operator or of a backend server.
-    fn fact(&self, subject: &Subject, value: &[u8]) -> Result<Option<Fact>, String>;
+    fn decode_fact(&self, subject: &Subject, value: &[u8]) -> Result<Option<Fact>, String>;
 }
 
 /// A platform: callers and backend servers on one side, its store on the other.
-pub trait Adapter: Dialect + Codec {}
+pub trait Adapter: HttpCodec + StoreCodec {}
 
-impl<T: Dialect + Codec> Adapter for T {}
+impl<T: HttpCodec + StoreCodec> Adapter for T {}
--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -17,8 +17,8 @@
 use super::RegionId;
 use super::config::Limits;
 use super::config::Priority;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 
 /// Path of chats.
 const CHAT: &str = "/v1/chat/completions";
@@ -42,7 +42,7 @@
 pub const RAN: &str = "copperweir-ran";
 
 /// Longest idempotency key, bytes.
-pub const MAX_KEY: usize = 255;
+pub const MAX_KEY_BYTES: usize = 255;
 
 /// What a path asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -79,11 +79,11 @@
             "/v1/boxes" => (Endpoint::Boxes, Method::GET),
             "/healthz" => (Endpoint::Health, Method::GET),
             "/readyz" => (Endpoint::Ready, Method::GET),
-            _ => return Err(Failure::new(Kind::NotFound, format!("no such path: {path}"))),
+            _ => return Err(Failure::new(ErrorKind::NotFound, format!("no such path: {path}"))),
         };
         if *method != expected {
             let message = format!("{path} takes {expected}");
-            return Err(Failure::new(Kind::MethodNotAllowed, message));
+            return Err(Failure::new(ErrorKind::MethodNotAllowed, message));
         }
         Ok(endpoint)
     }
@@ -93,12 +93,12 @@
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     if name.is_empty() {
-        return Err(Failure::new(Kind::NotFound, "expected /services/<service>/<path>"));
+        return Err(Failure::new(ErrorKind::NotFound, "expected /services/<service>/<path>"));
     }
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     if path.split('?').next().is_some_and(has_dot_segment) {
         let message = "the path of a service call has no \".\" or \"..\" segments";
-        return Err(Failure::new(Kind::BadRequest, message));
+        return Err(Failure::new(ErrorKind::BadRequest, message));
     }
     Ok(Endpoint::Service { name: name.to_owned(), path })
 }
@@ -114,7 +114,7 @@
 
 /// What the headers of a request ask for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// Time until the answer is of no use.
     pub timeout: Duration,
     /// Priority; `None` where the request names none.
@@ -125,9 +125,9 @@
     pub key: Option<String>,
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the headers.
-    pub fn parse(headers: &HeaderMap, limits: &Limits) -> Result<Wishes, Failure> {
+    pub fn parse(headers: &HeaderMap, limits: &Limits) -> Result<RequestOptions, Failure> {
         let timeout = match text(headers, TIMEOUT)? {
             None => limits.default_timeout,
             Some(text) => timeout(text, limits)?,
@@ -148,15 +148,15 @@
             }
         };
         let key = text(headers, IDEMPOTENCY_KEY)?;
-        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
-            return Err(bad(format!("{IDEMPOTENCY_KEY}: expected 1 to {MAX_KEY} bytes")));
+        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
+            return Err(bad(format!("{IDEMPOTENCY_KEY}: expected 1 to {MAX_KEY_BYTES} bytes")));
         }
-        Ok(Wishes { timeout, priority, not_repeatable, key: key.map(str::to_owned) })
+        Ok(RequestOptions { timeout, priority, not_repeatable, key: key.map(str::to_owned) })
     }
 }
 
 fn bad(message: String) -> Failure {
-    Failure::new(Kind::BadRequest, message)
+    Failure::new(ErrorKind::BadRequest, message)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
@@ -180,13 +180,13 @@
 }
 
 /// The bearer token of a request, if it brings one.
-pub fn bearer(headers: &HeaderMap) -> Result<Option<&str>, Failure> {
+pub fn bearer_token(headers: &HeaderMap) -> Result<Option<&str>, Failure> {
     let Some(value) = text(headers, header::AUTHORIZATION.as_str())? else {
         return Ok(None);
     };
     match value.split_once(' ') {
         Some((scheme, token)) if scheme.eq_ignore_ascii_case("bearer") => Ok(Some(token.trim())),
-        _ => Err(Failure::new(Kind::Unauthorized, "expected Authorization: Bearer <key>")),
+        _ => Err(Failure::new(ErrorKind::Unauthorized, "expected Authorization: Bearer <key>")),
     }
 }
 
@@ -233,7 +233,7 @@
 }
 
 /// Whether a header concerns one connection only, and stays behind where a message is passed on.
-pub fn is_of_connection(name: &HeaderName) -> bool {
+pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     const NAMES: [HeaderName; 9] = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
@@ -250,13 +250,14 @@
 
 /// A failed answer's body.
 pub fn failure_body(failure: &Failure) -> String {
-    let row = failure.kind.row();
-    json!({"error": {"message": failure.message, "type": row.class, "code": row.code}}).to_string()
+    let row = failure.kind.spec();
+    json!({"error": {"message": failure.message, "type": row.error_type, "code": row.code}})
+        .to_string()
 }
 
 /// The headers that only a failed answer has.
-pub fn failure_headers(failure: &Failure, headers: &mut HeaderMap) {
-    headers.insert(RAN, HeaderValue::from_static(failure.ran().as_str()));
+pub fn add_failure_headers(failure: &Failure, headers: &mut HeaderMap) {
+    headers.insert(RAN, HeaderValue::from_static(failure.executed().as_str()));
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = failure.retry_after() {
         let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
@@ -266,7 +267,7 @@
 
 /// One box of the answer to "which box should I use".
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct BoxRow {
+pub struct BoxEntry {
     /// Box.
     pub name: BoxId,
     /// Region.
@@ -281,9 +282,9 @@
 
 /// The answer to "which box should I use".
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Boxes {
+pub struct BoxesResponse {
     /// Boxes, best first.
-    pub boxes: Vec<BoxRow>,
+    pub boxes: Vec<BoxEntry>,
     /// How long the answer holds, milliseconds.
     pub valid_ms: u64,
     /// An idempotency key that costs no call to the store; good at the box named by `ticket_box`.
--- a/lib/src/protocol/config/check.rs
+++ b/lib/src/protocol/config/check.rs
@@ -22,7 +22,7 @@
 use crate::protocol::jsonc::Problem;
 use crate::protocol::jsonc::Problems;
 use crate::protocol::name_hash;
-use crate::protocol::schema::nearest;
+use crate::protocol::schema::suggestion;
 
 const DEFAULT_SLOTS: u32 = 8;
 const DEFAULT_QUEUE_LIMIT: usize = 256;
@@ -120,7 +120,7 @@
         name: &str,
         known: impl Iterator<Item = &'a str>,
     ) {
-        let hint = nearest(name, known);
+        let hint = suggestion(name, known);
         let message = format!("{what} \"{name}\" is not declared");
         self.problems.push(document.problem(path, message, hint));
     }
--- a/lib/src/protocol/config/document.rs
+++ b/lib/src/protocol/config/document.rs
@@ -13,13 +13,13 @@
 use crate::protocol::jsonc::Problems;
 
 /// Key of the document in the store.
-pub const KEY: &str = "configuration";
+pub const STORE_KEY: &str = "configuration";
 
 /// Largest document, bytes; the store takes values up to a megabyte.
-pub const MAX_BYTES: usize = 1_000_000;
+pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 /// Changes whose ids are kept.
-pub const HISTORY: usize = 64;
+pub const MAX_CHANGES: usize = 64;
 
 /// All files of one version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -51,8 +51,8 @@
     /// The files do not pass the check.
     #[error("the stored configuration does not pass the check:\n{0}")]
     Invalid(#[from] Problems),
-    /// Over [`MAX_BYTES`].
-    #[error("the configuration has {0} bytes; the store takes {MAX_BYTES}")]
+    /// Over [`MAX_DOCUMENT_BYTES`].
+    #[error("the configuration has {0} bytes; the store takes {MAX_DOCUMENT_BYTES}")]
     TooLarge(usize),
 }
 
@@ -65,7 +65,7 @@
     /// Writes the stored form.
     pub fn encode(&self) -> Result<Vec<u8>, DocumentError> {
         let bytes = serde_json::to_vec(self)?;
-        if bytes.len() > MAX_BYTES {
+        if bytes.len() > MAX_DOCUMENT_BYTES {
             return Err(DocumentError::TooLarge(bytes.len()));
         }
         Ok(bytes)
@@ -84,13 +84,13 @@
         next.version += 1;
         next.files.extend(files.clone());
         next.changes.push(Change { id: id.to_owned(), version: next.version });
-        let excess = next.changes.len().saturating_sub(HISTORY);
+        let excess = next.changes.len().saturating_sub(MAX_CHANGES);
         next.changes.drain(..excess);
         next
     }
 
     /// Version that a change made, if its id is still kept.
-    pub fn version_of(&self, id: &str) -> Option<Version> {
+    pub fn version_of_change(&self, id: &str) -> Option<Version> {
         self.changes.iter().find(|change| change.id == id).map(|change| change.version)
     }
 }
