--- a/lib/src/protocol/config/shape.rs
+++ b/lib/src/protocol/config/shape.rs
@@ -3,8 +3,8 @@
 use crate::protocol::schema::Field;
 use crate::protocol::schema::Shape;
 
-const PRIORITY: Shape = Shape::Word(&["low", "normal", "high"]);
-const TEXTS: Shape = Shape::List(&Shape::Text);
+const PRIORITY: Shape = Shape::Enum(&["low", "normal", "high"]);
+const TEXTS: Shape = Shape::List(&Shape::String);
 
 const REGION: Shape = Shape::Object(&[Field::required(
     "failure_domains",
@@ -13,34 +13,34 @@
 )]);
 
 const MODEL: Shape = Shape::Object(&[
-    Field::required("pool", Shape::Text, "Pool whose backend servers run the model."),
-    Field::optional("version", Shape::Text, "Version that the engines load. Default: empty."),
-    Field::optional("residency", Shape::Text, "Residency rule for every request to the model."),
+    Field::required("pool", Shape::String, "Pool whose backend servers run the model."),
+    Field::optional("version", Shape::String, "Version that the engines load. Default: empty."),
+    Field::optional("residency", Shape::String, "Residency rule for every request to the model."),
 ]);
 
 const SERVER: Shape = Shape::Object(&[
-    Field::required("region", Shape::Text, "Region that the backend server stands in."),
-    Field::required("failure_domain", Shape::Text, "Failure domain that it stands in."),
-    Field::required("address", Shape::Text, "IP number and port, such as \"127.0.0.1:9000\"."),
-    Field::optional("slots", Shape::Whole, "Requests it runs at once. Default: 8."),
+    Field::required("region", Shape::String, "Region that the backend server stands in."),
+    Field::required("failure_domain", Shape::String, "Failure domain that it stands in."),
+    Field::required("address", Shape::String, "IP number and port, such as \"127.0.0.1:9000\"."),
+    Field::optional("slots", Shape::UnsignedInteger, "Requests it runs at once. Default: 8."),
     Field::optional(
         "checks_epochs",
-        Shape::Flag,
+        Shape::Boolean,
         "Whether it refuses orders of an old epoch. Default: false.",
     ),
-    Field::optional("leaving", Shape::Flag, "Takes it out of service. Default: false."),
+    Field::optional("leaving", Shape::Boolean, "Takes it out of service. Default: false."),
 ]);
 
 const POOL: Shape = Shape::Object(&[
     Field::required("servers", Shape::Map(&SERVER), "Backend servers by name."),
     Field::optional(
         "queue_limit",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Requests that may wait on one box. Default: 256.",
     ),
     Field::optional(
         "queue_bytes",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Bytes of bodies that may wait on one box. Default: 33554432.",
     ),
     Field::optional(
@@ -51,15 +51,15 @@
 ]);
 
 const ROUTE: Shape = Shape::Object(&[
-    Field::required("method", Shape::Text, "Method, or \"*\"."),
-    Field::required("path", Shape::Text, "Beginning of the path, such as \"/filings\"."),
+    Field::required("method", Shape::String, "Method, or \"*\"."),
+    Field::required("path", Shape::String, "Beginning of the path, such as \"/filings\"."),
 ]);
 
 const SERVICE: Shape = Shape::Object(&[
     Field::required("servers", Shape::Map(&SERVER), "Backend servers by name."),
     Field::optional(
         "queue_limit",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Requests that may wait on one box. Default: 256.",
     ),
     Field::optional(
@@ -67,7 +67,7 @@
         Shape::List(&ROUTE),
         "Calls that run at most once. Default: none.",
     ),
-    Field::optional("residency", Shape::Text, "Residency rule for every request to the service."),
+    Field::optional("residency", Shape::String, "Residency rule for every request to the service."),
 ]);
 
 const RESIDENCY: Shape =
@@ -77,7 +77,7 @@
     Field::optional("keys_sha256", TEXTS, "SHA-256 of each of the team's keys, in hex."),
     Field::optional(
         "anonymous",
-        Shape::Flag,
+        Shape::Boolean,
         "Whether requests without a key belong to this team. Default: false.",
     ),
     Field::optional("models", TEXTS, "Models it may use; \"*\" for all. Default: none."),
@@ -92,41 +92,45 @@
         Shape::Number,
         "Limit over all boxes. Default: 1000000.",
     ),
-    Field::optional("residency", Shape::Text, "Residency rule for every request of the team."),
+    Field::optional("residency", Shape::String, "Residency rule for every request of the team."),
 ]);
 
 const LIMITS: Shape = Shape::Object(&[
-    Field::optional("body_bytes", Shape::Whole, "Largest body, bytes. Default: 1048576."),
+    Field::optional("body_bytes", Shape::UnsignedInteger, "Largest body, bytes. Default: 1048576."),
     Field::optional(
         "default_timeout_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Deadline where a request names none. Default: 60000.",
     ),
     Field::optional(
         "max_timeout_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Longest deadline a request may name. Default: 600000.",
     ),
     Field::optional(
         "stream_idle_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Longest silence of an answer. Default: 30000.",
     ),
     Field::optional(
         "ticket_life_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Life of a ticket and of the answer kept for it. Default: 900000.",
     ),
 ]);
 
 const OBJECTIVE: Shape = Shape::Object(&[
-    Field::required("pool", Shape::Text, "Pool or service whose requests count."),
+    Field::required("pool", Shape::String, "Pool or service whose requests count."),
     Field::required(
         "target",
         Shape::Number,
         "Share of requests that should be good, such as 0.95.",
     ),
-    Field::required("first_byte_ms", Shape::Whole, "Time to the first byte of a good request."),
+    Field::required(
+        "first_byte_ms",
+        Shape::UnsignedInteger,
+        "Time to the first byte of a good request.",
+    ),
 ]);
 
 /// The shape of a configuration file.
--- a/lib/src/protocol/events.rs
+++ b/lib/src/protocol/events.rs
@@ -34,12 +34,12 @@
     }
 
     /// Whether the stream stands between two events.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_at_boundary(&self) -> bool {
         self.rest.is_empty()
     }
 
     /// Forgets an incomplete event, to go on with another stream.
-    pub fn restart(&mut self) {
+    pub fn discard_incomplete(&mut self) {
         self.rest.clear();
     }
 
--- a/lib/src/protocol/mod.rs
+++ b/lib/src/protocol/mod.rs
@@ -11,9 +11,9 @@
 pub mod retry_after;
 pub mod routing;
 pub mod schema;
+pub mod server_status;
 pub mod settings;
 pub mod team;
-pub mod words;
 
 /// Name of a box.
 pub type BoxId = String;
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -57,9 +57,9 @@
     /// Failure domain.
     pub failure_domain: String,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where boxes reach it.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Drawn at its start.
     pub incarnation: Incarnation,
     /// Grows by one with each of its heartbeats.
@@ -95,7 +95,7 @@
 
 /// What is known of a backend server's load.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Report {
+pub struct ServerReport {
     /// Server.
     pub server: NameHash,
     /// Requests on it, its queue included.
@@ -131,8 +131,8 @@
             name: name(raw.name, "name")?,
             region: name(raw.region, "region")?,
             failure_domain: name(raw.failure_domain, "failure_domain")?,
-            callers: raw.caller_address.parse().map_err(|_| Malformed("caller_address"))?,
-            peers: raw.peer_address.parse().map_err(|_| Malformed("peer_address"))?,
+            caller_address: raw.caller_address.parse().map_err(|_| Malformed("caller_address"))?,
+            peer_address: raw.peer_address.parse().map_err(|_| Malformed("peer_address"))?,
             incarnation: raw.incarnation,
             beat: raw.beat,
             version: raw.configuration_version,
@@ -163,8 +163,8 @@
             name: member.name.clone(),
             region: member.region.clone(),
             failure_domain: member.failure_domain.clone(),
-            caller_address: member.callers.to_string(),
-            peer_address: member.peers.to_string(),
+            caller_address: member.caller_address.to_string(),
+            peer_address: member.peer_address.to_string(),
             incarnation: member.incarnation,
             beat: member.beat,
             phase: phase.into(),
@@ -179,13 +179,13 @@
 const LEAVING: u32 = 2;
 const LISTED: u32 = 4;
 
-fn reports(raw: &wire::ServerReports) -> Result<Vec<Report>, Malformed> {
+fn reports(raw: &wire::ServerReports) -> Result<Vec<ServerReport>, Malformed> {
     let rows = raw.server.len();
     let columns = [raw.load.len(), raw.flags.len(), raw.age_ms.len()];
     if rows > MAX_REPORTS || columns.iter().any(|column| *column != rows) {
         return Err(Malformed("servers"));
     }
-    let report = |row: usize| Report {
+    let report = |row: usize| ServerReport {
         server: raw.server[row],
         load: raw.load[row],
         reachable: raw.flags[row] & REACHABLE != 0,
@@ -197,12 +197,12 @@
     Ok(reports.filter(|report| report.age <= MAX_REPORT_AGE).collect())
 }
 
-fn wire_reports(reports: &[Report]) -> wire::ServerReports {
-    let flags = |report: &Report| {
+fn wire_reports(reports: &[ServerReport]) -> wire::ServerReports {
+    let flags = |report: &ServerReport| {
         let set = |flag: u32, on: bool| if on { flag } else { 0 };
         set(REACHABLE, report.reachable) | set(LEAVING, report.leaving) | set(LISTED, report.listed)
     };
-    let age = |report: &Report| report.age.as_millis().try_into().unwrap_or(u32::MAX);
+    let age = |report: &ServerReport| report.age.as_millis().try_into().unwrap_or(u32::MAX);
     wire::ServerReports {
         server: reports.iter().map(|report| report.server).collect(),
         load: reports.iter().map(|report| report.load).collect(),
@@ -234,7 +234,7 @@
         return Err(Malformed("demands"));
     }
     let demands = raw.team.into_iter().zip(raw.requests_per_minute);
-    Ok(demands.map(|(team, per_minute)| Demand { team, per_minute }).collect())
+    Ok(demands.map(|(team, requests_per_minute)| Demand { team, requests_per_minute }).collect())
 }
 
 /// A checked heartbeat.
@@ -245,13 +245,13 @@
     /// Records that the receiver may not have.
     pub members: Vec<Member>,
     /// Live members of the sender's region.
-    pub near: Vec<Beat>,
+    pub same_region: Vec<Beat>,
     /// Live members of other regions.
-    pub far: Vec<Beat>,
+    pub other_regions: Vec<Beat>,
     /// Members whose records the sender lacks.
-    pub wanted: Vec<MemberId>,
+    pub requested: Vec<MemberId>,
     /// Load of backend servers in the sender's region.
-    pub reports: Vec<Report>,
+    pub reports: Vec<ServerReport>,
     /// Slots lent to the receiver's region.
     pub credits: Vec<Credit>,
     /// The sender's demand by team.
@@ -266,7 +266,7 @@
     /// Slots.
     pub slots: u32,
     /// How long they hold.
-    pub life: Duration,
+    pub ttl: Duration,
 }
 
 /// Requests of a team on one box.
@@ -275,7 +275,7 @@
     /// Team.
     pub team: NameHash,
     /// Requests a minute.
-    pub per_minute: u32,
+    pub requests_per_minute: u32,
 }
 
 impl TryFrom<wire::Heartbeat> for Heartbeat {
@@ -291,9 +291,9 @@
         Ok(Heartbeat {
             sender: raw.sender.ok_or(Malformed("sender"))?.try_into()?,
             members: raw.members.into_iter().map(Member::try_from).collect::<Result<_, _>>()?,
-            near: beats(raw.near)?,
-            far: beats(raw.far)?,
-            wanted: raw.wanted,
+            same_region: beats(raw.near)?,
+            other_regions: beats(raw.far)?,
+            requested: raw.wanted,
             reports: reports(&raw.servers.unwrap_or_default())?,
             credits: raw.credits.into_iter().take(MAX_REPORTS).map(Credit::from).collect(),
             demands: demands(raw.demands)?,
@@ -307,14 +307,17 @@
         wire::Heartbeat {
             sender: Some((&heartbeat.sender).into()),
             members: heartbeat.members.iter().map(Into::into).collect(),
-            near: wire_beats(&heartbeat.near),
-            far: wire_beats(&heartbeat.far),
-            wanted: heartbeat.wanted.clone(),
+            near: wire_beats(&heartbeat.same_region),
+            far: wire_beats(&heartbeat.other_regions),
+            wanted: heartbeat.requested.clone(),
             servers: (!heartbeat.reports.is_empty()).then(|| wire_reports(&heartbeat.reports)),
             credits: heartbeat.credits.iter().map(Into::into).collect(),
             demands: (!demands.is_empty()).then(|| wire::Demands {
                 team: demands.iter().map(|demand| demand.team).collect(),
-                requests_per_minute: demands.iter().map(|demand| demand.per_minute).collect(),
+                requests_per_minute: demands
+                    .iter()
+                    .map(|demand| demand.requests_per_minute)
+                    .collect(),
             }),
         }
     }
@@ -322,7 +325,7 @@
 
 impl From<wire::Credit> for Credit {
     fn from(raw: wire::Credit) -> Credit {
-        Credit { pool: raw.pool, slots: raw.slots, life: Duration::from_millis(raw.life_ms.into()) }
+        Credit { pool: raw.pool, slots: raw.slots, ttl: Duration::from_millis(raw.life_ms.into()) }
     }
 }
 
@@ -331,7 +334,7 @@
         wire::Credit {
             pool: credit.pool.clone(),
             slots: credit.slots,
-            life_ms: credit.life.as_millis().try_into().unwrap_or(u32::MAX),
+            life_ms: credit.ttl.as_millis().try_into().unwrap_or(u32::MAX),
         }
     }
 }
--- a/lib/src/protocol/platform.rs
+++ b/lib/src/protocol/platform.rs
@@ -116,7 +116,7 @@
 
 /// What the directory says to clients of a box.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listing {
+pub struct DirectoryEntry {
     /// Box.
     pub name: String,
     /// Region.
@@ -136,7 +136,7 @@
     /// Announces a box for `life`.
     fn announce(
         &self,
-        listing: &Listing,
+        listing: &DirectoryEntry,
         life: Duration,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 }
@@ -144,7 +144,7 @@
 /// State of a box in the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
+pub enum BoxListState {
     /// Running.
     Live,
     /// To be stopped soon.
@@ -153,11 +153,11 @@
 
 /// A row of the platform's list: an entry box of ours or one that carries backend servers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listed {
+pub struct BoxListEntry {
     /// Name of the box or of the backend server on it.
     pub name: String,
     /// State; lags behind.
-    pub state: ListedState,
+    pub state: BoxListState,
     /// Peer address, for entry boxes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<String>,
@@ -169,5 +169,5 @@
 /// The lagging list of boxes.
 pub trait BoxList: Send + Sync + 'static {
     /// Reads the list.
-    fn list(&self) -> impl Future<Output = Result<Vec<Listed>, PlatformError>> + Send;
+    fn list(&self) -> impl Future<Output = Result<Vec<BoxListEntry>, PlatformError>> + Send;
 }
--- a/lib/src/protocol/routing.rs
+++ b/lib/src/protocol/routing.rs
@@ -14,7 +14,7 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Method {
+pub enum Repeatability {
     /// Running it twice does no harm.
     Safe,
     /// It may run at most once.
@@ -33,11 +33,11 @@
     /// Beginning of the path.
     pub prefix: String,
     /// What may be done with its requests.
-    pub method: Method,
+    pub repeatability: Repeatability,
     /// Longest time that a request is held.
     pub timeout: Duration,
     /// Latency objective: to the whole answer, or to the first event of a stream.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services with their weights; never empty.
@@ -47,7 +47,7 @@
     /// Whether a stream may go on at another backend server after its last event.
     pub resumable: bool,
     /// Regions that may run it; empty means all.
-    pub homes: Vec<RegionId>,
+    pub home_regions: Vec<RegionId>,
     /// Whether a request needs no key.
     pub anonymous: bool,
 }
@@ -55,20 +55,20 @@
 impl Route {
     /// Whether a second run does no harm.
     pub fn repeatable(&self) -> bool {
-        match self.method {
-            Method::Safe => true,
-            Method::Once => false,
-            Method::Stream => self.resumable,
+        match self.repeatability {
+            Repeatability::Safe => true,
+            Repeatability::Once => false,
+            Repeatability::Stream => self.resumable,
         }
     }
 
     /// Whether a region may run it.
     pub fn allows(&self, region: &str) -> bool {
-        self.homes.is_empty() || self.homes.iter().any(|home| home == region)
+        self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 
     /// The service for a request; `point` picks evenly among the weights.
-    pub fn service(&self, point: u64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, point: u64) -> Option<&ServiceId> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut rest = point % total.max(1);
         for (service, weight) in &self.services {
@@ -88,13 +88,13 @@
     /// Connections that a server takes from all callers together.
     pub max_connections: usize,
     /// How long a server stays cold after its start.
-    pub cold: Duration,
+    pub cold_time: Duration,
     /// Where a server says how it is; `None` if it does not.
     pub health_path: Option<String>,
     /// Requests a second that a cold server bears; 0 means that none turns cold.
     pub warmup_rate: f64,
     /// Tokens that a server's memory holds; `None` for services that are no model engines.
-    pub memory_tokens: Option<u64>,
+    pub kv_cache_tokens: Option<u64>,
 }
 
 /// Bounds on what callers may send.
@@ -105,13 +105,17 @@
     /// Largest body, bytes.
     pub body_bytes: usize,
     /// How long a connection may rest between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// What holds before the first configuration is known.
     fn default() -> Limits {
-        Limits { header_bytes: 16 << 10, body_bytes: 4 << 20, idle: Duration::from_secs(15) }
+        Limits {
+            header_bytes: 16 << 10,
+            body_bytes: 4 << 20,
+            idle_timeout: Duration::from_secs(15),
+        }
     }
 }
 
@@ -153,7 +157,7 @@
     }
 
     /// How many routes of a host may run in a region.
-    pub fn routes_of_host_in(&self, host: &str, region: &str) -> usize {
+    pub fn count_routes(&self, host: &str, region: &str) -> usize {
         let routes = self.hosts.get(host).into_iter().flatten();
         routes.filter(|route| route.allows(region)).count()
     }
--- a/lib/src/protocol/schema.rs
+++ b/lib/src/protocol/schema.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Copy)]
 pub enum Shape {
     /// Text.
-    Text,
+    String,
     /// A whole number from 0.
-    Whole,
+    UnsignedInteger,
     /// A number.
     Number,
     /// `true` or `false`.
-    Flag,
+    Boolean,
     /// One of these words.
-    Word(&'static [&'static str]),
+    Enum(&'static [&'static str]),
     /// A list.
     List(&'static Shape),
     /// An object with names that the user chooses.
@@ -61,11 +61,11 @@
 impl Shape {
     fn expected(&self) -> String {
         match self {
-            Shape::Text => "text in quotes".to_owned(),
-            Shape::Whole => "a whole number from 0".to_owned(),
+            Shape::String => "text in quotes".to_owned(),
+            Shape::UnsignedInteger => "a whole number from 0".to_owned(),
             Shape::Number => "a number".to_owned(),
-            Shape::Flag => "true or false".to_owned(),
-            Shape::Word(words) => format!("one of {}", words.join(", ")),
+            Shape::Boolean => "true or false".to_owned(),
+            Shape::Enum(words) => format!("one of {}", words.join(", ")),
             Shape::List(_) => "a list".to_owned(),
             Shape::Map(_) | Shape::Object(_) => "an object".to_owned(),
         }
@@ -86,16 +86,16 @@
         problems: &mut Vec<Problem>,
     ) {
         match (self, value) {
-            (Shape::Text, ast::Value::StringLit(_)) => {}
-            (Shape::Flag, ast::Value::BooleanLit(_)) => {}
+            (Shape::String, ast::Value::StringLit(_)) => {}
+            (Shape::Boolean, ast::Value::BooleanLit(_)) => {}
             (Shape::Number, ast::Value::NumberLit(_)) => {}
-            (Shape::Whole, ast::Value::NumberLit(number))
+            (Shape::UnsignedInteger, ast::Value::NumberLit(number))
                 if number.value.parse::<u64>().is_ok() => {}
-            (Shape::Word(words), ast::Value::StringLit(text)) if words.contains(&&*text.value) => {}
-            (Shape::Word(words), ast::Value::StringLit(text)) => {
+            (Shape::Enum(words), ast::Value::StringLit(text)) if words.contains(&&*text.value) => {}
+            (Shape::Enum(words), ast::Value::StringLit(text)) => {
                 let message =
                     format!("\"{}\" is not known; expected {}", text.value, self.expected());
-                let hint = nearest(&text.value, words.iter().copied());
+                let hint = suggestion(&text.value, words.iter().copied());
                 problems.push(document.problem_at(value.start(), path, message, hint));
             }
             (Shape::List(shape), ast::Value::Array(array)) => {
@@ -123,7 +123,7 @@
     }
 
     /// Rows for the reference page: path, shape, whether required, meaning.
-    pub fn reference(&self) -> String {
+    pub fn reference_rows(&self) -> String {
         let mut rows = String::new();
         self.describe("", &mut rows);
         rows
@@ -170,7 +170,7 @@
             match fields.iter().find(|field| field.name == name) {
                 Some(field) => field.shape.visit(document, &property.value, path, problems),
                 None => {
-                    let hint = nearest(name, fields.iter().map(|field| field.name));
+                    let hint = suggestion(name, fields.iter().map(|field| field.name));
                     problems.push(document.problem_at(
                         property.start(),
                         path,
@@ -201,7 +201,7 @@
 }
 
 /// A hint that names the nearest known word, or all of them.
-pub fn nearest<'a>(given: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
+pub fn suggestion<'a>(given: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     let known: Vec<&str> = known.collect();
     let best = known.iter().min_by_key(|word| distance(given, word))?;
     if distance(given, best) <= 2 {
--- a/lib/src/protocol/words.rs
+++ b/lib/src/protocol/server_status.rs
@@ -4,7 +4,7 @@
 
 /// What a server says of itself in the head of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Words {
+pub struct ServerStatus {
     /// It is about to end.
     pub leaving: bool,
     /// How long it wants nothing from this box, if it turned the request away and says so.
@@ -15,9 +15,9 @@
     pub cold_left: Option<Duration>,
 }
 
-impl Words {
+impl ServerStatus {
     /// Whether it says anything.
-    pub fn says_something(&self) -> bool {
-        *self != Words::default()
+    pub fn reports_anything(&self) -> bool {
+        *self != ServerStatus::default()
     }
 }
--- a/lib/src/protocol/settings.rs
+++ b/lib/src/protocol/settings.rs
@@ -16,52 +16,52 @@
 
 /// Shape of a settings file; also the source of its reference page.
 pub const SHAPE: Shape = Shape::Object(&[
-    Field::required("box", Shape::Text, "Name of this box; unique in the installation."),
-    Field::required("region", Shape::Text, "Region that the box stands in."),
-    Field::required("failure_domain", Shape::Text, "Failure domain that the box stands in."),
-    Field::required("callers", Shape::Text, "IP number and port for callers."),
-    Field::required("peers", Shape::Text, "IP number and port for other boxes."),
-    Field::required("operators", Shape::Text, "IP number and port for operators."),
-    Field::required("platform", Shape::Text, "IP number and port of the platform's service."),
+    Field::required("box", Shape::String, "Name of this box; unique in the installation."),
+    Field::required("region", Shape::String, "Region that the box stands in."),
+    Field::required("failure_domain", Shape::String, "Failure domain that the box stands in."),
+    Field::required("callers", Shape::String, "IP number and port for callers."),
+    Field::required("peers", Shape::String, "IP number and port for other boxes."),
+    Field::required("operators", Shape::String, "IP number and port for operators."),
+    Field::required("platform", Shape::String, "IP number and port of the platform's service."),
     Field::required(
         "peer_secret",
-        Shape::Text,
+        Shape::String,
         "Secret that all boxes share; 16 characters or more.",
     ),
     Field::optional(
         "operator_key_sha256",
-        Shape::Text,
+        Shape::String,
         "SHA-256 of the operators' key in hex. Default: no key, and the operators' port must be on a loopback address.",
     ),
     Field::optional(
         "seeds",
-        Shape::List(&Shape::Text),
+        Shape::List(&Shape::String),
         "Peer addresses to ask when the platform is out. Default: none.",
     ),
     Field::optional(
         "peer_routes",
-        Shape::Map(&Shape::Text),
+        Shape::Map(&Shape::String),
         "Addresses to use in place of other boxes' peer addresses, where the network translates them. Default: none.",
     ),
-    Field::optional("traffic_threads", Shape::Whole, "Threads for traffic. Default: 2."),
+    Field::optional("traffic_threads", Shape::UnsignedInteger, "Threads for traffic. Default: 2."),
     Field::optional(
         "stop_limit_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Longest time that a planned stop waits for requests in progress. Default: 600000.",
     ),
     Field::optional(
         "stop_grace_ms",
-        Shape::Whole,
+        Shape::UnsignedInteger,
         "Time that a leaving box still accepts requests, so that no caller is still told of it. Default: 5000.",
     ),
     Field::optional(
         "log",
-        Shape::Text,
+        Shape::String,
         "Log levels in the logger's form, such as \"info\". Default: \"info\".",
     ),
     Field::optional(
         "statsd",
-        Shape::Text,
+        Shape::String,
         "IP number and port that counters are sent to. Default: none.",
     ),
 ]);
--- a/lib/src/protocol/team.rs
+++ b/lib/src/protocol/team.rs
@@ -67,33 +67,33 @@
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unit {
+pub enum RateUnit {
     /// Requests, each as one.
     Requests,
     /// Tokens of the prompt and the most to be generated.
     Tokens {
         /// What a request counts as that does not say.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
 /// How much a team may ask of all boxes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// Units a second.
     pub rate: f64,
     /// Units beyond that at once.
     pub burst: f64,
     /// What is counted.
-    pub unit: Unit,
+    pub unit: RateUnit,
 }
 
-impl Limit {
+impl RateLimit {
     /// What a request counts as, by the tokens that it says it has.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
-            Unit::Requests => 1.0,
-            Unit::Tokens { plain } => tokens.unwrap_or(plain) as f64,
+            RateUnit::Requests => 1.0,
+            RateUnit::Tokens { default_tokens } => tokens.unwrap_or(default_tokens) as f64,
         }
     }
 }
@@ -106,20 +106,20 @@
     /// Rank of its requests in place of their route's; 0 is the most urgent.
     pub priority: Option<u8>,
     /// Regions that may run its requests; empty means all.
-    pub homes: Vec<RegionId>,
+    pub home_regions: Vec<RegionId>,
     /// How much it may ask for; `None` for no limit.
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
 }
 
 impl Team {
     /// A team of which only the name is known.
-    pub fn named(name: &str) -> Team {
-        Team { name: name.to_owned(), priority: None, homes: Vec::new(), limit: None }
+    pub fn with_name(name: &str) -> Team {
+        Team { name: name.to_owned(), priority: None, home_regions: Vec::new(), limit: None }
     }
 
     /// Whether a region may run its requests.
     pub fn allows(&self, region: &str) -> bool {
-        self.homes.is_empty() || self.homes.iter().any(|home| home == region)
+        self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 }
 
@@ -145,12 +145,12 @@
     }
 
     /// The team that holds a key.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
         self.by_key.get(key)
     }
 
     /// The team of a name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Team>> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Arc<Team>> {
         self.by_name.get(name)
     }
 
--- a/lib/src/state/burn.rs
+++ b/lib/src/state/burn.rs
@@ -23,15 +23,15 @@
 
 /// Requests of a slice or window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Count {
+pub struct RequestCounts {
     /// All.
     pub total: u64,
     /// Those that missed the objective.
     pub bad: u64,
 }
 
-impl Count {
-    fn add(&mut self, other: Count) {
+impl RequestCounts {
+    fn add(&mut self, other: RequestCounts) {
         self.total += other.total;
         self.bad += other.bad;
     }
@@ -47,7 +47,7 @@
 
 /// One row of a report: an objective over each window.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Row {
+pub struct ObjectiveBurn {
     /// Objective.
     pub objective: String,
     /// Pool.
@@ -55,23 +55,23 @@
     /// Target share.
     pub target: f64,
     /// Counts in the order of [`WINDOWS`].
-    pub windows: Vec<Count>,
+    pub windows: Vec<RequestCounts>,
 }
 
 /// What one box reports.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Report {
+pub struct BurnReport {
     /// Box.
     pub name: String,
     /// How long it has counted, seconds.
     pub since_s: u64,
     /// Rows by objective.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ObjectiveBurn>,
 }
 
-impl Report {
+impl BurnReport {
     /// Adds the counts of another box's report.
-    pub fn merge(&mut self, other: &Report) {
+    pub fn merge(&mut self, other: &BurnReport) {
         for row in &other.rows {
             let own = self.rows.iter_mut().find(|own| own.objective == row.objective);
             match own {
@@ -88,15 +88,15 @@
 
 /// The counts of one box.
 #[derive(Debug)]
-pub struct Burn {
+pub struct BurnTracker {
     started_at: Instant,
-    slices: BTreeMap<String, VecDeque<(Instant, Count)>>,
+    slices: BTreeMap<String, VecDeque<(Instant, RequestCounts)>>,
 }
 
-impl Burn {
+impl BurnTracker {
     /// Nothing counted yet.
-    pub fn new(now: Instant) -> Burn {
-        Burn { started_at: now, slices: BTreeMap::new() }
+    pub fn new(now: Instant) -> BurnTracker {
+        BurnTracker { started_at: now, slices: BTreeMap::new() }
     }
 
     /// A request of a pool ended. `first_byte` is `None` where it failed.
@@ -112,12 +112,12 @@
                 continue;
             }
             let good = first_byte.is_some_and(|time| time <= objective.first_byte);
-            let count = Count { total: 1, bad: u64::from(!good) };
+            let count = RequestCounts { total: 1, bad: u64::from(!good) };
             self.slice(name, now).add(count);
         }
     }
 
-    fn slice(&mut self, objective: &str, now: Instant) -> &mut Count {
+    fn slice(&mut self, objective: &str, now: Instant) -> &mut RequestCounts {
         if !self.slices.contains_key(objective) {
             self.slices.insert(objective.to_owned(), VecDeque::new());
         }
@@ -128,29 +128,29 @@
         }
         let fresh = slices.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SLICE);
         if fresh {
-            slices.push_back((now, Count::default()));
+            slices.push_back((now, RequestCounts::default()));
         }
         let last = slices.len() - 1;
         &mut slices[last].1
     }
 
     /// The report of this box.
-    pub fn report(&self, name: &str, configuration: &Configuration, now: Instant) -> Report {
-        let rows = configuration.objectives.iter().map(|(objective, detail)| Row {
+    pub fn report(&self, name: &str, configuration: &Configuration, now: Instant) -> BurnReport {
+        let rows = configuration.objectives.iter().map(|(objective, detail)| ObjectiveBurn {
             objective: objective.clone(),
             pool: detail.pool.clone(),
             target: detail.target,
             windows: WINDOWS.iter().map(|window| self.window(objective, *window, now)).collect(),
         });
-        Report {
+        BurnReport {
             name: name.to_owned(),
             since_s: now.saturating_duration_since(self.started_at).as_secs(),
             rows: rows.collect(),
         }
     }
 
-    fn window(&self, objective: &str, window: Duration, now: Instant) -> Count {
-        let mut sum = Count::default();
+    fn window(&self, objective: &str, window: Duration, now: Instant) -> RequestCounts {
+        let mut sum = RequestCounts::default();
         let slices = self.slices.get(objective).into_iter().flatten();
         for (at, count) in slices {
             if now.saturating_duration_since(*at) <= window {
--- a/lib/src/state/clock.rs
+++ b/lib/src/state/clock.rs
@@ -42,7 +42,7 @@
 
 /// Moves the clock on as a suspension of the machine does, for tests.
 #[doc(hidden)]
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     MADE_UP.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// How long the machine has been suspended since this was first asked.
-pub fn suspended() -> Duration {
+pub fn total_suspension() -> Duration {
     let passed = now();
     passed.saturating_duration_since(Instant::now())
 }
--- a/lib/src/state/counters.rs
+++ b/lib/src/state/counters.rs
@@ -87,7 +87,7 @@
 
 impl Counters {
     /// Adds one.
-    pub fn count(&self, counter: Counter) {
+    pub fn increment(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
--- a/lib/src/state/latency.rs
+++ b/lib/src/state/latency.rs
@@ -76,7 +76,7 @@
     }
 
     /// The histograms as text, milliseconds.
-    pub fn page(&self, text: &mut String) {
+    pub fn write_metrics(&self, text: &mut String) {
         let histograms = self.histograms.lock().unwrap_or_else(PoisonError::into_inner);
         for timing in Timing::ALL {
             let (name, histogram) = (timing.as_str(), &histograms[*timing as usize]);
--- a/lib/src/state/load.rs
+++ b/lib/src/state/load.rs
@@ -17,7 +17,7 @@
 use crate::protocol::ServerId;
 use crate::protocol::name_hash;
 use crate::protocol::peer::MAX_REPORT_AGE;
-use crate::protocol::peer::Report;
+use crate::protocol::peer::ServerReport;
 
 /// Ages closer together than this count as the same when reports are picked.
 const SAME_AGE: Duration = Duration::from_millis(250);
@@ -36,26 +36,26 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// When this was so.
-    pub at: Instant,
+    pub observed_at: Instant,
 }
 
 /// All observations that one box has.
 #[derive(Debug, Default)]
-pub struct Load {
+pub struct ServerLoads {
     servers: BTreeMap<NameHash, Observation>,
     listed: BTreeMap<NameHash, Instant>,
 }
 
-impl Load {
+impl ServerLoads {
     /// Takes in an observation. True where the server became leaving or
     /// reachable, or ceased to be.
-    pub fn observe(&mut self, report: &Report, now: Instant) -> bool {
-        let Some(at) = now.checked_sub(report.age) else { return false };
+    pub fn observe(&mut self, report: &ServerReport, now: Instant) -> bool {
+        let Some(observed_at) = now.checked_sub(report.age) else { return false };
         if report.listed {
-            return self.observe_listed(report.server, at, now);
+            return self.observe_listed(report.server, observed_at, now);
         }
         let known = self.servers.get(&report.server);
-        if known.is_some_and(|known| known.at >= at) {
+        if known.is_some_and(|known| known.observed_at >= observed_at) {
             return false;
         }
         let before = known.map_or((true, false), |known| (known.reachable, known.leaving));
@@ -63,7 +63,7 @@
             load: report.load,
             reachable: report.reachable,
             leaving: report.leaving,
-            at,
+            observed_at,
         };
         self.servers.insert(report.server, observation);
         before != (report.reachable, report.leaving)
@@ -93,27 +93,34 @@
     }
 
     /// Reports to pass on: leaving servers first, then the youngest.
-    pub fn news(&self, most: usize, now: Instant, rng: &mut impl Rng) -> Vec<Report> {
+    pub fn reports_to_share(
+        &self,
+        most: usize,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Vec<ServerReport> {
         let age = |at: &Instant| now.saturating_duration_since(*at);
         let listed = self.listed.iter().filter(|(_, at)| age(at) < LISTED_LIFE);
-        let mut reports: Vec<Report> = listed.map(|(server, at)| word(*server, age(at))).collect();
+        let mut reports: Vec<ServerReport> =
+            listed.map(|(server, at)| word(*server, age(at))).collect();
         reports.truncate(most / 2);
-        let mut observed: Vec<Report> = self
+        let mut observed: Vec<ServerReport> = self
             .servers
             .iter()
-            .filter(|(_, observation)| age(&observation.at) < MAX_REPORT_AGE)
-            .map(|(server, observation)| Report {
+            .filter(|(_, observation)| age(&observation.observed_at) < MAX_REPORT_AGE)
+            .map(|(server, observation)| ServerReport {
                 server: *server,
                 load: observation.load,
                 reachable: observation.reachable,
                 leaving: observation.leaving,
                 listed: false,
-                age: age(&observation.at),
+                age: age(&observation.observed_at),
             })
             .collect();
         observed.shuffle(rng);
-        let order =
-            |report: &Report| (!report.leaving, report.age.as_millis() / SAME_AGE.as_millis());
+        let order = |report: &ServerReport| {
+            (!report.leaving, report.age.as_millis() / SAME_AGE.as_millis())
+        };
         observed.sort_by_key(order);
         observed.truncate(most - reports.len());
         reports.extend(observed);
@@ -123,12 +130,13 @@
     /// Forgets servers that the configuration no longer has, and old observations.
     pub fn retain(&mut self, keep: impl Fn(&NameHash) -> bool, now: Instant) {
         let young = |at: &Instant, life| now.saturating_duration_since(*at) < life;
-        self.servers
-            .retain(|server, observation| keep(server) && young(&observation.at, FORGET_AFTER));
+        self.servers.retain(|server, observation| {
+            keep(server) && young(&observation.observed_at, FORGET_AFTER)
+        });
         self.listed.retain(|_, at| young(at, LISTED_LIFE));
     }
 }
 
-fn word(server: NameHash, age: Duration) -> Report {
-    Report { server, load: 0, reachable: true, leaving: true, listed: true, age }
+fn word(server: NameHash, age: Duration) -> ServerReport {
+    ServerReport { server, load: 0, reachable: true, leaving: true, listed: true, age }
 }
--- a/lib/src/state/snapshot.rs
+++ b/lib/src/state/snapshot.rs
@@ -29,4 +29,4 @@
 }
 
 /// The place where snapshots are published.
-pub type Published = Arc<ArcSwap<Snapshot>>;
+pub type SharedSnapshot = Arc<ArcSwap<Snapshot>>;
--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -27,7 +27,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use super::worker;
+use super::traffic_thread;
 
 use crate::state::clock;
 use crate::transport::timer;
@@ -46,13 +46,13 @@
 
 /// A failed attempt.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Attempt {
+pub enum AttemptError {
     /// No byte of the request was written.
     #[error("not sent: {0}")]
-    Unsent(String),
+    NotSent(String),
     /// The request, or part of it, may have arrived.
     #[error("no answer: {0}")]
-    Lost(String),
+    NoResponse(String),
     /// Whoever asked no longer wanted it sent.
     #[error("withheld")]
     Withheld,
@@ -60,18 +60,18 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 /// Idle connections of each thread by address.
-type Idle = Arc<Mutex<HashMap<(usize, SocketAddr), Vec<Link>>>>;
+type IdleConnections = Arc<Mutex<HashMap<(usize, SocketAddr), Vec<Connection>>>>;
 
 /// An open connection. It is closed at once when it is dropped: that is how
 /// the other side learns that nobody waits for an answer any more.
-struct Link {
+struct Connection {
     sender: Sender,
     task: AbortHandle,
     /// Until when it may be used again.
     fresh_until: Instant,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -80,7 +80,7 @@
 /// Connections to backend servers.
 #[derive(Clone)]
 pub struct Client {
-    idle: Idle,
+    idle: IdleConnections,
     connect_timeout: Duration,
 }
 
@@ -91,26 +91,26 @@
 }
 
 /// An answer and the connection that it arrives on.
-pub struct Exchange {
+pub struct PooledBody {
     body: Incoming,
-    connection: Option<(Link, SocketAddr, Idle)>,
+    connection: Option<(Connection, SocketAddr, IdleConnections)>,
     /// Whether the connection may serve others afterwards.
     reuse: bool,
 }
 
-impl Exchange {
+impl PooledBody {
     /// The body.
     pub fn body(&mut self) -> &mut Incoming {
         &mut self.body
     }
 
     /// The body was read to its proper end: others may use the connection.
-    pub fn finished(&mut self) {
-        self.finished_for(IDLE_TIME);
+    pub fn release(&mut self) {
+        self.release_for(IDLE_TIME);
     }
 
-    /// As [`Exchange::finished`], for a connection that may rest for `idle` at most.
-    pub fn finished_for(&mut self, idle_time: Duration) {
+    /// As [`PooledBody::finished`], for a connection that may rest for `idle` at most.
+    pub fn release_for(&mut self, idle_time: Duration) {
         let Some((mut link, address, idle)) = self.connection.take() else { return };
         if !self.reuse || link.sender.is_closed() {
             return;
@@ -121,9 +121,9 @@
 }
 
 /// Keeps a connection for the next request of this thread.
-fn keep(idle: &Idle, address: SocketAddr, link: Link) {
+fn keep(idle: &IdleConnections, address: SocketAddr, link: Connection) {
     let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
-    let links = idle.entry((worker::index(), address)).or_default();
+    let links = idle.entry((traffic_thread::index(), address)).or_default();
     if links.len() < IDLE_PER_SERVER {
         links.push(link);
     }
@@ -132,27 +132,27 @@
 impl Client {
     /// A client that waits so long for a connection.
     pub fn new(connect_timeout: Duration) -> Client {
-        Client { idle: Idle::default(), connect_timeout }
+        Client { idle: IdleConnections::default(), connect_timeout }
     }
 
     /// Sends a request and waits for the head of the answer. `fresh` asks for a new connection.
-    pub async fn exchange(
+    pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         fresh: bool,
-    ) -> Result<Response<Exchange>, Attempt> {
-        self.exchange_if(address, request, fresh, || true).await
+    ) -> Result<Response<PooledBody>, AttemptError> {
+        self.send_if(address, request, fresh, || true).await
     }
 
     /// As [`Client::exchange`]; asks once more, when there is a connection, whether to send it at all.
-    pub async fn exchange_if(
+    pub async fn send_if(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         fresh: bool,
         admits: impl Fn() -> bool,
-    ) -> Result<Response<Exchange>, Attempt> {
+    ) -> Result<Response<PooledBody>, AttemptError> {
         while !fresh && let Some(mut link) = self.take_idle(address) {
             // Right after an answer, the connection's own task has yet to see its end.
             match timer::timeout(READY_TIMEOUT, link.sender.ready()).await {
@@ -161,26 +161,31 @@
             }
             if !admits() {
                 keep(&self.idle, address, link);
-                return Err(Attempt::Withheld);
+                return Err(AttemptError::Withheld);
             }
             match link.sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.answered(response, link, address, true)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(Attempt::Lost(error.into_error().to_string())),
+                    None => return Err(AttemptError::NoResponse(error.into_error().to_string())),
                 },
             }
         }
-        let mut link = connect(address, self.connect_timeout).await.map_err(Attempt::Unsent)?;
+        let mut link =
+            connect(address, self.connect_timeout).await.map_err(AttemptError::NotSent)?;
         if !admits() {
-            return Err(Attempt::Withheld);
+            return Err(AttemptError::Withheld);
         }
         match link.sender.try_send_request(request).await {
             Ok(response) => Ok(self.answered(response, link, address, !fresh)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let text = error.into_error().to_string();
-                Err(if unsent { Attempt::Unsent(text) } else { Attempt::Lost(text) })
+                Err(if unsent {
+                    AttemptError::NotSent(text)
+                } else {
+                    AttemptError::NoResponse(text)
+                })
             }
         }
     }
@@ -188,17 +193,17 @@
     fn answered(
         &self,
         response: Response<Incoming>,
-        link: Link,
+        link: Connection,
         address: SocketAddr,
         reuse: bool,
-    ) -> Response<Exchange> {
+    ) -> Response<PooledBody> {
         let connection = Some((link, address, Arc::clone(&self.idle)));
-        response.map(|body| Exchange { body, connection, reuse })
+        response.map(|body| PooledBody { body, connection, reuse })
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let links = idle.get_mut(&(worker::index(), address))?;
+        let links = idle.get_mut(&(traffic_thread::index(), address))?;
         let now = clock::now();
         links.retain(|link| !link.sender.is_closed() && now < link.fresh_until);
         let ready = links.iter().rposition(|link| link.sender.is_ready());
@@ -207,9 +212,9 @@
     }
 
     /// Idle connections of this thread to a server.
-    pub fn idle(&self, address: SocketAddr) -> usize {
+    pub fn idle_count(&self, address: SocketAddr) -> usize {
         let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.get(&(worker::index(), address)).map_or(0, Vec::len)
+        idle.get(&(traffic_thread::index(), address)).map_or(0, Vec::len)
     }
 
     /// Closes the idle connections to servers that are no longer wanted.
@@ -223,17 +228,18 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, Attempt> {
-        let response = self.exchange(address, request, false).await?;
+    ) -> Result<Response<Bytes>, AttemptError> {
+        let response = self.send(address, request, false).await?;
         let (head, mut exchange) = response.into_parts();
         let limited = http_body_util::Limited::new(exchange.body(), FETCH_LIMIT);
-        let body = limited.collect().await.map_err(|error| Attempt::Lost(error.to_string()))?;
-        exchange.finished();
+        let body =
+            limited.collect().await.map_err(|error| AttemptError::NoResponse(error.to_string()))?;
+        exchange.release();
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 }
 
-async fn connect(address: SocketAddr, timeout: Duration) -> Result<Link, String> {
+async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, String> {
     let stream = timer::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| format!("{address} did not accept in time"))?
@@ -244,16 +250,16 @@
         .await
         .map_err(|error| error.to_string())?;
     let task = tokio::spawn(connection).abort_handle();
-    Ok(Link { sender, task, fresh_until: clock::now() + IDLE_TIME })
+    Ok(Connection { sender, task, fresh_until: clock::now() + IDLE_TIME })
 }
 
 /// Whether the machine there says that nothing listens on that port: the process is gone.
-pub async fn refuses(address: SocketAddr, timeout: Duration) -> bool {
+pub async fn refuses_connections(address: SocketAddr, timeout: Duration) -> bool {
     let connected = timer::timeout(timeout, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
 /// Whether something accepts connections there.
-pub async fn reachable(address: SocketAddr, timeout: Duration) -> bool {
+pub async fn accepts_connections(address: SocketAddr, timeout: Duration) -> bool {
     matches!(timer::timeout(timeout, TcpStream::connect(address)).await, Ok(Ok(_)))
 }
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -22,7 +22,7 @@
 
 /// Load that an engine reports; lags.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct EngineLoad {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait in it.
@@ -34,7 +34,7 @@
 
 /// A model and its version.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Model {
+pub struct ModelVersion {
     /// Name.
     pub name: String,
     /// Version.
@@ -43,11 +43,11 @@
 
 /// What an engine has loaded.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Loaded {
+pub struct LoadedModels {
     /// Epoch of the latest order; 0 before the first.
     pub epoch: Epoch,
     /// Models, sorted.
-    pub models: Vec<Model>,
+    pub models: Vec<ModelVersion>,
 }
 
 /// A failed order.
@@ -64,30 +64,30 @@
 /// What is said to a model engine besides requests.
 pub trait Engine: Send + Sync + 'static {
     /// Asks for its load; `None` where it does not answer.
-    fn load(&self, address: SocketAddr) -> impl Future<Output = Option<Load>> + Send;
+    fn load(&self, address: SocketAddr) -> impl Future<Output = Option<EngineLoad>> + Send;
 
     /// Asks what it has loaded.
     fn loaded(
         &self,
         address: SocketAddr,
-    ) -> impl Future<Output = Result<Loaded, OrderError>> + Send;
+    ) -> impl Future<Output = Result<LoadedModels, OrderError>> + Send;
 
     /// Orders the state wanted; it says nothing of the state before.
     fn order(
         &self,
         address: SocketAddr,
-        wanted: &Loaded,
+        wanted: &LoadedModels,
         timeout: Duration,
     ) -> impl Future<Output = Result<(), OrderError>> + Send;
 }
 
 impl Engine for Client {
-    async fn load(&self, address: SocketAddr) -> Option<Load> {
+    async fn load(&self, address: SocketAddr) -> Option<EngineLoad> {
         let body = call(self, address, Method::GET, "/engine/load", Bytes::new(), PROBE_TIMEOUT);
         serde_json::from_slice(&body.await.ok()?).ok()
     }
 
-    async fn loaded(&self, address: SocketAddr) -> Result<Loaded, OrderError> {
+    async fn loaded(&self, address: SocketAddr) -> Result<LoadedModels, OrderError> {
         let path = "/engine/models";
         let body = call(self, address, Method::GET, path, Bytes::new(), PROBE_TIMEOUT).await?;
         serde_json::from_slice(&body).map_err(|error| OrderError::Failed(error.to_string()))
@@ -96,7 +96,7 @@
     async fn order(
         &self,
         address: SocketAddr,
-        wanted: &Loaded,
+        wanted: &LoadedModels,
         timeout: Duration,
     ) -> Result<(), OrderError> {
         let body =
--- a/lib/src/transport/http1.rs
+++ b/lib/src/transport/http1.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use super::listen::Stop;
+use super::listen::Shutdown;
 
 use crate::transport::timer;
 
@@ -34,25 +34,25 @@
 
 /// Bounds on a connection, read when it is accepted.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Largest head of a request, bytes.
     pub header_bytes: usize,
     /// How long a connection may rest between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Where a request's connection comes from; [`serve`] puts it into the request's extensions.
 #[derive(Clone, Copy, Debug)]
-pub struct Origin(pub IpAddr);
+pub struct ClientIp(pub IpAddr);
 
 /// Serves a port until told to stop; then takes no new connections, ends idle ones, and the
 /// others after their answers, unless it is told to end at once.
 pub async fn serve<H, F, B>(
     listener: TcpListener,
     most: usize,
-    bounds: impl Fn() -> Bounds,
+    bounds: impl Fn() -> ConnectionLimits,
     handler: H,
-    mut stop: watch::Receiver<Stop>,
+    mut stop: watch::Receiver<Shutdown>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
@@ -64,7 +64,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|stop| *stop != Stop::No) => break,
+            _ = stop.wait_for(|stop| *stop != Shutdown::No) => break,
         };
         let (stream, from) = match accepted {
             Ok(accepted) => accepted,
@@ -80,16 +80,16 @@
         };
         // Without it answers are only a little later.
         let _ = stream.set_nodelay(true);
-        let Bounds { header_bytes, idle } = bounds();
+        let ConnectionLimits { header_bytes, idle_timeout } = bounds();
         let handler = handler.clone();
         let service = service_fn(move |mut request: Request<Incoming>| {
-            request.extensions_mut().insert(Origin(from.ip()));
+            request.extensions_mut().insert(ClientIp(from.ip()));
             let answer = handler(request);
             async move { Ok::<_, Infallible>(answer.await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(idle)
+            .header_read_timeout(idle_timeout)
             .max_buf_size(header_bytes.max(MIN_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
@@ -102,6 +102,6 @@
     drop(listener);
     tokio::select! {
         () = graceful.shutdown() => {}
-        _ = stop.wait_for(|stop| *stop == Stop::Now) => {}
+        _ = stop.wait_for(|stop| *stop == Shutdown::Now) => {}
     }
 }
--- a/lib/src/transport/listen.rs
+++ b/lib/src/transport/listen.rs
@@ -39,11 +39,11 @@
 
 /// Whether servers should end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stop {
+pub enum Shutdown {
     /// No.
     No,
     /// After the answers in progress.
-    Gently,
+    Graceful,
     /// At once.
     Now,
 }
@@ -52,7 +52,7 @@
 const BACKLOG: u32 = 4096;
 
 /// Accepted connections that wait for a thread.
-pub const HANDED_OVER: usize = 256;
+pub const HANDOVER_QUEUE_LEN: usize = 256;
 
 /// Opens a port.
 pub fn bind(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
@@ -65,18 +65,18 @@
 }
 
 /// Accepted connections on their way to the thread that serves them.
-pub type Accepted = mpsc::Receiver<std::net::TcpStream>;
+pub type AcceptedStreams = mpsc::Receiver<std::net::TcpStream>;
 
 /// Accepts until told to stop, and hands the connections to the threads in turn.
 pub async fn accept(
     listener: TcpListener,
     threads: Vec<mpsc::Sender<std::net::TcpStream>>,
-    mut stop: watch::Receiver<Stop>,
+    mut stop: watch::Receiver<Shutdown>,
 ) {
     for thread in threads.iter().cycle() {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|stop| *stop != Stop::No) => return,
+            _ = stop.wait_for(|stop| *stop != Shutdown::No) => return,
         };
         let Ok((stream, _)) = accepted else {
             // Out of file descriptors, most likely: let some be given back.
@@ -92,8 +92,11 @@
 
 /// Serves what is accepted until told to stop, then ends idle connections
 /// at once and the others after their answer.
-pub async fn serve<H, F, B>(mut accepted: Accepted, handler: H, mut stop: watch::Receiver<Stop>)
-where
+pub async fn serve<H, F, B>(
+    mut accepted: AcceptedStreams,
+    handler: H,
+    mut stop: watch::Receiver<Shutdown>,
+) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
     B: Body<Data = Bytes> + Send + 'static,
@@ -105,7 +108,7 @@
     loop {
         let stream = tokio::select! {
             stream = accepted.recv() => stream,
-            _ = stop.wait_for(|stop| *stop != Stop::No) => break,
+            _ = stop.wait_for(|stop| *stop != Shutdown::No) => break,
         };
         let Some(stream) = stream else { break };
         let Ok(place) = Arc::clone(&places).try_acquire_owned() else { continue };
--- a/lib/src/transport/metrics.rs
+++ b/lib/src/transport/metrics.rs
@@ -14,14 +14,14 @@
 const PREFIX: &str = "copperweir";
 
 /// A statsd client for one process.
-pub struct Sink {
+pub struct StatsdSink {
     client: StatsdClient,
     sent: [u64; Counter::ALL.len()],
 }
 
-impl Sink {
+impl StatsdSink {
     /// Opens a socket; counters carry the box and the region as tags.
-    pub fn open(address: SocketAddr, name: &str, region: &str) -> Result<Sink, MetricError> {
+    pub fn open(address: SocketAddr, name: &str, region: &str) -> Result<StatsdSink, MetricError> {
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         socket.set_nonblocking(true)?;
         let sink = UdpMetricSink::from(address, socket)?;
@@ -29,7 +29,7 @@
             .with_tag("box", name)
             .with_tag("region", region)
             .build();
-        Ok(Sink { client, sent: [0; Counter::ALL.len()] })
+        Ok(StatsdSink { client, sent: [0; Counter::ALL.len()] })
     }
 
     /// Sends what has grown; a datagram that gets lost is not made up for.
--- a/lib/src/transport/mod.rs
+++ b/lib/src/transport/mod.rs
@@ -10,4 +10,4 @@
 pub mod platform;
 pub mod store;
 pub mod timer;
-pub mod worker;
+pub mod traffic_thread;
--- a/lib/src/transport/peer.rs
+++ b/lib/src/transport/peer.rs
@@ -21,9 +21,9 @@
 use tonic::transport::Channel;
 use tonic::transport::Endpoint;
 
-use super::listen::Accepted;
-use super::listen::Stop;
-use super::worker;
+use super::listen::AcceptedStreams;
+use super::listen::Shutdown;
+use super::traffic_thread;
 use crate::protocol::Version;
 use crate::protocol::peer::SECRET_HEADER;
 use crate::protocol::peer::wire;
@@ -32,7 +32,7 @@
 use crate::protocol::peer::wire::peer_server::PeerServer;
 
 /// Largest message between boxes.
-pub const MAX_MESSAGE: usize = 32 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for the answer to a heartbeat or a query.
@@ -45,10 +45,10 @@
 pub enum CallError {
     /// The box was not reached; nothing was sent.
     #[error("box not reached: {0}")]
-    Unsent(String),
+    NotSent(String),
     /// The call may have arrived.
     #[error("call failed: {0}")]
-    Lost(Box<Status>),
+    NoResponse(Box<Status>),
 }
 
 /// Connections to other boxes.
@@ -68,19 +68,19 @@
     }
 
     async fn peer(&self, address: SocketAddr) -> Result<PeerClient<Channel>, CallError> {
-        let known = self.lock().get(&(worker::index(), address)).cloned();
+        let known = self.lock().get(&(traffic_thread::index(), address)).cloned();
         let channel = match known {
             Some(channel) => channel,
             None => {
                 let route = self.routes.get(&address).copied().unwrap_or(address);
-                let channel = connect(route).await.map_err(CallError::Unsent)?;
-                self.lock().insert((worker::index(), address), channel.clone());
+                let channel = connect(route).await.map_err(CallError::NotSent)?;
+                self.lock().insert((traffic_thread::index(), address), channel.clone());
                 channel
             }
         };
         Ok(PeerClient::new(channel)
-            .max_decoding_message_size(MAX_MESSAGE)
-            .max_encoding_message_size(MAX_MESSAGE))
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<(usize, SocketAddr), Channel>> {
@@ -95,9 +95,9 @@
 
     fn lost(&self, address: SocketAddr, status: Status) -> CallError {
         if status.code() == tonic::Code::Unavailable {
-            self.lock().remove(&(worker::index(), address));
+            self.lock().remove(&(traffic_thread::index(), address));
         }
-        CallError::Lost(Box::new(status))
+        CallError::NoResponse(Box::new(status))
     }
 
     /// Exchanges heartbeats.
@@ -162,12 +162,12 @@
 
 /// Serves other boxes on accepted connections until told to stop.
 pub async fn serve<P: Peer>(
-    accepted: Accepted,
+    accepted: AcceptedStreams,
     service: PeerServer<P>,
-    mut stop: watch::Receiver<Stop>,
+    mut stop: watch::Receiver<Shutdown>,
 ) {
     let ended = async move {
-        let _ = stop.wait_for(|stop| *stop != Stop::No).await;
+        let _ = stop.wait_for(|stop| *stop != Shutdown::No).await;
     };
     let incoming = ReceiverStream::new(accepted).map(|stream| {
         let stream = TcpStream::from_std(stream)?;
--- a/lib/src/transport/platform.rs
+++ b/lib/src/transport/platform.rs
@@ -15,11 +15,11 @@
 use super::store;
 use crate::protocol::adapter;
 use crate::protocol::platform::BoxList;
+use crate::protocol::platform::BoxListEntry;
 use crate::protocol::platform::Directory;
+use crate::protocol::platform::DirectoryEntry;
 use crate::protocol::platform::Entry;
 use crate::protocol::platform::LeaseId;
-use crate::protocol::platform::Listed;
-use crate::protocol::platform::Listing;
 use crate::protocol::platform::PlatformError;
 use crate::protocol::platform::Put;
 use crate::protocol::platform::Revision;
@@ -74,10 +74,10 @@
 
     async fn call(&self, call: Call) -> Result<(StatusCode, Bytes), PlatformError> {
         let read = call.method == Method::GET;
-        self.counters.count(if read { Counter::StoreReads } else { Counter::StoreWrites });
+        self.counters.increment(if read { Counter::StoreReads } else { Counter::StoreWrites });
         let result = self.send(call).await;
         if result.is_err() {
-            self.counters.count(Counter::StoreFailures);
+            self.counters.increment(Counter::StoreFailures);
         }
         result
     }
@@ -85,7 +85,8 @@
     async fn send(&self, call: Call) -> Result<(StatusCode, Bytes), PlatformError> {
         let timeout = call.wait + CALL_TIMEOUT;
         let body = call.body.map(|body| body.to_string()).unwrap_or_default();
-        let call = adapter::Call { method: call.method, path: call.path, body: body.into() };
+        let call =
+            adapter::StoreRequest { method: call.method, path: call.path, body: body.into() };
         store::exchange(&self.client, self.address, call, timeout).await
     }
 
@@ -149,7 +150,11 @@
 }
 
 impl Directory for Platform {
-    async fn announce(&self, listing: &Listing, life: Duration) -> Result<(), PlatformError> {
+    async fn announce(
+        &self,
+        listing: &DirectoryEntry,
+        life: Duration,
+    ) -> Result<(), PlatformError> {
         let body = json!({"listing": listing, "life_ms": life.as_millis() as u64});
         let path = format!("/directory/{}", listing.name);
         self.call(Call::new(Method::PUT, path).with_body(body)).await.map(|_| ())
@@ -157,7 +162,7 @@
 }
 
 impl BoxList for Platform {
-    async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
+    async fn list(&self) -> Result<Vec<BoxListEntry>, PlatformError> {
         let (_, body) = self.call(Call::new(Method::GET, "/boxes".to_owned())).await?;
         read(&body)
     }
--- a/lib/src/transport/store.rs
+++ b/lib/src/transport/store.rs
@@ -15,11 +15,11 @@
 use http_body_util::Full;
 
 use super::backend;
-use super::backend::Attempt;
-use crate::protocol::adapter::Answer;
-use crate::protocol::adapter::Call;
-use crate::protocol::adapter::Codec;
+use super::backend::AttemptError;
 use crate::protocol::adapter::Operation;
+use crate::protocol::adapter::StoreCodec;
+use crate::protocol::adapter::StoreRequest;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::platform::Era;
 use crate::protocol::platform::PlatformError;
 use crate::state::clock;
@@ -42,22 +42,22 @@
     address: SocketAddr,
     codec: C,
     http: backend::Client,
-    measures: Measures,
-    eras: Eras,
+    measures: StoreMetrics,
+    eras: NewestEra,
 }
 
 /// The newest era that the store, or another box, has told.
 #[derive(Clone, Debug, Default)]
-pub struct Eras(Arc<AtomicU64>);
+pub struct NewestEra(Arc<AtomicU64>);
 
-impl Eras {
+impl NewestEra {
     /// The newest era so far; 0 if none was told.
-    pub fn newest(&self) -> Era {
+    pub fn get(&self) -> Era {
         self.0.load(Ordering::Acquire)
     }
 
     /// The store, or a box, at that address has told an era.
-    pub fn hear(&self, era: Era, by: SocketAddr) {
+    pub fn observe(&self, era: Era, by: SocketAddr) {
         let before = self.0.fetch_max(era, Ordering::AcqRel);
         if before < era {
             log::info!("event=store_era era={era} before={before} by={by}");
@@ -67,53 +67,61 @@
 
 /// An answer, and the history of the store that it is about.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ResponseWithEra {
     /// The answer.
-    pub answer: Answer,
+    pub response: StoreResponse,
     /// The store's era, if it tells one.
     pub era: Option<Era>,
 }
 
 /// Where calls are counted and timed.
 #[derive(Clone)]
-pub struct Measures {
+pub struct StoreMetrics {
     /// Counters.
     pub counters: Arc<Counters>,
     /// How long calls took.
     pub latencies: Arc<Latencies>,
 }
 
-impl<C: Codec> Client<C> {
+impl<C: StoreCodec> Client<C> {
     /// A store; calls are counted.
-    pub fn new(address: SocketAddr, codec: C, measures: Measures, eras: Eras) -> Client<C> {
+    pub fn new(
+        address: SocketAddr,
+        codec: C,
+        measures: StoreMetrics,
+        eras: NewestEra,
+    ) -> Client<C> {
         Client { address, codec, http: backend::Client::default(), measures, eras }
     }
 
     /// Makes a call.
-    pub async fn call(&self, operation: &Operation) -> Result<Answer, PlatformError> {
-        self.read(operation).await.map(|told| told.answer)
+    pub async fn call(&self, operation: &Operation) -> Result<StoreResponse, PlatformError> {
+        self.call_with_era(operation).await.map(|told| told.response)
     }
 
     /// Makes a call whose answer counts for one history of the store only.
-    pub async fn read(&self, operation: &Operation) -> Result<Told, PlatformError> {
+    pub async fn call_with_era(
+        &self,
+        operation: &Operation,
+    ) -> Result<ResponseWithEra, PlatformError> {
         let counter = match operation {
             Operation::Range { .. } | Operation::Watch { .. } => Counter::StoreReads,
             Operation::Renew(_) => Counter::StoreRenewals,
             _ => Counter::StoreWrites,
         };
-        let Measures { counters, latencies } = &self.measures;
-        counters.count(counter);
+        let StoreMetrics { counters, latencies } = &self.measures;
+        counters.increment(counter);
         let called = clock::now();
         let result = self.send(operation).await;
         if result.is_err() {
-            counters.count(Counter::StoreFailures);
+            counters.increment(Counter::StoreFailures);
         } else if !matches!(operation, Operation::Watch { .. }) {
             latencies.record(Timing::StoreCall, clock::since(called));
         }
         result
     }
 
-    async fn send(&self, operation: &Operation) -> Result<Told, PlatformError> {
+    async fn send(&self, operation: &Operation) -> Result<ResponseWithEra, PlatformError> {
         let call = self.codec.encode(operation);
         let timeout = match operation {
             Operation::Watch { wait, .. } => *wait + CALL_TIMEOUT,
@@ -122,15 +130,15 @@
         let response = fetch(&self.http, self.address, call, timeout).await?;
         let era = self.codec.era(response.headers());
         if let Some(era) = era {
-            self.eras.hear(era, self.address);
+            self.eras.observe(era, self.address);
         }
         let (status, body) = answered(response)?;
-        Ok(Told { answer: self.codec.decode(operation, status, &body)?, era })
+        Ok(ResponseWithEra { response: self.codec.decode(operation, status, &body)?, era })
     }
 
     /// The newest era that was told; 0 if none was.
-    pub fn era(&self) -> Era {
-        self.eras.newest()
+    pub fn newest_era(&self) -> Era {
+        self.eras.get()
     }
 }
 
@@ -139,7 +147,7 @@
 pub(super) async fn exchange(
     http: &backend::Client,
     address: SocketAddr,
-    call: Call,
+    call: StoreRequest,
     timeout: Duration,
 ) -> Result<(StatusCode, Bytes), PlatformError> {
     answered(fetch(http, address, call, timeout).await?)
@@ -148,7 +156,7 @@
 async fn fetch(
     http: &backend::Client,
     address: SocketAddr,
-    call: Call,
+    call: StoreRequest,
     timeout: Duration,
 ) -> Result<Response<Bytes>, PlatformError> {
     let request = Request::builder()
@@ -160,7 +168,7 @@
         .map_err(|error| PlatformError::Malformed(error.to_string()))?;
     match timer::timeout(timeout, http.fetch(address, request)).await {
         Err(_) => Err(PlatformError::Lost("no answer in time".to_owned())),
-        Ok(Err(Attempt::Lost(text))) => Err(PlatformError::Lost(text)),
+        Ok(Err(AttemptError::NoResponse(text))) => Err(PlatformError::Lost(text)),
         Ok(Err(unsent)) => Err(PlatformError::Unreachable(unsent.to_string())),
         Ok(Ok(response)) => Ok(response),
     }
--- a/lib/src/transport/timer.rs
+++ b/lib/src/transport/timer.rs
@@ -24,7 +24,7 @@
     /// When it was delivered.
     pub now: Instant,
     /// How much later than planned.
-    pub late: Duration,
+    pub lateness: Duration,
 }
 
 /// A subscription.
@@ -55,7 +55,7 @@
     }
 
     /// Delivers until the receiver goes away. A tick that would come while the
-    /// receiver has not yet taken earlier ones waits; late ticks are not made up for.
+    /// receiver has not yet taken earlier ones waits; lateness ticks are not made up for.
     pub async fn run(mut self, ticks: mpsc::Sender<Tick<T>>) {
         loop {
             let Some(next) = self.subscriptions.iter_mut().min_by_key(|next| next.due) else {
@@ -63,12 +63,12 @@
             };
             sleep_until(next.due).await;
             let now = clock::now();
-            let late = now.saturating_duration_since(next.due);
+            let lateness = now.saturating_duration_since(next.due);
             next.due += next.period;
             if next.due < now {
                 next.due = now + next.period;
             }
-            if ticks.send(Tick { topic: next.topic, now, late }).await.is_err() {
+            if ticks.send(Tick { topic: next.topic, now, lateness }).await.is_err() {
                 return;
             }
         }
@@ -84,11 +84,11 @@
 static RESUMED: Notify = Notify::const_new();
 
 /// Watches for suspensions as long as the runtime lives.
-pub async fn watch_suspensions() {
-    let mut known = clock::suspended();
+pub async fn watch_for_suspensions() {
+    let mut known = clock::total_suspension();
     loop {
         tokio::time::sleep(WATCH).await;
-        let suspended = clock::suspended();
+        let suspended = clock::total_suspension();
         let more = suspended.saturating_sub(known);
         if more < SUSPENDED {
             continue;
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use copperweir_lib::operators::apply::ApplyError;
 use copperweir_lib::operators::apply::apply;
 use copperweir_lib::protocol::Version;
-use copperweir_lib::protocol::caller::Boxes;
+use copperweir_lib::protocol::caller::BoxesResponse;
 use copperweir_lib::protocol::config::check::Files;
 use copperweir_lib::protocol::settings::Settings;
 use copperweir_lib::state::counters::Counters;
@@ -382,7 +382,7 @@
         self.boxes_at(at).ticket
     }
 
-    pub fn boxes_at(&self, at: SocketAddr) -> Boxes {
+    pub fn boxes_at(&self, at: SocketAddr) -> BoxesResponse {
         serde_json::from_slice(&self.get(at, "/v1/boxes").body).expect("boxes")
     }
 
--- a/lib/tests/common/news.rs
+++ b/lib/tests/common/news.rs
@@ -15,7 +15,7 @@
 use copperweir_lib::coordination::freshness::Word;
 use copperweir_lib::coordination::watchers;
 use copperweir_lib::gateway::replica::Replica;
-use copperweir_lib::protocol::adapter::Item;
+use copperweir_lib::protocol::adapter::KeyValue;
 use copperweir_lib::protocol::fleet::BoxRecord;
 use copperweir_lib::protocol::platform::Position;
 use rand::Rng;
@@ -103,8 +103,8 @@
     usize::from(high) * 256 + usize::from(low)
 }
 
-fn item(value: &'static [u8], revision: u64) -> Item {
-    Item { key: KEY.to_owned(), value: Bytes::from_static(value), revision }
+fn item(value: &'static [u8], revision: u64) -> KeyValue {
+    KeyValue { key: KEY.to_owned(), value: Bytes::from_static(value), revision }
 }
 
 impl Play {
@@ -113,7 +113,7 @@
         let mut old = Replica::default();
         old.insert(&item(b"serves", 3));
         // What the copy lacks is another key.
-        old.insert(&Item { key: "other".to_owned(), ..item(b"", 9) });
+        old.insert(&KeyValue { key: "other".to_owned(), ..item(b"", 9) });
         old.reached(Position { era: 1, revision: 9 });
         let mut boxes: Vec<Box> = (0..setting.boxes)
             .map(|number| Box {
@@ -332,7 +332,7 @@
     for key in one.replica.keys_not_in(&ahead.key_hashes().collect()) {
         one.replica.remove(&key);
     }
-    let written: Vec<Item> = ahead.written_beside(&held).collect();
+    let written: Vec<KeyValue> = ahead.written_beside(&held).collect();
     written.iter().for_each(|item| one.replica.insert(item));
     one.replica.reached(ahead.version().position);
     one.freshness.taken(one.replica.version(), at, now);
--- a/lib/tests/test_coordination.rs
+++ b/lib/tests/test_coordination.rs
@@ -36,7 +36,7 @@
 use copperweir_lib::coordination::rollout::Offer;
 use copperweir_lib::coordination::rollout::Rollout;
 use copperweir_lib::coordination::ticket::Ticket;
-use copperweir_lib::error::Kind;
+use copperweir_lib::error::ErrorKind;
 use copperweir_lib::protocol::config::Priority;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
@@ -153,8 +153,8 @@
                 assert_eq!(region, "there");
             }
             Placement::Refused(kind, after) => {
-                assert_eq!(kind.row().ran, Some(copperweir_lib::error::Ran::No));
-                assert!(kind != Kind::NoServer || !after.is_zero());
+                assert_eq!(kind.spec().executed, Some(copperweir_lib::error::Executed::No));
+                assert!(kind != ErrorKind::NoServer || !after.is_zero());
             }
         }
     }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -12,10 +12,10 @@
 use copperweir_lib::coordination::presence::box_hash;
 use copperweir_lib::gateway::directory;
 use copperweir_lib::gateway::shared::Snapshot;
-use copperweir_lib::protocol::adapter::Question;
+use copperweir_lib::protocol::adapter::DirectoryQuery;
 use copperweir_lib::protocol::fleet::BoxRecord;
 use copperweir_lib::protocol::routing::Limits;
-use copperweir_lib::protocol::routing::Method;
+use copperweir_lib::protocol::routing::Repeatability;
 use copperweir_lib::protocol::routing::Route;
 use copperweir_lib::protocol::routing::Routing;
 
@@ -41,15 +41,15 @@
         name: prefix.to_owned(),
         host: "h".to_owned(),
         prefix: prefix.to_owned(),
-        method: Method::Safe,
+        repeatability: Repeatability::Safe,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         priority: 0,
         services: vec![("s".to_owned(), 1)],
         max_attempts: 1,
         resumable: false,
         anonymous: false,
-        homes: homes.iter().map(|home| (*home).to_owned()).collect(),
+        home_regions: homes.iter().map(|home| (*home).to_owned()).collect(),
     }
 }
 
@@ -70,12 +70,16 @@
     }
 }
 
-fn addresses(snapshot: &Snapshot, own: &BoxRecord, question: &Question) -> (Vec<SocketAddr>, bool) {
+fn addresses(
+    snapshot: &Snapshot,
+    own: &BoxRecord,
+    question: &DirectoryQuery,
+) -> (Vec<SocketAddr>, bool) {
     directory::addresses(snapshot, &Presence::default(), own, question, Instant::now())
 }
 
-fn question(region: &str) -> Question {
-    Question {
+fn question(region: &str) -> DirectoryQuery {
+    DirectoryQuery {
         host: "h".to_owned(),
         region: region.to_owned(),
         failure_domain: format!("hall-{region}"),
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -29,7 +29,7 @@
          | code | status | type | ran | Retry-After, s |\n|---|---|---|---|---|\n",
     );
     for row in TABLE {
-        let ran = row.ran.map_or("varies", |ran| ran.as_str());
+        let ran = row.executed.map_or("varies", |ran| ran.as_str());
         let retry = match row.retry {
             Retry::Never => "none".to_owned(),
             Retry::After(seconds) => format!("{seconds} or more"),
@@ -37,7 +37,7 @@
         let _ = writeln!(
             text,
             "| `{}` | {} | `{}` | {ran} | {retry} |",
-            row.code, row.status, row.class
+            row.code, row.status, row.error_type
         );
     }
     page("errors.md", &text);
@@ -64,7 +64,7 @@
     let text = format!(
         "# Configuration files\n\nJSON with comments. All files together are one configuration; a name stands in one place only.\n\n\
          | field | expected | required | meaning |\n|---|---|---|---|\n{}",
-        shape::FILE.reference()
+        shape::FILE.reference_rows()
     );
     page("configuration.md", &text);
 }
@@ -74,7 +74,7 @@
     let text = format!(
         "# Settings of a box\n\nJSON with comments; `copperweir serve --check --settings <file>` checks them.\n\n\
          | field | expected | required | meaning |\n|---|---|---|---|\n{}",
-        settings::SHAPE.reference()
+        settings::SHAPE.reference_rows()
     );
     page("settings.md", &text);
 }
--- a/lib/tests/test_events.rs
+++ b/lib/tests/test_events.rs
@@ -11,12 +11,12 @@
         splitter.push(Bytes::from("id: 1\ndata: a\n\nid: 2\nda")),
         Some("id: 1\ndata: a\n\n".into())
     );
-    assert_eq!((splitter.last_id(), splitter.is_whole()), (Some(1), false));
+    assert_eq!((splitter.last_id(), splitter.is_at_boundary()), (Some(1), false));
     assert_eq!(splitter.push(Bytes::from("ta: b\n\n")), Some("id: 2\ndata: b\n\n".into()));
-    assert_eq!((splitter.last_id(), splitter.is_whole()), (Some(2), true));
+    assert_eq!((splitter.last_id(), splitter.is_at_boundary()), (Some(2), true));
     assert_eq!(splitter.push(Bytes::from("id: 3\nda")), None);
-    splitter.restart();
-    assert!(splitter.is_whole());
+    splitter.discard_incomplete();
+    assert!(splitter.is_at_boundary());
 }
 
 proptest! {
@@ -38,6 +38,6 @@
         }
         prop_assert_eq!(passed, text);
         prop_assert_eq!(splitter.last_id(), Some(count));
-        prop_assert!(splitter.is_whole());
+        prop_assert!(splitter.is_at_boundary());
     }
 }
--- a/lib/tests/test_facts.rs
+++ b/lib/tests/test_facts.rs
@@ -23,9 +23,9 @@
     let service = Service {
         max_connections: 10,
         health_path: None,
-        cold: Duration::from_secs(3),
+        cold_time: Duration::from_secs(3),
         warmup_rate: 10.0,
-        memory_tokens: None,
+        kv_cache_tokens: None,
     };
     let services = BTreeMap::from([("s".to_owned(), service)]);
     let routing = Routing::new(1, Vec::new(), services, Limits::default());
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -11,7 +11,7 @@
 use copperweir_lib::coordination::freshness::Version;
 use copperweir_lib::coordination::freshness::Word;
 use copperweir_lib::gateway::replica::Replica;
-use copperweir_lib::protocol::adapter::Item;
+use copperweir_lib::protocol::adapter::KeyValue;
 use copperweir_lib::protocol::platform::Position;
 use copperweir_lib::protocol::platform::Revision;
 use proptest::prelude::*;
@@ -121,8 +121,8 @@
     assert_eq!(freshness.ahead(Duration::ZERO, now), Some(address(2)));
 }
 
-fn item(key: &str, revision: Revision) -> Item {
-    Item { key: key.to_owned(), value: Bytes::new(), revision }
+fn item(key: &str, revision: Revision) -> KeyValue {
+    KeyValue { key: key.to_owned(), value: Bytes::new(), revision }
 }
 
 #[test]
@@ -161,7 +161,7 @@
     for key in one.keys_not_in(&other.key_hashes().collect()) {
         one.remove(&key);
     }
-    let written: Vec<Item> = other.written_after(one.version().position).collect();
+    let written: Vec<KeyValue> = other.written_after(one.version().position).collect();
     assert_eq!(written, [item("c", 4)]);
     written.iter().for_each(|item| one.insert(item));
     one.reached(at(4));
@@ -316,7 +316,7 @@
 fn one_revision_with_another_value_is_another_state() {
     let (mut one, mut other) = (Replica::default(), Replica::default());
     one.insert(&item("a", 3));
-    other.insert(&Item { value: Bytes::from_static(b"other"), ..item("a", 3) });
+    other.insert(&KeyValue { value: Bytes::from_static(b"other"), ..item("a", 3) });
     assert_ne!(one.version().digest, other.version().digest);
     let held = one.digests().collect();
     assert_eq!(other.written_beside(&held).count(), 1);
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -32,7 +32,7 @@
     assert_eq!(reply.header("copperweir-ran"), ran, "{reply:?}");
     let row = TABLE.iter().find(|row| row.code == code).expect("a known code");
     assert_eq!(reply.status.as_u16(), row.status);
-    assert_eq!(reply.json()["error"]["type"], row.class);
+    assert_eq!(reply.json()["error"]["type"], row.error_type);
     assert!(!reply.header("copperweir-request-id").is_empty());
 }
 
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -7,30 +7,30 @@
 use copperweir_lib::coordination::identity::Claim;
 use copperweir_lib::coordination::identity::team;
 use copperweir_lib::coordination::urgency;
-use copperweir_lib::error::Kind;
+use copperweir_lib::error::ErrorKind;
 use copperweir_lib::protocol::routing::Limits;
-use copperweir_lib::protocol::routing::Method;
+use copperweir_lib::protocol::routing::Repeatability;
 use copperweir_lib::protocol::routing::Route;
 use copperweir_lib::protocol::routing::Routing;
 use copperweir_lib::protocol::team::KeyDigest;
-use copperweir_lib::protocol::team::Limit;
+use copperweir_lib::protocol::team::RateLimit;
+use copperweir_lib::protocol::team::RateUnit;
 use copperweir_lib::protocol::team::Team;
 use copperweir_lib::protocol::team::Teams;
-use copperweir_lib::protocol::team::Unit;
 
 fn route(anonymous: bool) -> Route {
     Route {
         name: "r".to_owned(),
         host: "h".to_owned(),
         prefix: "/".to_owned(),
-        method: Method::Safe,
+        repeatability: Repeatability::Safe,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         priority: 1,
         services: vec![("s".to_owned(), 1)],
         max_attempts: 1,
         resumable: false,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
         anonymous,
     }
 }
@@ -38,7 +38,7 @@
 /// A version in which `keys` are held by the team "water".
 fn routing(version: u64, keys: &[&str]) -> Routing {
     let keys = keys.iter().map(|key| KeyDigest::of(key)).collect();
-    let teams = Teams::new([(Team::named("water"), keys)]);
+    let teams = Teams::new([(Team::with_name("water"), keys)]);
     Routing::new(version, Vec::new(), BTreeMap::new(), Limits::default()).with_teams(Some(teams))
 }
 
@@ -52,7 +52,12 @@
 }
 
 /// Name of the team, "" for none, or the kind of the refusal.
-fn verdict(claim: &Claim, routing: &Routing, anonymous: bool, stale: bool) -> Result<String, Kind> {
+fn verdict(
+    claim: &Claim,
+    routing: &Routing,
+    anonymous: bool,
+    stale: bool,
+) -> Result<String, ErrorKind> {
     let team = team(claim, routing, &route(anonymous), stale);
     team.map(|team| team.map_or(String::new(), |team| team.name.clone()))
         .map_err(|failure| failure.kind)
@@ -62,15 +67,15 @@
 fn a_key_that_is_held_names_the_team() {
     let routing = routing(3, &["k1", "k2"]);
     assert_eq!(verdict(&key("k2"), &routing, false, false), Ok("water".to_owned()));
-    assert_eq!(verdict(&key("k3"), &routing, false, false), Err(Kind::Unauthorized));
-    assert_eq!(verdict(&Claim::default(), &routing, false, false), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&key("k3"), &routing, false, false), Err(ErrorKind::Unauthorized));
+    assert_eq!(verdict(&Claim::default(), &routing, false, false), Err(ErrorKind::Unauthorized));
 }
 
 #[test]
 fn a_box_that_may_lack_a_newer_version_does_not_say_that_there_is_no_such_key() {
     let routing = routing(3, &["k1"]);
-    assert_eq!(verdict(&key("new"), &routing, false, true), Err(Kind::Behind));
-    assert_eq!(verdict(&Claim::default(), &routing, false, true), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&key("new"), &routing, false, true), Err(ErrorKind::Behind));
+    assert_eq!(verdict(&Claim::default(), &routing, false, true), Err(ErrorKind::Unauthorized));
 }
 
 #[test]
@@ -92,7 +97,7 @@
 fn of_two_boxes_the_one_with_the_newer_version_decides() {
     let (older, newer) = (routing(3, &["k1", "k2"]), routing(4, &["k1"]));
     let from_older = passed_on("k2", Some("water"), 3);
-    assert_eq!(verdict(&from_older, &newer, false, false), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&from_older, &newer, false, false), Err(ErrorKind::Unauthorized));
     // A key was added in version 5, and a team with it.
     let from_newer = passed_on("k5", Some("heat"), 5);
     assert_eq!(verdict(&from_newer, &older, false, false), Ok("heat".to_owned()));
@@ -100,7 +105,7 @@
     assert_eq!(verdict(&anonymous_since, &older, false, false), Ok(String::new()));
     // With the same version both look the key up alike.
     let from_same = passed_on("k2", Some("water"), 4);
-    assert_eq!(verdict(&from_same, &newer, false, false), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&from_same, &newer, false, false), Err(ErrorKind::Unauthorized));
 }
 
 #[test]
@@ -115,9 +120,10 @@
 
 #[test]
 fn a_request_counts_by_its_tokens_or_as_one() {
-    let tokens = Limit { rate: 1.0, burst: 1.0, unit: Unit::Tokens { plain: 200 } };
+    let tokens =
+        RateLimit { rate: 1.0, burst: 1.0, unit: RateUnit::Tokens { default_tokens: 200 } };
     assert_eq!((tokens.cost(Some(1540)), tokens.cost(None)), (1540.0, 200.0));
-    let requests = Limit { unit: Unit::Requests, ..tokens };
+    let requests = RateLimit { unit: RateUnit::Requests, ..tokens };
     assert_eq!(requests.cost(Some(1540)), 1.0);
 }
 
--- a/lib/tests/test_input.rs
+++ b/lib/tests/test_input.rs
@@ -2,13 +2,13 @@
 
 use copperweir_lib::protocol::caller::Completion;
 use copperweir_lib::protocol::caller::Endpoint;
-use copperweir_lib::protocol::caller::Wishes;
+use copperweir_lib::protocol::caller::RequestOptions;
 use copperweir_lib::protocol::config::Configuration;
 use copperweir_lib::protocol::config::Limits;
 use copperweir_lib::protocol::config::check::Files;
 use copperweir_lib::protocol::config::document::Document;
 use copperweir_lib::protocol::config::document::DocumentError;
-use copperweir_lib::protocol::config::document::MAX_BYTES;
+use copperweir_lib::protocol::config::document::MAX_DOCUMENT_BYTES;
 use copperweir_lib::protocol::peer::Heartbeat;
 use copperweir_lib::protocol::peer::wire;
 use copperweir_lib::protocol::settings::Settings;
@@ -99,7 +99,7 @@
                 headers.insert(name, value.clone());
             }
         }
-        if let Ok(wishes) = Wishes::parse(&headers, &Limits::default()) {
+        if let Ok(wishes) = RequestOptions::parse(&headers, &Limits::default()) {
             assert!(wishes.timeout <= Limits::default().max_timeout);
         }
     });
@@ -122,10 +122,10 @@
 
 #[test]
 fn a_configuration_over_the_stores_limit_is_refused_with_its_size() {
-    let files = Files::from([("f".to_owned(), format!("{{}}{}", " ".repeat(MAX_BYTES)))]);
+    let files = Files::from([("f".to_owned(), format!("{{}}{}", " ".repeat(MAX_DOCUMENT_BYTES)))]);
     let document = Document::default().with_files(&files, "id");
     match document.encode() {
-        Err(DocumentError::TooLarge(bytes)) => assert!(bytes > MAX_BYTES),
+        Err(DocumentError::TooLarge(bytes)) => assert!(bytes > MAX_DOCUMENT_BYTES),
         other => panic!("{other:?}"),
     }
 }
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -29,7 +29,7 @@
 use copperweir_lib::coordination::throttle::Throttles;
 use copperweir_lib::protocol::fleet::Server;
 use copperweir_lib::protocol::routing::Service;
-use copperweir_lib::protocol::words::Words;
+use copperweir_lib::protocol::server_status::ServerStatus;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -120,20 +120,20 @@
     }
 }
 
-fn leaving() -> Words {
-    Words { leaving: true, ..Words::default() }
+fn leaving() -> ServerStatus {
+    ServerStatus { leaving: true, ..ServerStatus::default() }
 }
 
-fn resting() -> Words {
-    Words { rest: Some(REST), ..Words::default() }
+fn resting() -> ServerStatus {
+    ServerStatus { rest: Some(REST), ..ServerStatus::default() }
 }
 
-fn rated() -> Words {
-    Words { rate: Some(4.0), ..Words::default() }
+fn rated() -> ServerStatus {
+    ServerStatus { rate: Some(4.0), ..ServerStatus::default() }
 }
 
-fn cold() -> Words {
-    Words { cold_left: Some(COLD), ..Words::default() }
+fn cold() -> ServerStatus {
+    ServerStatus { cold_left: Some(COLD), ..ServerStatus::default() }
 }
 
 #[test]
@@ -191,7 +191,7 @@
         let mut story = Story::begin();
         let place = story.choose().expect("a place");
         story.learn(&place, Report::head(Event::Begun, rated()));
-        story.learn(&place, Report::head(event, Words::default()));
+        story.learn(&place, Report::head(event, ServerStatus::default()));
         assert_eq!(story.throttles.rate(place.life), expected, "after {event:?}");
     }
 }
@@ -214,7 +214,8 @@
 /// Another instance has the address: it says nothing of the one that was meant.
 #[test]
 fn words_of_another_instance_are_not_the_servers() {
-    let words = Words { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
+    let words =
+        ServerStatus { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
     let mut story = Story::begin();
     let place = story.choose().expect("a place");
     let lesson = story.learn(&place, Report::head(Event::Replaced, words));
@@ -225,7 +226,8 @@
 
 #[test]
 fn all_words_are_learned_when_a_server_is_asked_how_it_is() {
-    let words = Words { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
+    let words =
+        ServerStatus { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
     let mut story = Story::begin();
     let place = story.choose().expect("a place");
     let now = story.now;
@@ -257,7 +259,8 @@
 /// Where a server rests, names a rate and is cold at once, all of it holds.
 #[test]
 fn of_several_words_the_strictest_holds() {
-    let words = Words { rest: Some(REST), rate: Some(0.5), cold_left: Some(COLD), leaving: false };
+    let words =
+        ServerStatus { rest: Some(REST), rate: Some(0.5), cold_left: Some(COLD), leaving: false };
     let mut story = Story::begin();
     let place = story.choose().expect("a place");
     story.learn(&place, Report::head(Event::Refused, words));
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -16,8 +16,8 @@
         name: name.to_owned(),
         region: "r".to_owned(),
         failure_domain: "a".to_owned(),
-        callers: address,
-        peers: address,
+        caller_address: address,
+        peer_address: address,
         incarnation: 1,
         beat,
         phase: Phase::Serving,
@@ -32,7 +32,7 @@
     let mut membership = Membership::new(member("a", 1), Tuning::default());
     let now = Instant::now();
     membership.hear(member("bb", 20), now);
-    let peer = member("bb", 20).peers;
+    let peer = member("bb", 20).peer_address;
     assert!(!membership.unanswered(peer, now), "dead after one call");
     assert!(membership.unanswered(peer, now), "alive after two calls");
     assert_eq!(membership.live(now).count(), 0);
@@ -55,7 +55,7 @@
     }
     for _ in 0..3 {
         for name in &names {
-            membership.unanswered(member(name, 5).peers, now);
+            membership.unanswered(member(name, 5).peer_address, now);
         }
     }
     assert!(membership.live(now).count() >= names.len() / 2);
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -21,7 +21,7 @@
 use copperweir_lib::coordination::text::Text;
 use copperweir_lib::coordination::throttle::Throttles;
 use copperweir_lib::coordination::warmup;
-use copperweir_lib::protocol::adapter::Part;
+use copperweir_lib::protocol::adapter::PromptSegment;
 use copperweir_lib::protocol::fleet::Server;
 use copperweir_lib::protocol::routing::Service;
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
     let servers = (0..count).map(|number| known(number, slots)).collect();
     let service = Service {
         max_connections: 100,
-        memory_tokens: Some(300_000),
+        kv_cache_tokens: Some(300_000),
         health_path: Some("/health".to_owned()),
         ..Service::default()
     };
@@ -81,11 +81,11 @@
         }
     }
 
-    fn choose(&mut self, parts: &[Part]) -> Result<Place, Blocked> {
+    fn choose(&mut self, parts: &[PromptSegment]) -> Result<Place, Blocked> {
         self.choose_among(parts, Among::Sound)
     }
 
-    fn choose_among(&mut self, parts: &[Part], among: Among) -> Result<Place, Blocked> {
+    fn choose_among(&mut self, parts: &[PromptSegment], among: Among) -> Result<Place, Blocked> {
         let loads = &self.loads;
         let throttles = &self.throttles;
         let demand = Demand { parts, tried: &[], loads, throttles, among, stale: self.stale };
@@ -97,8 +97,11 @@
     }
 }
 
-fn prompt(shared: u64) -> Vec<Part> {
-    vec![Part { id: shared, tokens: 13_000 }, Part { id: shared << 8, tokens: 3_000 }]
+fn prompt(shared: u64) -> Vec<PromptSegment> {
+    vec![
+        PromptSegment { id: shared, tokens: 13_000 },
+        PromptSegment { id: shared << 8, tokens: 3_000 },
+    ]
 }
 
 #[test]
@@ -194,7 +197,7 @@
     let mut homes = std::collections::BTreeSet::new();
     for text in 1..60u64 {
         let parts = [(7, 500), (text << 8, 5_000), (text << 16, 6_000)];
-        let parts = parts.map(|(id, tokens)| Part { id, tokens });
+        let parts = parts.map(|(id, tokens)| PromptSegment { id, tokens });
         let mut place = test.choose(&parts).expect("a place");
         homes.insert(place.server.clone());
         test.placement.finish(&mut place, Outcome::Answered, test.now);
@@ -215,7 +218,9 @@
 
 #[test]
 fn only_texts_that_are_long_to_read_travel() {
-    let parts = |shared: u32| [Part { id: 1, tokens: shared }, Part { id: 2, tokens: 9_000 }];
+    let parts = |shared: u32| {
+        [PromptSegment { id: 1, tokens: shared }, PromptSegment { id: 2, tokens: 9_000 }]
+    };
     assert!(!Text::of(&parts(90)).expect("a text").travels());
     assert!(Text::of(&parts(13_000)).expect("a text").travels());
     assert_eq!(Text::of(&parts(90)[1..]), None, "a prompt of its own shares nothing");
@@ -472,7 +477,7 @@
         Known { server, ..known(0, 8) }
     };
     let service =
-        Service { max_connections: 100, memory_tokens: Some(300_000), ..Service::default() };
+        Service { max_connections: 100, kv_cache_tokens: Some(300_000), ..Service::default() };
     let mut test = Test::new(placement(0, 8, 1));
     test.placement.update(vec![reborn(1)], 1, &service, test.now);
     let mut held = test.choose(&prompt(1)).expect("a place");
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -9,8 +9,8 @@
 use copperweir_lib::coordination::quota::Fleet;
 use copperweir_lib::coordination::quota::Quotas;
 use copperweir_lib::coordination::quota::Teller;
-use copperweir_lib::protocol::team::Limit;
-use copperweir_lib::protocol::team::Unit;
+use copperweir_lib::protocol::team::RateLimit;
+use copperweir_lib::protocol::team::RateUnit;
 use proptest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy)]
 struct Load {
     boxes: usize,
-    limit: Limit,
+    limit: RateLimit,
     /// Requests a second over all boxes.
     requests: f64,
     /// Tokens of a request, in the mean.
@@ -61,8 +61,8 @@
     served: f64,
 }
 
-fn limit(rate: f64) -> Limit {
-    Limit { rate, burst: rate, unit: Unit::Tokens { plain: 200 } }
+fn limit(rate: f64) -> RateLimit {
+    RateLimit { rate, burst: rate, unit: RateUnit::Tokens { default_tokens: 200 } }
 }
 
 fn quotas(rng: &mut SmallRng, now: Instant) -> Quotas {
