--- a/lib/examples/balancer.rs
+++ b/lib/examples/balancer.rs
@@ -1,5 +1,5 @@
-//! A balancer over one's own servers: a pool that places, queues and refuses,
-//! without tokio or a socket.
+//! A load balancer over a fixed set of servers. The pool assigns requests to servers, queues them
+//! and rejects them, without tokio or sockets.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/lib/examples/lease_holder.rs
+++ b/lib/examples/lease_holder.rs
@@ -1,6 +1,6 @@
-//! A duty that one of several processes holds at a time, fenced by an epoch,
-//! with nothing but a clock and a store that grants leases. Here the store is a
-//! variable and time is counted by hand.
+//! A task that at most one of several processes performs at a time, fenced by an epoch. It needs
+//! only a clock and a store that grants leases. In this example the store is a variable and the
+//! time is simulated.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -1,6 +1,6 @@
-//! The reference pages say what the types say.
+//! The committed reference pages match the types that they are generated from.
 //!
-//! `COPPERWEIR_WRITE_DOCS=1 cargo test -p copperweir-lib --test test_docs` writes them anew.
+//! `COPPERWEIR_WRITE_DOCS=1 cargo test -p copperweir-lib --test test_docs` regenerates them.
 
 use std::fmt::Write;
 use std::path::Path;
--- a/lib/tests/test_events.rs
+++ b/lib/tests/test_events.rs
@@ -1,11 +1,11 @@
-//! Streams of events are passed on in whole events only.
+//! The event splitter outputs complete events only.
 
 use bytes::Bytes;
 use copperweir_lib::protocol::events::Splitter;
 use proptest::prelude::*;
 
 #[test]
-fn an_incomplete_event_waits() {
+fn incomplete_event_is_buffered() {
     let mut splitter = Splitter::default();
     assert_eq!(
         splitter.push(Bytes::from("id: 1\ndata: a\n\nid: 2\nda")),
@@ -22,21 +22,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    /// However the bytes are cut, what comes out is what went in, at event boundaries.
+    /// For any chunk boundaries in the input, the output equals the input and each piece of it ends
+    /// at an event boundary.
     #[test]
-    fn nothing_is_lost_or_cut(count in 1..12u64, cuts in prop::collection::vec(1..40usize, 0..20)) {
+    fn chunk_boundaries_do_not_change_the_events(count in 1..12u64, chunk_sizes in prop::collection::vec(1..40usize, 0..20)) {
         let text: String = (1..=count).map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id as usize))).collect();
         let mut splitter = Splitter::default();
-        let mut passed = String::new();
-        let mut rest = Bytes::from(text.clone());
-        for cut in cuts.into_iter().chain([usize::MAX]) {
-            let piece = rest.split_to(cut.min(rest.len()));
-            if let Some(events) = splitter.push(piece) {
+        let mut output = String::new();
+        let mut remaining = Bytes::from(text.clone());
+        for chunk_size in chunk_sizes.into_iter().chain([usize::MAX]) {
+            let chunk = remaining.split_to(chunk_size.min(remaining.len()));
+            if let Some(events) = splitter.push(chunk) {
                 prop_assert!(events.ends_with(b"\n\n"));
-                passed.push_str(std::str::from_utf8(&events).unwrap());
+                output.push_str(std::str::from_utf8(&events).unwrap());
             }
         }
-        prop_assert_eq!(passed, text);
+        prop_assert_eq!(output, text);
         prop_assert_eq!(splitter.last_id(), Some(count));
         prop_assert!(splitter.is_at_boundary());
     }
--- a/lib/tests/test_input.rs
+++ b/lib/tests/test_input.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives, reading it never panics, and bounds hold.
+//! Parsing arbitrary input never panics, and limits are enforced.
 
 use copperweir_lib::protocol::caller::Completion;
 use copperweir_lib::protocol::caller::Endpoint;
@@ -20,7 +20,7 @@
 use proptest::test_runner::TestRunner;
 use prost::Message;
 
-fn holds<S: Strategy>(strategy: S, test: impl Fn(S::Value)) {
+fn check_property<S: Strategy>(strategy: S, test: impl Fn(S::Value)) {
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_chat_has_a_list_of_messages_and_a_text_need_not() {
+fn chat_requires_list_of_messages_and_text_completion_does_not() {
     let parse = |path: &str, body: &str| {
         Completion::parse(path, body.as_bytes()).map_err(|failure| failure.to_string())
     };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn files_of_any_text_are_read_or_refused() {
+fn parsing_arbitrary_files_never_panics() {
     let pieces = prop::sample::select(vec![
         "{",
         "}",
@@ -74,14 +74,14 @@
         "\u{fe}",
         " ",
     ]);
-    holds(prop::collection::vec(pieces, 0..40), |pieces| {
+    check_property(prop::collection::vec(pieces, 0..40), |pieces| {
         let text = pieces.concat();
         let files = Files::from([("f".to_owned(), text.clone())]);
         let _ = Configuration::try_from(&files);
         let _ = Settings::parse("f", &text);
         let _ = Document::decode(text.as_bytes());
     });
-    holds(".{0,200}", |text: String| {
+    check_property(".{0,200}", |text: String| {
         let files = Files::from([("f".to_owned(), text.clone())]);
         let _ = Configuration::try_from(&files);
         let _ = Settings::parse("f", &text);
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn requests_of_any_bytes_are_read_or_refused() {
-    holds((prop::collection::vec(any::<u8>(), 0..200), "/.{0,80}"), |(bytes, path)| {
+fn parsing_arbitrary_requests_never_panics() {
+    check_property((prop::collection::vec(any::<u8>(), 0..200), "/.{0,80}"), |(bytes, path)| {
         let _ = Completion::parse("/v1/chat/completions", &bytes);
         let _ = Endpoint::parse(&Method::POST, &path);
         let mut headers = HeaderMap::new();
@@ -99,29 +99,29 @@
                 headers.insert(name, value.clone());
             }
         }
-        if let Ok(wishes) = RequestOptions::parse(&headers, &Limits::default()) {
-            assert!(wishes.timeout <= Limits::default().max_timeout);
+        if let Ok(options) = RequestOptions::parse(&headers, &Limits::default()) {
+            assert!(options.timeout <= Limits::default().max_timeout);
         }
     });
 }
 
 #[test]
-fn heartbeats_of_any_bytes_are_read_or_refused() {
-    holds(prop::collection::vec(any::<u8>(), 0..300), |bytes| {
+fn parsing_arbitrary_heartbeats_never_panics() {
+    check_property(prop::collection::vec(any::<u8>(), 0..300), |bytes| {
         if let Ok(raw) = wire::Heartbeat::decode(bytes.as_slice()) {
             let _ = Heartbeat::try_from(raw);
         }
     });
-    let long = wire::Heartbeat {
+    let oversized = wire::Heartbeat {
         sender: Some(wire::Member::default()),
         wanted: vec![1; 100_000],
         ..wire::Heartbeat::default()
     };
-    assert!(Heartbeat::try_from(long).is_err());
+    assert!(Heartbeat::try_from(oversized).is_err());
 }
 
 #[test]
-fn a_configuration_over_the_stores_limit_is_refused_with_its_size() {
+fn oversized_configuration_is_rejected_with_its_size() {
     let files = Files::from([("f".to_owned(), format!("{{}}{}", " ".repeat(MAX_DOCUMENT_BYTES)))]);
     let document = Document::default().with_files(&files, "id");
     match document.encode() {
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -1,4 +1,4 @@
-//! What a box takes from other boxes, and what it refuses.
+//! Which calls a box accepts from other boxes, and which it rejects.
 
 mod common;
 
@@ -14,8 +14,8 @@
 
 const SECRET: &str = "a secret for the tests";
 
-/// A completion passed on to the first box of a region, as if by a peer.
-fn request(fleet: &Fleet, region: usize, model: &str) -> wire::ForwardRequest {
+/// A completion request for the first box of a region, as a peer would forward it.
+fn forward_request(fleet: &Fleet, region: usize, model: &str) -> wire::ForwardRequest {
     let status = fleet.get(fleet.plan.operators(region, 0), "/status").json();
     let incarnation = status["incarnation"].as_str().unwrap_or_default();
     wire::ForwardRequest {
@@ -34,12 +34,18 @@
     }
 }
 
-/// The kind of failure that a passed-on request is refused with; "ran" if it is run.
-fn refusal(fleet: &Fleet, region: usize, secret: &str, request: wire::ForwardRequest) -> String {
+/// Returns the error kind with which a forwarded request is rejected, "ran" if it is executed, or
+/// the transport error.
+fn forward_result(
+    fleet: &Fleet,
+    region: usize,
+    secret: &str,
+    forward_request: wire::ForwardRequest,
+) -> String {
     let client = Client::new(secret, BTreeMap::new()).expect("a client");
     let address = fleet.plan.peers(region, 0);
     fleet.block_on(async {
-        let mut frames = match client.forward(address, request).await {
+        let mut frames = match client.forward(address, forward_request).await {
             Ok(frames) => frames,
             Err(error) => return error.to_string(),
         };
@@ -55,39 +61,42 @@
 }
 
 #[test]
-fn a_request_that_comes_back_or_went_too_far_is_refused() {
+fn looping_or_misdirected_forwards_are_rejected() {
     let fleet = Fleet::start(Plan::new(80));
-    let well = request(&fleet, 0, "log");
-    assert_eq!(refusal(&fleet, 0, SECRET, well.clone()), "ran");
-    let back = wire::ForwardRequest { visited: vec![common::name(0, 0)], ..well.clone() };
-    assert_eq!(refusal(&fleet, 0, SECRET, back), "too_many_hops");
+    let valid = forward_request(&fleet, 0, "log");
+    assert_eq!(forward_result(&fleet, 0, SECRET, valid.clone()), "ran");
+    let looping = wire::ForwardRequest { visited: vec![common::name(0, 0)], ..valid.clone() };
+    assert_eq!(forward_result(&fleet, 0, SECRET, looping), "too_many_hops");
     let visited = ["a", "b", "c"].map(str::to_owned).to_vec();
-    let far = wire::ForwardRequest { visited, ..well.clone() };
-    assert_eq!(refusal(&fleet, 0, SECRET, far), "too_many_hops");
-    let replaced = wire::ForwardRequest { target_incarnation: 7, ..well.clone() };
-    assert_eq!(refusal(&fleet, 0, SECRET, replaced), "no_server");
-    let elsewhere = wire::ForwardRequest { target_region: "south".to_owned(), ..well.clone() };
-    assert_eq!(refusal(&fleet, 0, SECRET, elsewhere), "no_server");
-    let ahead = wire::ForwardRequest { configuration_version: 99, ..well };
-    assert_eq!(refusal(&fleet, 0, SECRET, ahead), "behind");
+    let too_many_visited = wire::ForwardRequest { visited, ..valid.clone() };
+    assert_eq!(forward_result(&fleet, 0, SECRET, too_many_visited), "too_many_hops");
+    let wrong_incarnation = wire::ForwardRequest { target_incarnation: 7, ..valid.clone() };
+    assert_eq!(forward_result(&fleet, 0, SECRET, wrong_incarnation), "no_server");
+    let wrong_region = wire::ForwardRequest { target_region: "south".to_owned(), ..valid.clone() };
+    assert_eq!(forward_result(&fleet, 0, SECRET, wrong_region), "no_server");
+    let newer_configuration = wire::ForwardRequest { configuration_version: 99, ..valid };
+    assert_eq!(forward_result(&fleet, 0, SECRET, newer_configuration), "behind");
     assert_eq!(fleet.engines[0][0].completions(), 1);
 }
 
 #[test]
-fn a_box_of_another_region_checks_the_rule_itself() {
+fn receiving_box_enforces_residency() {
     let mut plan = Plan::new(81);
     plan.regions = 2;
     let fleet = Fleet::start(plan);
-    assert_eq!(refusal(&fleet, 1, SECRET, request(&fleet, 1, "log-first")), "outside_region");
-    assert_eq!(refusal(&fleet, 0, SECRET, request(&fleet, 0, "log-first")), "ran");
+    assert_eq!(
+        forward_result(&fleet, 1, SECRET, forward_request(&fleet, 1, "log-first")),
+        "outside_region"
+    );
+    assert_eq!(forward_result(&fleet, 0, SECRET, forward_request(&fleet, 0, "log-first")), "ran");
     assert_eq!(fleet.engines[1][0].completions(), 0);
 }
 
 #[test]
-fn only_boxes_with_the_secret_are_let_in() {
+fn calls_without_the_shared_secret_are_rejected() {
     let fleet = Fleet::start(Plan::new(82));
-    let answer = refusal(&fleet, 0, "another secret", request(&fleet, 0, "log"));
-    assert!(answer.contains("shared secret"), "{answer}");
+    let error = forward_result(&fleet, 0, "another secret", forward_request(&fleet, 0, "log"));
+    assert!(error.contains("shared secret"), "{error}");
     assert_eq!(fleet.engines[0][0].completions(), 0);
     assert!(fleet.counter(0, 0, "peer_refused") > 0);
 }
