--- a/cli/src/commands/burn.rs
+++ b/cli/src/commands/burn.rs
@@ -85,7 +85,7 @@
 fn print(report: &BurnReport) {
     let cell = |row: &ObjectiveBurn, window: usize| {
         let count = row.windows.get(window).copied().unwrap_or_default();
-        format!("{:.2} ({}/{})", count.burn(row.target), count.bad, count.total)
+        format!("{:.2} ({}/{})", count.burn_rate(row.target), count.bad, count.total)
     };
     let rows: Vec<Vec<String>> = report
         .rows
--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -177,8 +177,8 @@
         let value = head.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    sample.region = text(caller::REGION);
-    sample.ran = text(caller::RAN);
+    sample.region = text(caller::REGION_HEADER);
+    sample.ran = text(caller::RAN_HEADER);
     let mut last: Option<Instant> = None;
     loop {
         let Some(frame) = exchange.body().frame().await else { break };
@@ -203,10 +203,10 @@
         request = request.header("authorization", format!("Bearer {key}"));
     }
     if !ask.priority.is_empty() {
-        request = request.header(caller::PRIORITY, &*ask.priority);
+        request = request.header(caller::PRIORITY_HEADER, &*ask.priority);
     }
     if ask.timeout_ms > 0 {
-        request = request.header(caller::TIMEOUT, ask.timeout_ms);
+        request = request.header(caller::TIMEOUT_HEADER, ask.timeout_ms);
     }
     request.body(Full::new(ask.body.clone())).ok()
 }
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -407,7 +407,7 @@
     let server = world.servers[0][0].clone();
     world.leaving = Some(name_hash(&server));
     let leaving = world.until_all(|world, node| {
-        node.region != 0 || node.exchange.load.leaving(&server, world.instant())
+        node.region != 0 || node.exchange.load.is_leaving(&server, world.instant())
     });
 
     let victim = world.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -135,7 +135,7 @@
 /// What stands for one life of a server; for its name where it does not say when it started.
 pub fn life_hash(server: &Server) -> u64 {
     let name = server_hash(&server.id);
-    let born = server.born.and_then(|born| born.duration_since(SystemTime::UNIX_EPOCH).ok());
+    let born = server.started_at.and_then(|born| born.duration_since(SystemTime::UNIX_EPOCH).ok());
     born.map_or(name, |since| rendezvous::mix(name, since.as_millis() as u64))
 }
 
--- a/lib/src/daemon/call.rs
+++ b/lib/src/daemon/call.rs
@@ -288,7 +288,7 @@
 
 /// Headers that belong to one connection, or to the gateway.
 pub fn is_passed_on(name: &HeaderName) -> bool {
-    let own = name.as_str().starts_with("copperweir-") || *name == caller::IDEMPOTENCY_KEY;
+    let own = name.as_str().starts_with("copperweir-") || *name == caller::IDEMPOTENCY_KEY_HEADER;
     let end_to_end = [header::AUTHORIZATION, header::HOST];
     !own && !caller::is_hop_by_hop(name) && !end_to_end.contains(name)
 }
--- a/lib/src/daemon/caller.rs
+++ b/lib/src/daemon/caller.rs
@@ -291,7 +291,7 @@
     *reply.status_mut() = replied.status;
     *reply.headers_mut() = replied.headers;
     if let Ok(region) = replied.region.parse() {
-        reply.headers_mut().insert(caller::REGION, region);
+        reply.headers_mut().insert(caller::REGION_HEADER, region);
     }
     reply
 }
@@ -315,12 +315,12 @@
     let status = reply.status();
     let headers = reply.headers_mut();
     if let Ok(id) = id.parse() {
-        headers.insert(caller::REQUEST_ID, id);
+        headers.insert(caller::REQUEST_ID_HEADER, id);
     }
     if let Ok(name) = shared.settings.name.parse() {
-        headers.insert(caller::BOX, name);
+        headers.insert(caller::BOX_HEADER, name);
     }
-    headers.insert(caller::CONFIG_VERSION, snapshot.configuration.version.into());
+    headers.insert(caller::CONFIG_VERSION_HEADER, snapshot.configuration.version.into());
     if status == StatusCode::NO_CONTENT {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -216,7 +216,7 @@
             }
         }
         let stage = self.drain.stage();
-        let stop = if stage == Stage::Done { Shutdown::Graceful } else { Shutdown::Now };
+        let stop = if stage == Stage::Done { Shutdown::Graceful } else { Shutdown::Immediate };
         let _ = self.stop.send(stop);
         stage
     }
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -109,7 +109,7 @@
             let asked_at = clock::now();
             let event = match platform.renew(lease).await {
                 Ok(()) => lease::Event::Renewed { asked_at },
-                Err(PlatformError::LeaseOver) => lease::Event::Over(clock::now()),
+                Err(PlatformError::LeaseExpired) => lease::Event::Over(clock::now()),
                 Err(_) => lease::Event::RenewalFailed,
             };
             let _ = events.send(Event::Lease(event, None)).await;
@@ -165,7 +165,7 @@
     let epoch = match platform.put(key, put).await {
         Ok(revision) => revision,
         // The write may have taken effect; the value names our lease.
-        Err(PlatformError::Lost(_)) => match platform.get(key).await {
+        Err(PlatformError::NoResponse(_)) => match platform.get(key).await {
             Ok(Some(entry)) if entry.value == value => entry.revision,
             _ => return refused(),
         },
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -83,7 +83,7 @@
             Lane {
                 address: server.address,
                 slots: server.slots,
-                leaving: server.leaving || self.exchange.load.leaving(id, now),
+                leaving: server.leaving || self.exchange.load.is_leaving(id, now),
                 reachable: observed.is_none_or(|observed| observed.reachable),
                 report: observed.map(|observed| (observed.load, observed.observed_at)),
             }
@@ -199,7 +199,7 @@
         let now = clock::now();
         let mut news = false;
         for row in listed.iter().filter(|row| row.state == BoxListState::Leaving) {
-            news |= self.exchange.load.observe_listed(name_hash(&row.name), now, now);
+            news |= self.exchange.load.observe_listed_leaving(name_hash(&row.name), now, now);
         }
         self.pools_dirty = true;
         if news {
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -209,7 +209,7 @@
         call.not_sent();
         let message = format!("{} refused the request", slot.server);
         let failure = Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::No);
-        let rest = retry_after::read(response.headers());
+        let rest = retry_after::from_headers(response.headers());
         let Some(rest) = rest.filter(|rest| !rest.is_zero()) else {
             slot.set_outcome(Outcome::Failed);
             return Tried::NotRun(failure);
@@ -237,7 +237,11 @@
     let status = response.status();
     let refused =
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-    refused && response.headers().get(caller::RAN).is_some_and(|ran| ran == Executed::No.as_str())
+    refused
+        && response
+            .headers()
+            .get(caller::RAN_HEADER)
+            .is_some_and(|ran| ran == Executed::No.as_str())
 }
 
 fn request(call: &Call, slot: &Slot) -> Result<Request<Full<bytes::Bytes>>, Failure> {
@@ -257,10 +261,10 @@
         headers.insert(header::HOST, host);
     }
     if let Ok(id) = call.incoming.id.parse() {
-        headers.insert(caller::REQUEST_ID, id);
+        headers.insert(caller::REQUEST_ID_HEADER, id);
     }
     if let Ok(priority) = call.priority.as_str().parse() {
-        headers.insert(caller::PRIORITY, priority);
+        headers.insert(caller::PRIORITY_HEADER, priority);
     }
     Ok(request)
 }
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -159,14 +159,14 @@
     let keeps = |name: &HeaderName| {
         let keyed = purpose == Purpose::Owner;
         *name != header::AUTHORIZATION
-            && *name != caller::TIMEOUT
-            && *name != caller::NOT_REPEATABLE
-            && (keyed || *name != caller::IDEMPOTENCY_KEY)
+            && *name != caller::TIMEOUT_HEADER
+            && *name != caller::NOT_REPEATABLE_HEADER
+            && (keyed || *name != caller::IDEMPOTENCY_KEY_HEADER)
     };
     let mut headers = wire_headers(&incoming.headers, keeps);
     if !call.repeatable {
         let value = bytes::Bytes::from_static(b"true");
-        headers.push(wire::Header { name: caller::NOT_REPEATABLE.to_owned(), value });
+        headers.push(wire::Header { name: caller::NOT_REPEATABLE_HEADER.to_owned(), value });
     }
     let left = call.deadline.saturating_duration_since(now);
     wire::ForwardRequest {
@@ -208,7 +208,7 @@
                 && headers
                     .get(header::CONTENT_TYPE)
                     .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-            let ran_in = headers.remove(caller::REGION);
+            let ran_in = headers.remove(caller::REGION_HEADER);
             let ran_in = ran_in.and_then(|value| value.to_str().map(str::to_owned).ok());
             let source = Source::Peer { frames: Box::new(frames), ended: false };
             Ok(Started {
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -297,7 +297,7 @@
         runtime.block_on(async {
             let ended = tokio::select! {
                 ended = work() => ended,
-                _ = stopping.wait_for(|stop| *stop == Shutdown::Now) => Ok(()),
+                _ = stopping.wait_for(|stop| *stop == Shutdown::Immediate) => Ok(()),
             };
             if let Err(error) = ended {
                 log::error!("event=traffic_failed thread={index} error=\"{error}\"");
--- a/lib/src/daemon/once.rs
+++ b/lib/src/daemon/once.rs
@@ -382,7 +382,9 @@
     match shared.platform.put(&path, put).await {
         Ok(_) => Ok(mine.clone()),
         // Another claim stands, or ours took effect and the answer was lost: read who it is.
-        Err(PlatformError::Conflict(_) | PlatformError::Lost(_)) => read_claim(shared, &path).await,
+        Err(PlatformError::Conflict(_) | PlatformError::NoResponse(_)) => {
+            read_claim(shared, &path).await
+        }
         Err(error) => Err(unclaimed(&error.to_string())),
     }
 }
--- a/lib/src/daemon/peer.rs
+++ b/lib/src/daemon/peer.rs
@@ -175,7 +175,7 @@
         .map_err(|_| Failure::new(ErrorKind::BadRequest, "a malformed method"))?;
     let timeout = Duration::from_millis(raw.timeout_ms.into());
     let mut headers = forward::headers(&raw.headers);
-    headers.remove(caller::TIMEOUT);
+    headers.remove(caller::TIMEOUT_HEADER);
     let incoming = Incoming {
         id: raw.request_id,
         purpose,
@@ -201,7 +201,7 @@
     fn answer(replied: Replied) -> Frames {
         let mut headers = forward::wire_headers(&replied.headers, |_| true);
         headers.push(wire::Header {
-            name: caller::REGION.to_owned(),
+            name: caller::REGION_HEADER.to_owned(),
             value: replied.region.into_bytes().into(),
         });
         let head = wire::Head { status: replied.status.as_u16().into(), headers };
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -181,8 +181,11 @@
 
 /// The failure that another box answered with, unless it passes a server's answer on.
 fn refusal(response: &Response<PooledBody>) -> Option<Failure> {
-    let ran =
-        response.headers().get(caller::RAN)?.to_str().map_or(Executed::Unknown, Executed::parse);
+    let ran = response
+        .headers()
+        .get(caller::RAN_HEADER)?
+        .to_str()
+        .map_or(Executed::Unknown, Executed::parse);
     let message = format!("the box answered {}", response.status());
     let kind = match (ran, response.status()) {
         (Executed::No, StatusCode::UNAUTHORIZED) => ErrorKind::Unauthorized,
@@ -191,7 +194,7 @@
         _ => ErrorKind::BackendFailed,
     };
     let failure = Failure::new(kind, message).with_executed(ran);
-    Some(match retry_after::read(response.headers()) {
+    Some(match retry_after::from_headers(response.headers()) {
         Some(come_back) => failure.with_retry_after(come_back),
         None => failure,
     })
@@ -269,7 +272,7 @@
         Event::Replaced
     } else if verdict.not_run {
         Event::Refused
-    } else if verdict.sealed {
+    } else if verdict.has_seal {
         Event::Begun
     } else {
         Event::Invalid
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -136,7 +136,7 @@
             log::warn!("event=connections_cut reason=\"answers were not read in time\"");
         }
         // A traffic thread that has ended need not be told.
-        let _ = self.stop.send(Shutdown::Now);
+        let _ = self.stop.send(Shutdown::Immediate);
         drop(self.record);
         if timer::timeout(FLUSH_TIMEOUT, keeper).await.is_err() {
             log::info!("event=lease_not_ended error=\"no answer in time\"");
@@ -164,7 +164,7 @@
 
     /// Waits for the pause after a failed call; says whether the process ends.
     async fn pause(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
-        let until = clock::now() + store::RETRY_PAUSE;
+        let until = clock::now() + store::RETRY_DELAY;
         while clock::now() < until {
             let left = until.saturating_duration_since(clock::now()).min(TICK);
             tokio::select! {
@@ -222,7 +222,7 @@
             log::warn!("event=store_lost error=\"{error}\"");
             let now = clock::now();
             self.store_away_since = Some(now);
-            self.look_at = Some(now + store::RETRY_PAUSE);
+            self.look_at = Some(now + store::RETRY_DELAY);
         }
     }
 
--- a/lib/src/gateway/control/follow.rs
+++ b/lib/src/gateway/control/follow.rs
@@ -113,7 +113,7 @@
         };
         let era = told.era.unwrap_or(known_era);
         if era < store.newest_era() || oldest.is_some_and(|oldest| oldest.era != era) {
-            return Err(PlatformError::Lost("the store went back meanwhile".to_owned()));
+            return Err(PlatformError::NoResponse("the store went back meanwhile".to_owned()));
         }
         let position = Position { era, revision };
         after = items.last().map(|item| item.key.clone());
@@ -288,7 +288,7 @@
                 self.shared.news.notify_one();
                 Taken::News
             }
-            Ok(Heard::Told(_)) | Err(PlatformError::HistoryGone) => {
+            Ok(Heard::Told(_)) | Err(PlatformError::HistoryCompacted) => {
                 log::warn!("event=history_gone after={known}");
                 Taken::Superseded
             }
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -21,7 +21,7 @@
 use crate::protocol::adapter::DirectoryQuery;
 use crate::protocol::fleet::BoxRecord;
 use crate::state::clock;
-use crate::transport::body::RelayFreeBody;
+use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
 /// Most boxes in one answer.
@@ -36,7 +36,7 @@
 pub async fn ready<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     if !shared.adapter.is_readiness_check(request.method(), request.uri()) {
         return status(StatusCode::NOT_FOUND);
     }
@@ -50,7 +50,7 @@
     shared: Arc<Shared<A>>,
     own: Arc<BoxRecord>,
     request: Request<Incoming>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     let Some(question) = shared.adapter.parse_directory_query(request.method(), request.uri())
     else {
         return status(StatusCode::NOT_FOUND);
@@ -115,7 +115,7 @@
     wanted.take(MAX_BOXES).map(|record| record.callers).collect()
 }
 
-fn status(status: StatusCode) -> Response<RelayFreeBody> {
+fn status(status: StatusCode) -> Response<NonRelayBody> {
     let mut response = Response::new(ResponseBody::buffered(""));
     *response.status_mut() = status;
     response
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -160,7 +160,7 @@
         let before = self.servers.get_mut(&server.id);
         let known_life = before.as_ref().map(|entry| entry.life);
         if let Some(entry) = &before
-            && server.born < entry.server.born
+            && server.started_at < entry.server.started_at
         {
             log::warn!("event=older_life server={} revision={revision}", server.id);
             return false;
@@ -182,7 +182,8 @@
             changed_at = before.changed_at;
             cold_until = cold_until.max(before.cold_until);
         }
-        let born = server.born.and_then(|born| born.duration_since(SystemTime::UNIX_EPOCH).ok());
+        let born =
+            server.started_at.and_then(|born| born.duration_since(SystemTime::UNIX_EPOCH).ok());
         log::info!(
             "event=server server={} born={} service={} address={} failure_domain={} leaving={} cold_ms={}",
             server.id,
--- a/lib/src/gateway/handover.rs
+++ b/lib/src/gateway/handover.rs
@@ -34,7 +34,7 @@
 use crate::protocol::platform::Position;
 use crate::state::clock;
 use crate::transport::backend;
-use crate::transport::body::RelayFreeBody;
+use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
@@ -172,7 +172,7 @@
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     if let Some(asker) = asker(request.headers()) {
         lock(&shared.unlisted).hear(asker, clock::now());
     }
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -31,7 +31,7 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::latency::Timing;
-use crate::transport::body::RelayFreeBody;
+use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
 /// Answers a request.
@@ -39,7 +39,7 @@
     shared: Arc<Shared<A>>,
     origin: Origin,
     request: Request<Incoming>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     let progress = shared.progress();
     shared.counters.increment(match origin {
         Origin::Caller => Counter::Requests,
@@ -58,7 +58,7 @@
     origin: Origin,
     request: Request<Incoming>,
     progress: Progress<A>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     let mut course = Course::default();
     let ask = match shared.adapter.parse_request(request.headers()) {
         Ok(ask) => ask,
@@ -96,7 +96,7 @@
     course: Course,
     reply: Reply<A>,
     progress: Progress<A>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     let body = match reply.payload {
         Payload::Whole(bytes) => {
             shared.counters.increment(Counter::Answered);
@@ -124,7 +124,7 @@
     job: Option<&Job>,
     course: &Course,
     failure: &Failure,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     shared.counters.increment(Counter::Failed);
     match failure.kind {
         ErrorKind::Unauthorized => shared.counters.increment(Counter::Unauthorized),
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -67,7 +67,7 @@
 ) {
     let mut lease: Option<Lease> = None;
     let mut failed_since: Option<Instant> = None;
-    let mut pause = store::RETRY_PAUSE;
+    let mut pause = store::RETRY_DELAY;
     let mut written = false;
     let mut listed = false;
     let mut told = false;
@@ -101,7 +101,7 @@
             Ok(()) => {
                 let era = store.newest_era();
                 lease.iter_mut().for_each(|lease| lease.confirm(era));
-                pause = store::RETRY_PAUSE;
+                pause = store::RETRY_DELAY;
                 if written && !told {
                     told = true;
                     if events.send(Event::RecordWritten).await.is_err() {
@@ -125,7 +125,7 @@
                     }
                 }
             }
-            Err(PlatformError::LeaseOver) => {
+            Err(PlatformError::LeaseExpired) => {
                 log::warn!("event=lease_over");
                 lease = None;
                 written = false;
@@ -156,7 +156,7 @@
 
 async fn grant<A: Adapter>(store: &store::Client<A>) -> Result<Lease, PlatformError> {
     let now = clock::now();
-    let told = store.call_with_era(&Operation::Grant { life: LIFE }).await?;
+    let told = store.call_with_era(&Operation::Grant { ttl: LIFE }).await?;
     let era = told.era.unwrap_or_else(|| store.newest_era());
     match told.response {
         StoreResponse::Lease(id) => Ok(Lease { id, era, granted_at: now, held_at: now }),
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -15,14 +15,14 @@
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::body::RelayFreeBody;
+use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
 /// Answers on the metrics port, whatever the path.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     _request: Request<Incoming>,
-) -> Response<RelayFreeBody> {
+) -> Response<NonRelayBody> {
     let mut response = Response::new(ResponseBody::buffered(page(&shared)));
     let text = HeaderValue::from_static("text/plain; charset=utf-8");
     response.headers_mut().insert(header::CONTENT_TYPE, text);
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -145,7 +145,7 @@
 pub async fn keep<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
     loop {
         shared.verdicts.notified().await;
-        let mut pause = store::RETRY_PAUSE;
+        let mut pause = store::RETRY_DELAY;
         loop {
             let targets = lock(&shared.quarantine).unwritten(BATCH);
             if targets.is_empty() {
@@ -175,7 +175,7 @@
     store: &store::Client<A>,
     targets: &[Target],
 ) -> Result<(), PlatformError> {
-    let grant = Operation::Grant { life: quarantine::LIFE };
+    let grant = Operation::Grant { ttl: quarantine::LIFE };
     let StoreResponse::Lease(lease) = store.call(&grant).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -93,7 +93,7 @@
     store: &store::Client<A>,
     words: &[Stored],
 ) -> Result<(), PlatformError> {
-    let StoreResponse::Lease(lease) = store.call(&Operation::Grant { life: STORED_LIFE }).await?
+    let StoreResponse::Lease(lease) = store.call(&Operation::Grant { ttl: STORED_LIFE }).await?
     else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,16 +1,15 @@
-//! Coordination parts of copperweir, a multi-region inference gateway.
+//! Core library of copperweir, a multi-region inference gateway.
 //!
-//! Four layers, each using only those below it:
+//! The library has four layers. Each uses only the layers below it:
 //!
-//! - [`transport`]: sockets. HTTP for callers and backend servers, gRPC between boxes.
-//! - [`protocol`]: what is said on them, and in files; codecs and checked types.
-//! - [`coordination`]: the decisions. No I/O, no clock, no random source of its
-//!   own: each part takes events and an instant, and returns actions.
-//! - [`state`]: what the decisions are made from.
+//! - [`transport`]: sockets; HTTP for callers and backend servers, gRPC between boxes.
+//! - [`protocol`]: messages, headers and files; codecs and validated types.
+//! - [`coordination`]: the decision logic. It does no I/O and has no clock and no random source of
+//!   its own: each component takes events and an instant, and returns actions.
+//! - [`state`]: the data that decisions are based on.
 //!
-//! [`daemon`] puts them together into the process that runs on each box;
-//! [`operators`] holds what the operators' commands do.
-//! Nothing here reads from or writes to a terminal.
+//! [`daemon`] assembles the layers into the process that runs on each box. [`operators`] implements
+//! the operators' commands. The library neither reads from nor writes to a terminal.
 
 pub mod coordination;
 pub mod daemon;
--- a/lib/src/operators/apply.rs
+++ b/lib/src/operators/apply.rs
@@ -56,7 +56,7 @@
     match store.put(STORE_KEY, put).await {
         Ok(_) => Ok(next.version),
         Err(PlatformError::Conflict(_)) => read_back(store, id, current.version, false).await,
-        Err(PlatformError::Lost(_)) => read_back(store, id, current.version, true).await,
+        Err(PlatformError::NoResponse(_)) => read_back(store, id, current.version, true).await,
         Err(error) => Err(ApplyError::Platform(error)),
     }
 }
@@ -76,7 +76,7 @@
     based_on: Version,
     lost: bool,
 ) -> Result<Version, ApplyError> {
-    let mut last = PlatformError::Lost("the change is not there yet".to_owned());
+    let mut last = PlatformError::NoResponse("the change is not there yet".to_owned());
     for _ in 0..READ_BACKS {
         match store.get(STORE_KEY).await {
             Err(error) => last = error,
--- a/lib/src/protocol/adapter.rs
+++ b/lib/src/protocol/adapter.rs
@@ -1,6 +1,5 @@
-//! What a platform's adapter translates: names, headers, bodies and keys of
-//! the platform to the types of the product and back. An adapter decides
-//! nothing and keeps no state.
+//! The interface of a platform adapter. It translates the platform's names, headers, bodies and
+//! keys to the types of this library and back. An adapter makes no decisions and keeps no state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,236 +21,238 @@
 use super::server_status::ServerStatus;
 use super::team::KeyDigest;
 
-/// A part of a prompt that requests may share.
+/// A segment of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptSegment {
-    /// Identity of its text.
+    /// An ID that stands for the text of the segment.
     pub id: u64,
-    /// Length, tokens.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// What a caller's headers say.
+/// The contents of the headers of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Identity of this attempt of the caller, as sent.
+    /// The ID of the caller's attempt, as sent by the caller.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for a response.
     pub timeout: Option<Duration>,
-    /// Parts of the prompt, in order; the last is the request's own.
+    /// The segments of the prompt, in order. The last one is specific to this request.
     pub segments: Vec<PromptSegment>,
-    /// Last event that the caller has already.
+    /// The last event that the caller has already received.
     pub last_event: Option<u64>,
-    /// Digest of the caller's key, if it sent one.
+    /// The digest of the caller's key, if it sent one.
     pub key: Option<KeyDigest>,
-    /// Tokens of the prompt and the most to be generated, if it says so.
+    /// Tokens of the prompt plus the maximum number of generated tokens, if given.
     pub tokens: Option<u64>,
 }
 
-/// What the gateway adds to a request on its way to a backend server.
+/// The metadata that the gateway adds to a request to a backend server.
 #[derive(Clone, Debug)]
 pub struct OutboundMetadata<'a> {
-    /// Time that is left.
+    /// The time left until the deadline.
     pub time_left: Duration,
-    /// The instance that is meant; any other refuses the request.
+    /// The instance that the request is for. Any other instance rejects it.
     pub instance: &'a str,
-    /// Urgency, 0 to 9; 0 is let in first.
+    /// The priority, 0 to 9; 0 is admitted first.
     pub priority: u8,
-    /// Event after which the stream is to go on.
+    /// The event after which the stream is to continue.
     pub last_event: Option<u64>,
-    /// Name of the caller's team, if it has one.
+    /// The name of the caller's team, if it has one.
     pub team: Option<&'a str>,
 }
 
-/// What the head of a backend server's answer says.
+/// The metadata in the head of a backend server's response.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseMetadata {
-    /// Request that it answers, if it says so.
+    /// The ID of the request that the response is for, if given.
     pub id: Option<String>,
-    /// Whether it carries the mark of the server that ran it.
-    pub sealed: bool,
-    /// The server says that it did not run the request.
+    /// Whether the response has the seal, a header that is set only by the server that executed the
+    /// request.
+    pub has_seal: bool,
+    /// Whether the server states that it did not execute the request.
     pub not_run: bool,
-    /// The address belongs to another instance now.
+    /// Whether another instance now has the address.
     pub instance_mismatch: bool,
-    /// Name of the server that answers, if it says so.
+    /// The name of the server that responded, if given.
     pub instance: Option<String>,
-    /// How long an idle connection is kept, if it says so.
+    /// How long the server keeps an idle connection open, if given.
     pub keep_alive: Option<Duration>,
-    /// What the server says of itself.
+    /// The status that the server reports.
     pub server_status: ServerStatus,
 }
 
-/// A question of a caller that looks for a box.
+/// A caller's query for a box.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryQuery {
-    /// Host that the caller wants to reach.
+    /// The host that the caller wants to reach.
     pub host: String,
-    /// Region of the caller.
+    /// The region of the caller.
     pub region: String,
-    /// Failure domain of the caller.
+    /// The failure domain of the caller.
     pub failure_domain: String,
 }
 
-/// Translates what callers and backend servers say.
+/// Translates the HTTP headers and bodies of callers and backend servers.
 pub trait HttpCodec: Clone + Send + Sync + 'static {
-    /// Reads the headers of a caller's request; the error says what is malformed.
+    /// Parses the headers of a caller's request. The error describes what is malformed.
     fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMetadata, String>;
 
-    /// Marks a failure of the gateway as the answer to a request, and says when to come back.
-    fn add_failure_headers(&self, headers: &mut HeaderMap, id: &str, come_back: Option<Duration>);
+    /// Adds the headers of a failure response: the ID of the request and when the caller may retry.
+    fn add_failure_headers(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 
-    /// Adds what a backend server is told, in place of what the caller sent.
+    /// Sets the headers for a backend server, replacing those that the caller sent.
     fn set_server_headers(&self, headers: &mut HeaderMap, outbound: &OutboundMetadata<'_>);
 
-    /// Changes the time left in a request that goes to another box, and takes out the caller's key.
+    /// Prepares the headers of a request that is forwarded to another box: updates the time left
+    /// and removes the caller's key.
     fn set_forward_headers(&self, headers: &mut HeaderMap, left: Duration);
 
-    /// Reads the head of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Whether this asks if the box takes requests.
+    /// Returns whether a request is the readiness check of the box.
     fn is_readiness_check(&self, method: &Method, uri: &Uri) -> bool;
 
-    /// Reads a question for a box; `None` if it is something else.
+    /// Parses a query for a box; `None` if the request is something else.
     fn parse_directory_query(&self, method: &Method, uri: &Uri) -> Option<DirectoryQuery>;
 
-    /// The body of the answer to a question.
-    fn directory_body(&self, addresses: &[SocketAddr], life: Duration) -> Bytes;
+    /// Returns the body of the response to a query for a box.
+    fn directory_body(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 }
 
 /// A key with its value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyValue {
-    /// Key.
+    /// The key.
     pub key: String,
-    /// Value.
+    /// The value.
     pub value: Bytes,
-    /// Revision of its last change.
+    /// The revision of its last change.
     pub revision: Revision,
 }
 
 /// A change of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It was written.
+    /// The key was written.
     Written(KeyValue),
-    /// It was removed.
+    /// The key was removed.
     Removed(String),
 }
 
-/// A call to the store.
+/// An operation of the store.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// Reads a page of the keys with a prefix.
+    /// Reads one page of the keys with a prefix.
     Range {
-        /// Beginning of the keys.
+        /// The key prefix.
         prefix: String,
-        /// Last key of the page before.
+        /// The last key of the previous page.
         after: Option<String>,
     },
     /// Waits for changes of the keys with a prefix.
     Watch {
-        /// Beginning of the keys.
+        /// The key prefix.
         prefix: String,
-        /// Last revision that is known.
+        /// The last known revision.
         after: Revision,
-        /// Longest wait.
+        /// The longest wait.
         wait: Duration,
     },
-    /// Takes out a lease.
+    /// Grants a lease.
     Grant {
-        /// Its life.
-        life: Duration,
+        /// The TTL of the lease.
+        ttl: Duration,
     },
     /// Renews a lease.
     Renew(LeaseId),
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     Revoke(LeaseId),
-    /// Writes keys, all or none.
+    /// Writes several keys atomically.
     Put(Vec<KeyWrite>),
 }
 
-/// Stands for no lease: the key stays.
+/// The lease ID of a key that is bound to no lease.
 pub const NO_LEASE: LeaseId = 0;
 
-/// A key to be written.
+/// A write of one key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyWrite {
-    /// Key.
+    /// The key.
     pub key: String,
-    /// Value.
+    /// The value.
     pub value: Bytes,
-    /// Lease that the key lives by, or [`NO_LEASE`].
+    /// The lease that the key is bound to, or [`NO_LEASE`].
     pub lease: LeaseId,
 }
 
-/// The store's answer.
+/// The response of the store.
 #[derive(Clone, Debug)]
 pub enum StoreResponse {
-    /// A page; `more` says that others follow.
+    /// One page of a range.
     Page {
-        /// Items, by key.
+        /// The items, in the order of their keys.
         items: Vec<KeyValue>,
-        /// Whether there is another page.
+        /// Whether more pages follow.
         more: bool,
-        /// Revision of the store.
+        /// The revision of the store.
         revision: Revision,
     },
-    /// Changes, in order.
+    /// The result of a watch.
     Changes {
-        /// The changes.
+        /// The changes, in order.
         changes: Vec<Change>,
-        /// Revision after them.
+        /// The revision after these changes.
         revision: Revision,
     },
-    /// A lease was granted.
+    /// The lease was granted.
     Lease(LeaseId),
-    /// Done.
+    /// The operation succeeded and has no result.
     Done,
 }
 
-/// A call as HTTP.
+/// An HTTP request to the store.
 #[derive(Clone, Debug)]
 pub struct StoreRequest {
-    /// Method.
+    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// Body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// Something the operator or a backend server has written.
+/// A value written by the operator or by a backend server.
 #[derive(Clone, Debug)]
 pub enum Fact {
     /// A version of the configuration.
     Routing(Box<Routing>),
     /// A backend server.
     Server(Server),
-    /// A failure domain is to get no work.
+    /// The evacuation of a failure domain, which must get no requests.
     Evacuated(FailureDomainId),
 }
 
-/// What a key is about.
+/// The kind of object that a key refers to.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Subject {
     /// The configuration.
     Routing,
     /// A backend server.
     Server(ServerId),
-    /// A failure domain that is to get no work.
+    /// The evacuation of a failure domain.
     Evacuation(FailureDomainId),
-    /// Anything else; the product's own keys are among these.
+    /// Anything else, including the keys that boxes write themselves.
     Other,
 }
 
-/// Translates what the store holds and says.
+/// Translates the requests, responses and values of the store.
 pub trait StoreCodec: Clone + Send + Sync + 'static {
-    /// A call as HTTP.
+    /// An HTTP request to the store.
     fn encode(&self, operation: &Operation) -> StoreRequest;
 
-    /// The answer to a call.
+    /// Decodes the response to an operation.
     fn decode(
         &self,
         operation: &Operation,
@@ -259,13 +260,13 @@
         body: &[u8],
     ) -> Result<StoreResponse, PlatformError>;
 
-    /// The era of the store that sent these headers; `None` if they do not tell it.
+    /// Returns the era of the store from the headers of a response; `None` if they do not give it.
     fn era(&self, headers: &HeaderMap) -> Option<Era>;
 
-    /// What a key is about.
+    /// The kind of object that a key refers to.
     fn subject(&self, key: &str) -> Subject;
 
-    /// Reads a value of the operator or of a backend server.
+    /// Decodes a value written by the operator or by a backend server.
     fn decode_fact(&self, subject: &Subject, value: &[u8]) -> Result<Option<Fact>, String>;
 }
 
--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' API: header names, bodies, and the checks on a request.
+//! The HTTP API for callers: header names, bodies and request validation.
 
 use std::time::Duration;
 
@@ -20,61 +20,61 @@
 use crate::error::ErrorKind;
 use crate::error::Failure;
 
-/// Path of chats.
-const CHAT: &str = "/v1/chat/completions";
-/// Key under which a request runs at most once.
-pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Deadline, milliseconds from arrival.
-pub const TIMEOUT: &str = "copperweir-timeout-ms";
-/// Priority.
-pub const PRIORITY: &str = "copperweir-priority";
-/// Forbids repeats.
-pub const NOT_REPEATABLE: &str = "copperweir-not-repeatable";
-/// Id of the request, in answers.
-pub const REQUEST_ID: &str = "copperweir-request-id";
-/// Region that ran the request, in answers.
-pub const REGION: &str = "copperweir-region";
-/// Box that answers.
-pub const BOX: &str = "copperweir-box";
-/// Configuration that the request was decided by.
-pub const CONFIG_VERSION: &str = "copperweir-config-version";
-/// Whether a failed request ran.
-pub const RAN: &str = "copperweir-ran";
+/// The path of chat completions.
+const CHAT_PATH: &str = "/v1/chat/completions";
+/// The idempotency key: a request with this key is executed at most once.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The deadline, in milliseconds from the arrival of the request.
+pub const TIMEOUT_HEADER: &str = "copperweir-timeout-ms";
+/// The priority of the request.
+pub const PRIORITY_HEADER: &str = "copperweir-priority";
+/// Forbids executing the request more than once.
+pub const NOT_REPEATABLE_HEADER: &str = "copperweir-not-repeatable";
+/// The request ID, in responses.
+pub const REQUEST_ID_HEADER: &str = "copperweir-request-id";
+/// The region that executed the request, in responses.
+pub const REGION_HEADER: &str = "copperweir-region";
+/// The box that sent the response.
+pub const BOX_HEADER: &str = "copperweir-box";
+/// The version of the configuration that the request was handled with.
+pub const CONFIG_VERSION_HEADER: &str = "copperweir-config-version";
+/// Whether a failed request was executed.
+pub const RAN_HEADER: &str = "copperweir-ran";
 
-/// Longest idempotency key, bytes.
+/// Maximum length of an idempotency key.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// What a path asks for.
+/// The operation that a method and path select.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Endpoint {
-    /// A completion; the body names the model.
+    /// A completion. The body names the model.
     Completion,
-    /// The models that the team may use.
+    /// The list of models that the team may use.
     Models,
-    /// Which box to use.
+    /// The list of boxes to send requests to.
     Boxes,
-    /// A call of a plain service.
+    /// A call to a plain service.
     Service {
-        /// Service.
+        /// The name of the service.
         name: String,
-        /// Path and query given to the service.
+        /// The path and query that the service receives.
         path: String,
     },
-    /// Whether the process is up.
+    /// The liveness check of the process.
     Health,
-    /// Whether the box takes requests.
+    /// The readiness check: whether the box accepts requests.
     Ready,
 }
 
 impl Endpoint {
-    /// Reads method and path.
+    /// Parses a method and a path with its query.
     pub fn parse(method: &Method, path_and_query: &str) -> Result<Endpoint, Failure> {
         let path = path_and_query.split('?').next().unwrap_or_default();
         if let Some(rest) = path_and_query.strip_prefix("/services/") {
-            return service(rest);
+            return parse_service_call(rest);
         }
         let (endpoint, expected) = match path {
-            CHAT | "/v1/completions" => (Endpoint::Completion, Method::POST),
+            CHAT_PATH | "/v1/completions" => (Endpoint::Completion, Method::POST),
             "/v1/models" => (Endpoint::Models, Method::GET),
             "/v1/boxes" => (Endpoint::Boxes, Method::GET),
             "/healthz" => (Endpoint::Health, Method::GET),
@@ -89,7 +89,7 @@
     }
 }
 
-fn service(rest: &str) -> Result<Endpoint, Failure> {
+fn parse_service_call(rest: &str) -> Result<Endpoint, Failure> {
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     if name.is_empty() {
@@ -103,7 +103,8 @@
     Ok(Endpoint::Service { name: name.to_owned(), path })
 }
 
-/// A path that a service may read as another one than the routes were matched on.
+/// Returns whether a path has dot segments, also percent-encoded ones. A service might normalize
+/// such a path to one that other route rules apply to.
 fn has_dot_segment(path: &str) -> bool {
     path.to_ascii_lowercase()
         .replace("%2e", ".")
@@ -112,76 +113,82 @@
         .any(|segment| segment == "." || segment == "..")
 }
 
-/// What the headers of a request ask for.
+/// The options that a caller sets by headers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestOptions {
-    /// Time until the answer is of no use.
+    /// How long the caller waits for the response.
     pub timeout: Duration,
-    /// Priority; `None` where the request names none.
+    /// The priority; `None` if the request gives none.
     pub priority: Option<Priority>,
-    /// Whether the request forbids repeats.
+    /// Whether the request must not be executed more than once.
     pub not_repeatable: bool,
-    /// Key under which it runs at most once.
+    /// The idempotency key.
     pub key: Option<String>,
 }
 
 impl RequestOptions {
-    /// Reads the headers.
+    /// Parses the headers.
     pub fn parse(headers: &HeaderMap, limits: &Limits) -> Result<RequestOptions, Failure> {
-        let timeout = match text(headers, TIMEOUT)? {
+        let timeout = match header_text(headers, TIMEOUT_HEADER)? {
             None => limits.default_timeout,
-            Some(text) => timeout(text, limits)?,
+            Some(value) => parse_timeout(value, limits)?,
         };
-        let priority = match text(headers, PRIORITY)? {
+        let priority = match header_text(headers, PRIORITY_HEADER)? {
             None => None,
-            Some(word) => Some(Priority::parse(word).ok_or_else(|| {
-                bad(format!("{PRIORITY}: expected low, normal or high, not \"{word}\""))
+            Some(value) => Some(Priority::parse(value).ok_or_else(|| {
+                bad_request(format!(
+                    "{PRIORITY_HEADER}: expected low, normal or high, not \"{value}\""
+                ))
             })?),
         };
-        let not_repeatable = match text(headers, NOT_REPEATABLE)? {
+        let not_repeatable = match header_text(headers, NOT_REPEATABLE_HEADER)? {
             None | Some("false") => false,
             Some("true") => true,
-            Some(word) => {
-                return Err(bad(format!(
-                    "{NOT_REPEATABLE}: expected true or false, not \"{word}\""
+            Some(value) => {
+                return Err(bad_request(format!(
+                    "{NOT_REPEATABLE_HEADER}: expected true or false, not \"{value}\""
                 )));
             }
         };
-        let key = text(headers, IDEMPOTENCY_KEY)?;
+        let key = header_text(headers, IDEMPOTENCY_KEY_HEADER)?;
         if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
-            return Err(bad(format!("{IDEMPOTENCY_KEY}: expected 1 to {MAX_KEY_BYTES} bytes")));
+            return Err(bad_request(format!(
+                "{IDEMPOTENCY_KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} bytes"
+            )));
         }
         Ok(RequestOptions { timeout, priority, not_repeatable, key: key.map(str::to_owned) })
     }
 }
 
-fn bad(message: String) -> Failure {
+fn bad_request(message: String) -> Failure {
     Failure::new(ErrorKind::BadRequest, message)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(format!("{name} stands twice")));
+        return Err(bad_request(format!("{name} stands twice")));
     }
-    value.to_str().map(Some).map_err(|_| bad(format!("{name}: expected plain text")))
+    value.to_str().map(Some).map_err(|_| bad_request(format!("{name}: expected plain text")))
 }
 
-fn timeout(text: &str, limits: &Limits) -> Result<Duration, Failure> {
-    let most = limits.max_timeout.as_millis();
-    let millis =
-        text.parse::<u64>().ok().filter(|millis| (1..=most).contains(&u128::from(*millis)));
-    millis
-        .map(Duration::from_millis)
-        .ok_or_else(|| bad(format!("{TIMEOUT}: expected 1 to {most}, not \"{text}\"")))
+fn parse_timeout(value: &str, limits: &Limits) -> Result<Duration, Failure> {
+    let max_ms = limits.max_timeout.as_millis();
+    let timeout_ms = value
+        .parse::<u64>()
+        .ok()
+        .filter(|timeout_ms| (1..=max_ms).contains(&u128::from(*timeout_ms)));
+    timeout_ms.map(Duration::from_millis).ok_or_else(|| {
+        bad_request(format!("{TIMEOUT_HEADER}: expected 1 to {max_ms}, not \"{value}\""))
+    })
 }
 
-/// The bearer token of a request, if it brings one.
+/// Returns the bearer token of a request, if it has one.
 pub fn bearer_token(headers: &HeaderMap) -> Result<Option<&str>, Failure> {
-    let Some(value) = text(headers, header::AUTHORIZATION.as_str())? else {
+    let Some(value) = header_text(headers, header::AUTHORIZATION.as_str())? else {
         return Ok(None);
     };
     match value.split_once(' ') {
@@ -190,49 +197,49 @@
     }
 }
 
-/// What the gateway reads of a completion's body; the rest is passed through.
+/// The fields of a completion's body that the gateway reads. The body is passed on unchanged.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Completion {
-    /// Model.
+    /// The name of the model.
     pub model: String,
-    /// Whether the answer is a stream.
+    /// Whether the response is to be a stream.
     #[serde(default)]
     pub stream: bool,
-    /// The chat so far; what it says is for the engine.
+    /// The messages of the chat. Their content matters only to the engine.
     #[serde(default)]
-    messages: Option<List>,
+    messages: Option<JsonArray>,
 }
 
-/// A list of anything.
+/// A JSON array whose elements are ignored.
 #[derive(Clone, Debug)]
-struct List;
+struct JsonArray;
 
-impl<'de> Deserialize<'de> for List {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<List, D::Error> {
+impl<'de> Deserialize<'de> for JsonArray {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<JsonArray, D::Error> {
         Vec::<IgnoredAny>::deserialize(deserializer)
-            .map(|_| List)
+            .map(|_| JsonArray)
             .map_err(|error| serde::de::Error::custom(format!("messages: {error}")))
     }
 }
 
 impl Completion {
-    /// Reads the body of a request for this path.
+    /// Parses the body of a request for this path.
     pub fn parse(path: &str, body: &[u8]) -> Result<Completion, Failure> {
         let completion: Completion = serde_json::from_slice(body).map_err(|error| {
             let place = format!("line {}, column {}", error.line(), error.column());
             let message = error.to_string();
             let message = message.split(" at line ").next().unwrap_or_default();
-            bad(format!("the body at {place}: {message}"))
+            bad_request(format!("the body at {place}: {message}"))
         })?;
-        let chat = path.split('?').next() == Some(CHAT);
+        let chat = path.split('?').next() == Some(CHAT_PATH);
         if chat && completion.messages.is_none() {
-            return Err(bad("messages: a chat needs a list of them".to_owned()));
+            return Err(bad_request("messages: a chat needs a list of them".to_owned()));
         }
         Ok(completion)
     }
 }
 
-/// Whether a header concerns one connection only, and stays behind where a message is passed on.
+/// Returns whether a header is hop-by-hop. Such a header is dropped when a message is forwarded.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     const NAMES: [HeaderName; 9] = [
         header::CONNECTION,
@@ -248,16 +255,16 @@
     NAMES.contains(name) || name == "keep-alive" || name == "proxy-connection"
 }
 
-/// A failed answer's body.
+/// Returns the body of an error response.
 pub fn failure_body(failure: &Failure) -> String {
     let row = failure.kind.spec();
     json!({"error": {"message": failure.message, "type": row.error_type, "code": row.code}})
         .to_string()
 }
 
-/// The headers that only a failed answer has.
+/// Adds the headers that only error responses have.
 pub fn add_failure_headers(failure: &Failure, headers: &mut HeaderMap) {
-    headers.insert(RAN, HeaderValue::from_static(failure.executed().as_str()));
+    headers.insert(RAN_HEADER, HeaderValue::from_static(failure.executed().as_str()));
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = failure.retry_after() {
         let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
@@ -265,30 +272,31 @@
     }
 }
 
-/// One box of the answer to "which box should I use".
+/// A box in the list of boxes that callers can use.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BoxEntry {
-    /// Box.
+    /// The name of the box.
     pub name: BoxId,
-    /// Region.
+    /// The region of the box.
     pub region: RegionId,
-    /// Failure domain.
+    /// The failure domain of the box.
     pub failure_domain: String,
-    /// Where to send requests.
+    /// The address for requests.
     pub address: String,
-    /// Share of requests to send here, relative to the others of its region.
+    /// The weight of the box relative to the other boxes of its region.
     pub weight: u32,
 }
 
-/// The answer to "which box should I use".
+/// The response to a request for the list of boxes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BoxesResponse {
-    /// Boxes, best first.
+    /// The boxes, best first.
     pub boxes: Vec<BoxEntry>,
-    /// How long the answer holds, milliseconds.
+    /// How long the response is valid, in milliseconds.
     pub valid_ms: u64,
-    /// An idempotency key that costs no call to the store; good at the box named by `ticket_box`.
+    /// An idempotency key that needs no call to the store. It is valid only on the box named by
+    /// `ticket_box`.
     pub ticket: String,
-    /// Box that the ticket belongs to.
+    /// The box that issued the ticket.
     pub ticket_box: BoxId,
 }
--- a/lib/src/protocol/config/check.rs
+++ b/lib/src/protocol/config/check.rs
@@ -1,4 +1,4 @@
-//! From the files to a checked [`Configuration`], with every problem at once.
+//! Validates configuration files and builds a [`Configuration`], reporting all problems at once.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,11 +28,12 @@
 const DEFAULT_QUEUE_LIMIT: usize = 256;
 const DEFAULT_QUEUE_BYTES: usize = 32 << 20;
 const DEFAULT_LEND_SHARE: f64 = 0.25;
-const DEFAULT_RATE: f64 = 1_000_000.0;
-const SHA256_HEX: usize = 64;
-const SAME_HASH: &str = "the name has the same short hash as another one; choose another name";
+const DEFAULT_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
+const SHA256_HEX_DIGITS: usize = 64;
+const NAME_HASH_COLLISION: &str =
+    "the name has the same short hash as another one; choose another name";
 
-/// Text of each file by its name.
+/// The text of each file by its name.
 pub type Files = BTreeMap<String, String>;
 
 impl TryFrom<&Files> for Configuration {
@@ -47,20 +48,20 @@
                 Ok(document) => parsed.push(document),
             }
         }
-        let mut raws = Vec::new();
+        let mut raw_files = Vec::new();
         for document in &parsed {
-            let problems = shape::FILE.check(document);
+            let problems = shape::FILE.validate(document);
             if !problems.is_empty() {
                 checker.problems.extend(problems);
                 continue;
             }
             match serde_json::from_value::<raw::File>(document.to_json()) {
-                Ok(raw) => raws.push((document, raw)),
+                Ok(raw) => raw_files.push((document, raw)),
                 Err(error) => checker.problems.push(document.problem(&[], error.to_string(), None)),
             }
         }
         if checker.problems.is_empty() {
-            checker.check(&raws);
+            checker.check(&raw_files);
         }
         if checker.problems.is_empty() {
             Ok(checker.configuration)
@@ -85,34 +86,34 @@
 impl Checker {
     fn check(&mut self, files: &[Parsed<'_>]) {
         for (document, raw) in files {
-            self.regions(document, raw);
+            self.check_regions(document, raw);
         }
         for (document, raw) in files {
-            self.residency(document, raw);
+            self.check_residency(document, raw);
         }
         for (document, raw) in files {
-            self.pools(document, raw);
-            self.services(document, raw);
-            self.limits(document, raw);
+            self.check_pools(document, raw);
+            self.check_services(document, raw);
+            self.check_limits(document, raw);
         }
         for (document, raw) in files {
-            self.models(document, raw);
-            self.objectives(document, raw);
+            self.check_models(document, raw);
+            self.check_objectives(document, raw);
         }
         for (document, raw) in files {
-            self.teams(document, raw);
+            self.check_teams(document, raw);
         }
     }
 
-    fn problem(&mut self, document: &Document<'_>, path: &[&str], message: impl Into<String>) {
+    fn report(&mut self, document: &Document<'_>, path: &[&str], message: impl Into<String>) {
         self.problems.push(document.problem(path, message, None));
     }
 
-    fn twice(&mut self, document: &Document<'_>, path: &[&str]) {
-        self.problem(document, path, "the name stands in another place too");
+    fn report_duplicate(&mut self, document: &Document<'_>, path: &[&str]) {
+        self.report(document, path, "the name is already declared elsewhere");
     }
 
-    fn unknown<'a>(
+    fn report_undeclared<'a>(
         &mut self,
         document: &Document<'_>,
         path: &[&str],
@@ -125,76 +126,101 @@
         self.problems.push(document.problem(path, message, hint));
     }
 
-    fn regions(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_regions(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, region) in &raw.regions {
             let domains = region.failure_domains.iter().cloned().collect::<BTreeSet<_>>();
             if domains.is_empty() {
-                self.problem(
+                self.report(
                     document,
                     &["regions", name, "failure_domains"],
                     "expected at least one failure domain",
                 );
             }
             if self.configuration.regions.insert(name.clone(), domains).is_some() {
-                self.twice(document, &["regions", name]);
+                self.report_duplicate(document, &["regions", name]);
             }
         }
     }
 
-    fn residency(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_residency(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, rule) in &raw.residency {
             let path = ["residency", name.as_str(), "regions"];
             if rule.regions.is_empty() {
-                self.problem(document, &path, "expected at least one region");
+                self.report(document, &path, "expected at least one region");
             }
             for region in &rule.regions {
-                self.known_region(document, &path, region);
+                self.require_region(document, &path, region);
             }
             let regions = rule.regions.iter().cloned().collect();
             if self.configuration.residency.insert(name.clone(), regions).is_some() {
-                self.twice(document, &["residency", name]);
+                self.report_duplicate(document, &["residency", name]);
             }
         }
     }
 
-    fn known_region(&mut self, document: &Document<'_>, path: &[&str], region: &str) {
+    fn require_region(&mut self, document: &Document<'_>, path: &[&str], region: &str) {
         if !self.configuration.regions.contains_key(region) {
             let known: Vec<String> = self.configuration.regions.keys().cloned().collect();
-            self.unknown(document, path, "region", region, known.iter().map(String::as_str));
+            self.report_undeclared(
+                document,
+                path,
+                "region",
+                region,
+                known.iter().map(String::as_str),
+            );
         }
     }
 
-    fn known_rule(&mut self, document: &Document<'_>, path: &[&str], rule: Option<&String>) {
+    fn require_residency_rule(
+        &mut self,
+        document: &Document<'_>,
+        path: &[&str],
+        rule: Option<&String>,
+    ) {
         let Some(rule) = rule else { return };
         if !self.configuration.residency.contains_key(rule) {
             let known: Vec<String> = self.configuration.residency.keys().cloned().collect();
-            self.unknown(document, path, "residency rule", rule, known.iter().map(String::as_str));
+            self.report_undeclared(
+                document,
+                path,
+                "residency rule",
+                rule,
+                known.iter().map(String::as_str),
+            );
         }
     }
 
-    fn pools(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_pools(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, pool) in &raw.pools {
             let lend_share = pool.lend_share.unwrap_or(DEFAULT_LEND_SHARE);
             if !(0.0..=1.0).contains(&lend_share) {
-                self.problem(document, &["pools", name, "lend_share"], "expected 0 to 1");
+                self.report(document, &["pools", name, "lend_share"], "expected 0 to 1");
             }
             let checked = Pool {
-                servers: self.servers(document, ["pools", name, "servers"], &pool.servers),
+                servers: self.check_servers(document, ["pools", name, "servers"], &pool.servers),
                 queue_limit: pool.queue_limit.unwrap_or(DEFAULT_QUEUE_LIMIT),
                 queue_bytes: pool.queue_bytes.unwrap_or(DEFAULT_QUEUE_BYTES),
                 lend_share,
             };
             if self.configuration.pools.insert(name.clone(), checked).is_some() {
-                self.twice(document, &["pools", name]);
+                self.report_duplicate(document, &["pools", name]);
             }
         }
     }
 
-    fn services(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_services(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, service) in &raw.services {
-            self.known_rule(document, &["services", name, "residency"], service.residency.as_ref());
+            self.require_residency_rule(
+                document,
+                &["services", name, "residency"],
+                service.residency.as_ref(),
+            );
             let pool = Pool {
-                servers: self.servers(document, ["services", name, "servers"], &service.servers),
+                servers: self.check_servers(
+                    document,
+                    ["services", name, "servers"],
+                    &service.servers,
+                ),
                 queue_limit: service.queue_limit.unwrap_or(DEFAULT_QUEUE_LIMIT),
                 queue_bytes: DEFAULT_QUEUE_BYTES,
                 lend_share: 1.0,
@@ -206,13 +232,13 @@
             let checked =
                 Service { not_repeatable: routes.collect(), residency: service.residency.clone() };
             if self.configuration.pools.insert(name.clone(), pool).is_some() {
-                self.twice(document, &["services", name]);
+                self.report_duplicate(document, &["services", name]);
             }
             self.configuration.services.insert(name.clone(), checked);
         }
     }
 
-    fn servers(
+    fn check_servers(
         &mut self,
         document: &Document<'_>,
         path: [&str; 3],
@@ -220,28 +246,28 @@
     ) -> BTreeMap<String, Server> {
         let mut checked = BTreeMap::new();
         for (name, server) in servers {
-            let at = |field| [path[0], path[1], path[2], name.as_str(), field];
+            let field_path = |field| [path[0], path[1], path[2], name.as_str(), field];
             if !self.server_names.insert(name.clone()) {
-                self.twice(document, &at("region")[..4]);
+                self.report_duplicate(document, &field_path("region")[..4]);
             } else if !self.server_hashes.insert(name_hash(name)) {
-                self.problem(document, &at("region")[..4], SAME_HASH);
+                self.report(document, &field_path("region")[..4], NAME_HASH_COLLISION);
             }
-            self.known_region(document, &at("region"), &server.region);
+            self.require_region(document, &field_path("region"), &server.region);
             let domains = self.configuration.regions.get(&server.region);
             if domains.is_some_and(|domains| !domains.contains(&server.failure_domain)) {
                 let message = format!(
                     "region \"{}\" has no failure domain \"{}\"",
                     server.region, server.failure_domain
                 );
-                self.problem(document, &at("failure_domain"), message);
+                self.report(document, &field_path("failure_domain"), message);
             }
             if server.slots == Some(0) {
-                self.problem(document, &at("slots"), "expected a whole number from 1");
+                self.report(document, &field_path("slots"), "expected a whole number from 1");
             }
             let Ok(address) = server.address.parse::<SocketAddr>() else {
-                self.problem(
+                self.report(
                     document,
-                    &at("address"),
+                    &field_path("address"),
                     "expected an IP number and port, such as \"127.0.0.1:9000\"",
                 );
                 continue;
@@ -259,34 +285,38 @@
         checked
     }
 
-    fn models(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_models(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, model) in &raw.models {
-            self.known_pool(document, &["models", name, "pool"], &model.pool);
-            self.known_rule(document, &["models", name, "residency"], model.residency.as_ref());
+            self.require_pool(document, &["models", name, "pool"], &model.pool);
+            self.require_residency_rule(
+                document,
+                &["models", name, "residency"],
+                model.residency.as_ref(),
+            );
             let checked = Model {
                 pool: model.pool.clone(),
                 version: model.version.clone(),
                 residency: model.residency.clone(),
             };
             if self.configuration.models.insert(name.clone(), checked).is_some() {
-                self.twice(document, &["models", name]);
+                self.report_duplicate(document, &["models", name]);
             }
         }
     }
 
-    fn known_pool(&mut self, document: &Document<'_>, path: &[&str], pool: &str) {
+    fn require_pool(&mut self, document: &Document<'_>, path: &[&str], pool: &str) {
         if !self.configuration.pools.contains_key(pool) {
             let known: Vec<String> = self.configuration.pools.keys().cloned().collect();
-            self.unknown(document, path, "pool", pool, known.iter().map(String::as_str));
+            self.report_undeclared(document, path, "pool", pool, known.iter().map(String::as_str));
         }
     }
 
-    fn objectives(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_objectives(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, objective) in &raw.objectives {
-            self.known_pool(document, &["objectives", name, "pool"], &objective.pool);
+            self.require_pool(document, &["objectives", name, "pool"], &objective.pool);
             if !(0.0..1.0).contains(&objective.target) {
                 let message = "expected a share from 0 to below 1, such as 0.95";
-                self.problem(document, &["objectives", name, "target"], message);
+                self.report(document, &["objectives", name, "target"], message);
             }
             let checked = Objective {
                 pool: objective.pool.clone(),
@@ -294,15 +324,15 @@
                 first_byte: Duration::from_millis(objective.first_byte_ms),
             };
             if self.configuration.objectives.insert(name.clone(), checked).is_some() {
-                self.twice(document, &["objectives", name]);
+                self.report_duplicate(document, &["objectives", name]);
             }
         }
     }
 
-    fn limits(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_limits(&mut self, document: &Document<'_>, raw: &raw::File) {
         let Some(limits) = &raw.limits else { return };
         if std::mem::replace(&mut self.limits_seen, true) {
-            self.problem(document, &["limits"], "limits stand in another file too");
+            self.report(document, &["limits"], "limits are already declared in another file");
         }
         let millis = |value: Option<u64>, default| value.map_or(default, Duration::from_millis);
         let defaults = Limits::default();
@@ -315,28 +345,32 @@
         };
         if checked.default_timeout > checked.max_timeout {
             let message = "default_timeout_ms is over max_timeout_ms";
-            self.problem(document, &["limits", "default_timeout_ms"], message);
+            self.report(document, &["limits", "default_timeout_ms"], message);
         }
         if checked.ticket_life < checked.max_timeout {
             let message =
                 "ticket_life_ms is under max_timeout_ms; a ticket must outlive its request";
-            self.problem(document, &["limits", "ticket_life_ms"], message);
+            self.report(document, &["limits", "ticket_life_ms"], message);
         }
         self.configuration.limits = checked;
     }
 
-    fn teams(&mut self, document: &Document<'_>, raw: &raw::File) {
+    fn check_teams(&mut self, document: &Document<'_>, raw: &raw::File) {
         for (name, team) in &raw.teams {
             if !self.team_hashes.insert(name_hash(name)) {
-                self.problem(document, &["teams", name], SAME_HASH);
+                self.report(document, &["teams", name], NAME_HASH_COLLISION);
             }
-            self.team_names(document, name, team);
-            self.team_keys(document, name, team);
-            self.known_rule(document, &["teams", name, "residency"], team.residency.as_ref());
-            let rate = team.requests_per_second.unwrap_or(DEFAULT_RATE);
+            self.check_team_access(document, name, team);
+            self.check_team_keys(document, name, team);
+            self.require_residency_rule(
+                document,
+                &["teams", name, "residency"],
+                team.residency.as_ref(),
+            );
+            let rate = team.requests_per_second.unwrap_or(DEFAULT_REQUESTS_PER_SECOND);
             if !(rate > 0.0 && rate.is_finite()) {
                 let path = ["teams", name, "requests_per_second"];
-                self.problem(document, &path, "expected a number over 0");
+                self.report(document, &path, "expected a number over 0");
             }
             let priority = team.max_priority.as_deref().and_then(Priority::parse);
             let checked = Team {
@@ -347,39 +381,45 @@
                 residency: team.residency.clone(),
             };
             if self.configuration.teams.insert(name.clone(), checked).is_some() {
-                self.twice(document, &["teams", name]);
+                self.report_duplicate(document, &["teams", name]);
             }
         }
     }
 
-    fn team_names(&mut self, document: &Document<'_>, name: &str, team: &raw::Team) {
+    fn check_team_access(&mut self, document: &Document<'_>, name: &str, team: &raw::Team) {
         let models: Vec<String> = self.configuration.models.keys().cloned().collect();
         for model in team.models.iter().filter(|model| *model != "*" && !models.contains(model)) {
             let known = models.iter().map(String::as_str);
-            self.unknown(document, &["teams", name, "models"], "model", model, known);
+            self.report_undeclared(document, &["teams", name, "models"], "model", model, known);
         }
         let services: Vec<String> = self.configuration.services.keys().cloned().collect();
-        let absent = |service: &&String| *service != "*" && !services.contains(service);
-        for service in team.services.iter().filter(absent) {
+        let undeclared = |service: &&String| *service != "*" && !services.contains(service);
+        for service in team.services.iter().filter(undeclared) {
             let known = services.iter().map(String::as_str);
-            self.unknown(document, &["teams", name, "services"], "service", service, known);
+            self.report_undeclared(
+                document,
+                &["teams", name, "services"],
+                "service",
+                service,
+                known,
+            );
         }
     }
 
-    fn team_keys(&mut self, document: &Document<'_>, name: &str, team: &raw::Team) {
+    fn check_team_keys(&mut self, document: &Document<'_>, name: &str, team: &raw::Team) {
         let path = ["teams", name, "keys_sha256"];
         for key in &team.keys_sha256 {
-            let hex = key.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'));
-            if key.len() != SHA256_HEX || !hex {
-                self.problem(document, &path, "expected 64 lower-case hex digits");
+            let is_hex = key.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'));
+            if key.len() != SHA256_HEX_DIGITS || !is_hex {
+                self.report(document, &path, "expected 64 lower-case hex digits");
             }
             if self.configuration.keys.insert(key.clone(), name.to_owned()).is_some() {
-                self.problem(document, &path, "the key belongs to another team too");
+                self.report(document, &path, "the key belongs to another team too");
             }
         }
         if team.anonymous && self.configuration.anonymous.replace(name.to_owned()).is_some() {
-            let message = "another team takes requests without a key already";
-            self.problem(document, &["teams", name, "anonymous"], message);
+            let message = "another team already accepts requests without a key";
+            self.report(document, &["teams", name, "anonymous"], message);
         }
     }
 }
--- a/lib/src/protocol/config/mod.rs
+++ b/lib/src/protocol/config/mod.rs
@@ -1,9 +1,9 @@
-//! The configuration: what operators declare, checked as a whole.
+//! The configuration: what operators declare, validated as a whole.
 //!
-//! A configuration is a set of named files. Each is parsed and its shape
-//! checked by itself ([`shape`]); [`raw`] holds what the files say; the checked
-//! types here are made from all files together, so that a name in one file
-//! may refer to another. [`document`] is the form that the platform's store holds.
+//! A configuration is a set of named files. Each file is parsed and compared with its schema
+//! separately ([`shape`]); [`raw`] holds the contents of the files. The validated types in this
+//! module are built from all files together, so that one file may refer to names in another.
+//! [`document`] is the form that the platform's store holds.
 
 pub mod check;
 pub mod document;
@@ -21,15 +21,16 @@
 use super::TeamId;
 use super::Version;
 
-/// Order in which waiting requests run; later is more urgent.
+/// The priority of a request, from least to most urgent. Queued requests run in this order, the
+/// most urgent first.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
-    /// Shed first.
+    /// Rejected first under overload.
     Low,
-    /// The default.
+    /// The default priority.
     #[default]
     Normal,
-    /// Kept longest.
+    /// Rejected last under overload.
     High,
 }
 
@@ -37,7 +38,7 @@
     /// All priorities, least urgent first.
     pub const ALL: [Priority; 3] = [Priority::Low, Priority::Normal, Priority::High];
 
-    /// The word in files and headers.
+    /// Returns the name used in files and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             Priority::Low => "low",
@@ -46,102 +47,102 @@
         }
     }
 
-    /// Reads the word.
+    /// Parses the name used in files and headers.
     pub fn parse(text: &str) -> Option<Priority> {
         Priority::ALL.into_iter().find(|priority| priority.as_str() == text)
     }
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Debug, Default)]
 pub struct Configuration {
-    /// Version in the store; 0 where it has none.
+    /// The version in the store; 0 if the store has no configuration.
     pub version: Version,
     /// Regions and their failure domains.
     pub regions: BTreeMap<RegionId, BTreeSet<String>>,
     /// Models by name.
     pub models: BTreeMap<String, Model>,
-    /// Pools of backend servers, those of plain services among them.
+    /// Pools of backend servers, including those of plain services.
     pub pools: BTreeMap<PoolId, Pool>,
-    /// Plain services by name; each has a pool of the same name.
+    /// Plain services by name. Each has a pool of the same name.
     pub services: BTreeMap<String, Service>,
-    /// Residency rules: the regions that each allows.
+    /// Residency rules by name, with the regions that each allows.
     pub residency: BTreeMap<String, BTreeSet<RegionId>>,
     /// Teams by name.
     pub teams: BTreeMap<TeamId, Team>,
-    /// Team by the SHA-256 of its key, in lower-case hex.
+    /// Teams by the SHA-256 digests of their keys, in lower-case hex.
     pub keys: BTreeMap<String, TeamId>,
-    /// Team of requests that bring no key, if such are served.
+    /// The team of requests without a key; `None` if such requests are rejected.
     pub anonymous: Option<TeamId>,
     /// Limits on all requests.
     pub limits: Limits,
-    /// Objectives that burn is measured against.
+    /// Service-level objectives by name, from which burn rates are computed.
     pub objectives: BTreeMap<String, Objective>,
 }
 
-/// A model that callers may ask for.
+/// A model that callers may request.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// Pool whose servers have it loaded.
+    /// The pool whose servers run the model.
     pub pool: PoolId,
-    /// Version that the engines are told to load.
+    /// The version that the engines are to load.
     pub version: String,
-    /// Name of the residency rule, if any.
+    /// The name of the residency rule, if any.
     pub residency: Option<String>,
 }
 
-/// A set of backend servers that can stand in for one another.
+/// A set of interchangeable backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Its servers.
+    /// The servers by name.
     pub servers: BTreeMap<ServerId, Server>,
-    /// Requests that may wait on one box.
+    /// Maximum number of queued requests on one box.
     pub queue_limit: usize,
-    /// Bytes of bodies that may wait on one box.
+    /// Maximum total size of the bodies of queued requests on one box, in bytes.
     pub queue_bytes: usize,
-    /// Share of a region's slots that other regions may use, 0 to 1.
+    /// The share of a region's slots that other regions may use, 0 to 1.
     pub lend_share: f64,
 }
 
 /// A backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Region.
+    /// The region.
     pub region: RegionId,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: String,
-    /// Address.
+    /// The address.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it refuses orders of an epoch before its newest.
+    /// Whether the server rejects orders with an epoch older than the newest one that it has seen.
     pub checks_epochs: bool,
-    /// Whether the operators take it out of service.
+    /// Whether the operators are taking the server out of service.
     pub leaving: bool,
 }
 
 /// A plain service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Calls that may not be repeated.
+    /// Calls that must be executed at most once.
     pub not_repeatable: Vec<Route>,
-    /// Name of the residency rule, if any.
+    /// The name of the residency rule, if any.
     pub residency: Option<String>,
 }
 
 impl Service {
-    /// Whether a call may be repeated.
+    /// Returns whether a call may be executed more than once.
     pub fn repeatable(&self, method: &str, path: &str) -> bool {
         !self.not_repeatable.iter().any(|route| route.matches(method, path))
     }
 }
 
-/// Calls of a service, by method and the beginning of the path.
+/// A set of calls to a service, by method and path prefix.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Method, or `*`.
+    /// The method, or `*` for all.
     pub method: String,
-    /// Beginning of the path.
+    /// The path prefix.
     pub path: String,
 }
 
@@ -151,33 +152,33 @@
     }
 }
 
-/// A group of callers under one set of keys and limits.
+/// A group of callers that share keys and limits.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Models it may use; `*` for all.
+    /// The models that the team may use; `*` for all.
     pub models: BTreeSet<String>,
-    /// Services it may use; `*` for all.
+    /// The services that the team may use; `*` for all.
     pub services: BTreeSet<String>,
-    /// Highest priority it may ask for.
+    /// The highest priority that the team may request.
     pub max_priority: Priority,
-    /// Requests a second over all boxes.
+    /// The rate limit over all boxes together, in requests per second.
     pub requests_per_second: f64,
-    /// Name of the residency rule, if any.
+    /// The name of the residency rule, if any.
     pub residency: Option<String>,
 }
 
 /// Limits on all requests.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Largest body, bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// Deadline where the request names none.
+    /// The timeout of requests that give none.
     pub default_timeout: Duration,
-    /// Longest deadline that a request may name.
+    /// The longest timeout that a request may give.
     pub max_timeout: Duration,
-    /// Longest silence of a stream.
+    /// The longest time that a stream may be idle.
     pub stream_idle: Duration,
-    /// Life of a ticket, and of the answer kept for it.
+    /// The TTL of a ticket, and of the response that is kept for it.
     pub ticket_life: Duration,
 }
 
@@ -193,19 +194,19 @@
     }
 }
 
-/// What share of requests should be answered how fast.
+/// A service-level objective: the share of requests that should be answered within a given time.
 #[derive(Clone, Debug)]
 pub struct Objective {
-    /// Pool whose requests count.
+    /// The pool whose requests are counted.
     pub pool: PoolId,
-    /// Share that should be good, 0 to 1.
+    /// The share of requests that should meet the objective, 0 to 1.
     pub target: f64,
-    /// Time to the first byte of a good request.
+    /// The time to the first byte within which a request meets the objective.
     pub first_byte: Duration,
 }
 
 impl Configuration {
-    /// Regions in which a request may run: those that every rule on it allows.
+    /// Returns the regions that may execute a request: those that all residency rules on it allow.
     pub fn allowed_regions(&self, team: &Team, target: Option<&String>) -> BTreeSet<RegionId> {
         let mut allowed: BTreeSet<RegionId> = self.regions.keys().cloned().collect();
         for rule in [team.residency.as_ref(), target].into_iter().flatten() {
--- a/lib/src/protocol/config/raw.rs
+++ b/lib/src/protocol/config/raw.rs
@@ -1,4 +1,4 @@
-//! What a configuration file says, before it is checked.
+//! The contents of a configuration file, before validation.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// Names of its failure domains.
+    /// The names of the region's failure domains.
     pub failure_domains: Vec<String>,
 }
 
@@ -38,12 +38,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Pool.
+    /// The pool.
     pub pool: String,
-    /// Version.
+    /// The version.
     #[serde(default)]
     pub version: String,
-    /// Residency rule.
+    /// The name of the residency rule.
     pub residency: Option<String>,
 }
 
@@ -51,13 +51,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Servers.
+    /// The servers by name.
     pub servers: BTreeMap<String, Server>,
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue_limit: Option<usize>,
-    /// Bytes that may wait.
+    /// Maximum total size of queued bodies, in bytes.
     pub queue_bytes: Option<usize>,
-    /// Share lent.
+    /// The share of slots that other regions may use.
     pub lend_share: Option<f64>,
 }
 
@@ -65,18 +65,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Region.
+    /// The region.
     pub region: String,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: String,
-    /// Address by IP number.
+    /// The address, with a numeric IP.
     pub address: String,
-    /// Requests at once.
+    /// The number of concurrent requests.
     pub slots: Option<u32>,
-    /// Whether it checks epochs.
+    /// Whether the server rejects orders with an old epoch.
     #[serde(default)]
     pub checks_epochs: bool,
-    /// Whether it leaves.
+    /// Whether the server is taken out of service.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -85,24 +85,24 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Servers.
+    /// The servers by name.
     pub servers: BTreeMap<String, Server>,
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue_limit: Option<usize>,
-    /// Calls that may not be repeated.
+    /// Calls that must be executed at most once.
     #[serde(default)]
     pub not_repeatable: Vec<Route>,
-    /// Residency rule.
+    /// The name of the residency rule.
     pub residency: Option<String>,
 }
 
-/// Calls of a service.
+/// A set of calls to a service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Method, or `*`.
+    /// The method, or `*` for all.
     pub method: String,
-    /// Beginning of the path.
+    /// The path prefix.
     pub path: String,
 }
 
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Residency {
-    /// Regions allowed.
+    /// The regions that the rule allows.
     pub regions: Vec<String>,
 }
 
@@ -118,23 +118,23 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// SHA-256 of each key, in hex.
+    /// The SHA-256 digest of each key, in hex.
     #[serde(default)]
     pub keys_sha256: Vec<String>,
     /// Whether requests without a key belong to this team.
     #[serde(default)]
     pub anonymous: bool,
-    /// Models.
+    /// The models that the team may use.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Services.
+    /// The services that the team may use.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Highest priority.
+    /// The highest priority that the team may request.
     pub max_priority: Option<String>,
-    /// Requests a second.
+    /// The rate limit, in requests per second.
     pub requests_per_second: Option<f64>,
-    /// Residency rule.
+    /// The name of the residency rule.
     pub residency: Option<String>,
 }
 
@@ -142,15 +142,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: Option<usize>,
-    /// Default deadline.
+    /// The default timeout.
     pub default_timeout_ms: Option<u64>,
-    /// Longest deadline.
+    /// The longest timeout that a request may give.
     pub max_timeout_ms: Option<u64>,
-    /// Longest silence of a stream.
+    /// The longest time that a stream may be idle.
     pub stream_idle_ms: Option<u64>,
-    /// Life of a ticket.
+    /// The TTL of a ticket.
     pub ticket_life_ms: Option<u64>,
 }
 
@@ -158,10 +158,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
-    /// Pool or service.
+    /// The pool or service.
     pub pool: String,
-    /// Share of good requests.
+    /// The share of requests that should meet the objective.
     pub target: f64,
-    /// Time to the first byte.
+    /// The time to the first byte.
     pub first_byte_ms: u64,
 }
--- a/lib/src/protocol/config/shape.rs
+++ b/lib/src/protocol/config/shape.rs
@@ -1,4 +1,4 @@
-//! The shape of a configuration file; also the source of its reference page.
+//! The schema of a configuration file. The reference page is generated from it.
 
 use crate::protocol::schema::Field;
 use crate::protocol::schema::Shape;
@@ -19,16 +19,24 @@
 ]);
 
 const SERVER: Shape = Shape::Object(&[
-    Field::required("region", Shape::String, "Region that the backend server stands in."),
-    Field::required("failure_domain", Shape::String, "Failure domain that it stands in."),
+    Field::required("region", Shape::String, "Region of the backend server."),
+    Field::required("failure_domain", Shape::String, "Failure domain of the backend server."),
     Field::required("address", Shape::String, "IP number and port, such as \"127.0.0.1:9000\"."),
-    Field::optional("slots", Shape::UnsignedInteger, "Requests it runs at once. Default: 8."),
+    Field::optional(
+        "slots",
+        Shape::UnsignedInteger,
+        "Maximum number of concurrent requests. Default: 8.",
+    ),
     Field::optional(
         "checks_epochs",
         Shape::Boolean,
-        "Whether it refuses orders of an old epoch. Default: false.",
+        "Whether it rejects orders with an old epoch. Default: false.",
+    ),
+    Field::optional(
+        "leaving",
+        Shape::Boolean,
+        "Whether to take it out of service. Default: false.",
     ),
-    Field::optional("leaving", Shape::Boolean, "Takes it out of service. Default: false."),
 ]);
 
 const POOL: Shape = Shape::Object(&[
@@ -36,12 +44,12 @@
     Field::optional(
         "queue_limit",
         Shape::UnsignedInteger,
-        "Requests that may wait on one box. Default: 256.",
+        "Maximum number of queued requests on one box. Default: 256.",
     ),
     Field::optional(
         "queue_bytes",
         Shape::UnsignedInteger,
-        "Bytes of bodies that may wait on one box. Default: 33554432.",
+        "Maximum total size of queued bodies on one box, bytes. Default: 33554432.",
     ),
     Field::optional(
         "lend_share",
@@ -52,7 +60,7 @@
 
 const ROUTE: Shape = Shape::Object(&[
     Field::required("method", Shape::String, "Method, or \"*\"."),
-    Field::required("path", Shape::String, "Beginning of the path, such as \"/filings\"."),
+    Field::required("path", Shape::String, "Path prefix, such as \"/filings\"."),
 ]);
 
 const SERVICE: Shape = Shape::Object(&[
@@ -60,12 +68,12 @@
     Field::optional(
         "queue_limit",
         Shape::UnsignedInteger,
-        "Requests that may wait on one box. Default: 256.",
+        "Maximum number of queued requests on one box. Default: 256.",
     ),
     Field::optional(
         "not_repeatable",
         Shape::List(&ROUTE),
-        "Calls that run at most once. Default: none.",
+        "Calls that must be executed at most once. Default: none.",
     ),
     Field::optional("residency", Shape::String, "Residency rule for every request to the service."),
 ]);
@@ -80,60 +88,68 @@
         Shape::Boolean,
         "Whether requests without a key belong to this team. Default: false.",
     ),
-    Field::optional("models", TEXTS, "Models it may use; \"*\" for all. Default: none."),
-    Field::optional("services", TEXTS, "Services it may use; \"*\" for all. Default: none."),
+    Field::optional("models", TEXTS, "Models that the team may use; \"*\" for all. Default: none."),
+    Field::optional(
+        "services",
+        TEXTS,
+        "Services that the team may use; \"*\" for all. Default: none.",
+    ),
     Field::optional(
         "max_priority",
         PRIORITY,
-        "Highest priority it may ask for. Default: \"normal\".",
+        "Highest priority that the team may request. Default: \"normal\".",
     ),
     Field::optional(
         "requests_per_second",
         Shape::Number,
-        "Limit over all boxes. Default: 1000000.",
+        "Rate limit over all boxes together. Default: 1000000.",
     ),
     Field::optional("residency", Shape::String, "Residency rule for every request of the team."),
 ]);
 
 const LIMITS: Shape = Shape::Object(&[
-    Field::optional("body_bytes", Shape::UnsignedInteger, "Largest body, bytes. Default: 1048576."),
+    Field::optional(
+        "body_bytes",
+        Shape::UnsignedInteger,
+        "Maximum body size, bytes. Default: 1048576.",
+    ),
     Field::optional(
         "default_timeout_ms",
         Shape::UnsignedInteger,
-        "Deadline where a request names none. Default: 60000.",
+        "Timeout of requests that give none. Default: 60000.",
     ),
     Field::optional(
         "max_timeout_ms",
         Shape::UnsignedInteger,
-        "Longest deadline a request may name. Default: 600000.",
+        "Maximum timeout that a request may give. Default: 600000.",
     ),
     Field::optional(
         "stream_idle_ms",
         Shape::UnsignedInteger,
-        "Longest silence of an answer. Default: 30000.",
+        "Maximum time without data in a response. Default: 30000.",
     ),
     Field::optional(
         "ticket_life_ms",
         Shape::UnsignedInteger,
-        "Life of a ticket and of the answer kept for it. Default: 900000.",
+        "Time to live of a ticket and of the response kept for it. Default: 900000.",
     ),
 ]);
 
 const OBJECTIVE: Shape = Shape::Object(&[
-    Field::required("pool", Shape::String, "Pool or service whose requests count."),
+    Field::required("pool", Shape::String, "Pool or service whose requests are counted."),
     Field::required(
         "target",
         Shape::Number,
-        "Share of requests that should be good, such as 0.95.",
+        "Share of requests that should meet the objective, such as 0.95.",
     ),
     Field::required(
         "first_byte_ms",
         Shape::UnsignedInteger,
-        "Time to the first byte of a good request.",
+        "Maximum time to the first byte of a request that meets the objective.",
     ),
 ]);
 
-/// The shape of a configuration file.
+/// The schema of a configuration file.
 pub const FILE: Shape = Shape::Object(&[
     Field::optional("regions", Shape::Map(&REGION), "Regions by name."),
     Field::optional("models", Shape::Map(&MODEL), "Models by the name that callers use."),
--- a/lib/src/protocol/events.rs
+++ b/lib/src/protocol/events.rs
@@ -1,46 +1,47 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a byte stream of server-sent events into complete events.
 //!
-//! A backend server may break off inside an event. Only whole events are
-//! passed on, so what a caller has is always known by the last id.
+//! A backend server may break off in the middle of an event. Only complete events are passed on, so
+//! the ID of the last event tells exactly what a caller has received.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Bytes of a stream whose last event may be incomplete.
+/// A splitter that buffers the incomplete event at the end of a stream.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    incomplete: BytesMut,
     last_id: Option<u64>,
 }
 
 impl Splitter {
-    /// Adds bytes; gives the whole events that are there now, in one piece.
+    /// Adds bytes and returns all events that are now complete as one buffer.
     pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
-        // The usual case: whole events arrive together and need no copy.
-        if self.rest.is_empty() && bytes.ends_with(b"\n\n") {
+        // Common case: complete events arrive together and need no copy.
+        if self.incomplete.is_empty() && bytes.ends_with(b"\n\n") {
             self.read_ids(&bytes);
             return Some(bytes);
         }
-        self.rest.extend_from_slice(&bytes);
-        let end = self.rest.windows(2).rposition(|pair| pair == b"\n\n")? + 2;
-        let whole = self.rest.split_to(end).freeze();
-        self.read_ids(&whole);
-        Some(whole)
+        self.incomplete.extend_from_slice(&bytes);
+        let end = self.incomplete.windows(2).rposition(|pair| pair == b"\n\n")? + 2;
+        let complete = self.incomplete.split_to(end).freeze();
+        self.read_ids(&complete);
+        Some(complete)
     }
 
-    /// Id of the last whole event.
+    /// Returns the ID of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether the stream stands between two events.
+    /// Returns whether no incomplete event is buffered.
     pub fn is_at_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.incomplete.is_empty()
     }
 
-    /// Forgets an incomplete event, to go on with another stream.
+    /// Discards an incomplete event, so that another stream can be continued from the last complete
+    /// one.
     pub fn discard_incomplete(&mut self) {
-        self.rest.clear();
+        self.incomplete.clear();
     }
 
     fn read_ids(&mut self, events: &[u8]) {
--- a/lib/src/protocol/fleet.rs
+++ b/lib/src/protocol/fleet.rs
@@ -1,4 +1,4 @@
-//! Who there is: backend servers and boxes, as the platform's store tells.
+//! The inventory of the fleet: backend servers and boxes as registered in the platform's store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,47 +13,47 @@
 use super::ServerId;
 use super::routing::ServiceId;
 
-/// Name of a failure domain.
+/// The name of a failure domain.
 pub type FailureDomainId = String;
 
-/// What a backend server says of itself.
+/// The registration of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Server {
-    /// Name; a server may start again under the one that it had.
+    /// The name. A restarted server may reuse the name that it had.
     pub id: ServerId,
-    /// When it started, if it says so; tells lives of one name apart.
-    pub born: Option<SystemTime>,
-    /// Service that it belongs to.
+    /// The start time, if the server reports it. It distinguishes restarts under one name.
+    pub started_at: Option<SystemTime>,
+    /// The service that the server belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: FailureDomainId,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it is to get no more work.
+    /// Whether the server must get no new requests.
     pub leaving: bool,
-    /// How much longer it is cold, from when this was written.
+    /// How long the server remains cold, counted from when the registration was written.
     pub cold_left: Duration,
 }
 
-/// What a box says of itself.
+/// The registration of a box.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BoxRecord {
-    /// Name.
+    /// The name.
     pub name: BoxId,
-    /// Drawn anew at each start.
+    /// A random number, drawn at each start.
     pub incarnation: Incarnation,
-    /// Region.
+    /// The region.
     pub region: RegionId,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: FailureDomainId,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where other boxes reach it.
+    /// The address for other boxes.
     pub peers: SocketAddr,
-    /// Whether callers should no longer be sent there.
+    /// Whether callers should no longer be sent to the box.
     pub leaving: bool,
-    /// What it can bear, against other boxes; processor share.
+    /// The relative capacity of the box: its share of the processor.
     pub weight: f64,
 }
--- a/lib/src/protocol/jsonc.rs
+++ b/lib/src/protocol/jsonc.rs
@@ -1,7 +1,7 @@
-//! JSON with comments, with the place of every value.
+//! JSON with comments, with the position of every value.
 //!
-//! Parsing is the library's. This module adds what a good error needs: from
-//! the path of a value to its line and column.
+//! The parser is that of a library. This module maps the path of a value to its line and column,
+//! for error messages.
 
 use std::fmt;
 
@@ -10,20 +10,20 @@
 use jsonc_parser::ast;
 use jsonc_parser::common::Ranged;
 
-/// One thing wrong with a file.
+/// One problem in a file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
-    /// File name as the user gave it.
+    /// The file name as given by the user.
     pub file: String,
-    /// Line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
-    /// Path of the value, such as `pools.logs.servers`; empty for the file.
+    /// The path of the value, such as `pools.logs.servers`; empty for the whole file.
     pub path: String,
     /// What is wrong and what was expected.
     pub message: String,
-    /// What to do about it.
+    /// How to fix it.
     pub hint: Option<String>,
 }
 
@@ -41,14 +41,14 @@
     }
 }
 
-/// All that is wrong with a set of files.
+/// All problems in a set of files.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct Problems(pub Vec<Problem>);
 
 /// A parsed file.
 pub struct Document<'a> {
-    /// File name as the user gave it.
+    /// The file name as given by the user.
     pub file: &'a str,
     text: &'a str,
     root: ast::Value<'a>,
@@ -81,17 +81,17 @@
         })
     }
 
-    /// The root value.
+    /// Returns the root value.
     pub fn root(&self) -> &ast::Value<'a> {
         &self.root
     }
 
-    /// The file as plain JSON.
+    /// Returns the file as plain JSON.
     pub fn to_json(&self) -> serde_json::Value {
         self.root.clone().into()
     }
 
-    /// A problem at a value of the tree.
+    /// Creates a problem for the value that starts at an offset.
     pub fn problem_at(
         &self,
         start: usize,
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A problem at a path; where the path is absent, at its nearest ancestor.
+    /// Creates a problem for the value at a path. If the path does not exist, the position is that
+    /// of its closest existing ancestor.
     pub fn problem(
         &self,
         path: &[&str],
@@ -118,8 +119,8 @@
         hint: Option<String>,
     ) -> Problem {
         let mut value = &self.root;
-        for part in path {
-            match child(value, part) {
+        for segment in path {
+            match child(value, segment) {
                 Some(next) => value = next,
                 None => break,
             }
@@ -128,10 +129,10 @@
     }
 }
 
-fn child<'a, 'b>(value: &'b ast::Value<'a>, part: &str) -> Option<&'b ast::Value<'a>> {
+fn child<'a, 'b>(value: &'b ast::Value<'a>, segment: &str) -> Option<&'b ast::Value<'a>> {
     match value {
-        ast::Value::Object(object) => object.get(part).map(|property| &property.value),
-        ast::Value::Array(array) => array.elements.get(part.parse::<usize>().ok()?),
+        ast::Value::Object(object) => object.get(segment).map(|property| &property.value),
+        ast::Value::Array(array) => array.elements.get(segment.parse::<usize>().ok()?),
         _ => None,
     }
 }
--- a/lib/src/protocol/mod.rs
+++ b/lib/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What is said on the wire and in files: codecs and checked types.
+//! Wire messages and file formats: codecs and validated types.
 
 pub mod adapter;
 pub mod caller;
@@ -15,26 +15,26 @@
 pub mod settings;
 pub mod team;
 
-/// Name of a box.
+/// The name of a box.
 pub type BoxId = String;
-/// Name of a region.
+/// The name of a region.
 pub type RegionId = String;
-/// Name of a backend server.
+/// The name of a backend server.
 pub type ServerId = String;
-/// Name of a pool of backend servers. A plain service is its own pool.
+/// The name of a pool of backend servers. A plain service is its own pool.
 pub type PoolId = String;
-/// Name of a team.
+/// The name of a team.
 pub type TeamId = String;
-/// Random number that a box draws at each start.
+/// A random number that a box draws at each start. It distinguishes restarts of one box.
 pub type Incarnation = u64;
-/// Version of the configuration; grows by one with each applied file.
+/// The version of the configuration. Each applied change increments it.
 pub type Version = u64;
 
-/// Hash that stands for a name on the wire between boxes. The configuration's
-/// check refuses two names of a kind with the same one.
+/// The hash that represents a name in messages between boxes. The configuration check rejects two
+/// names of one kind with equal hashes.
 pub type NameHash = u32;
 
-/// The hash of a name.
+/// Returns the hash of a name.
 pub fn name_hash(name: &str) -> NameHash {
     rapidhash::v3::rapidhash_v3(name.as_bytes()) as NameHash
 }
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -1,9 +1,8 @@
 //! Messages between boxes.
 //!
-//! [`wire`] is made from `proto/peer.proto` and committed, so that the build
-//! needs no generator (`docs/design/peer-protocol.md` says how to make it
-//! again). The checked types are here; what comes from the wire passes through
-//! their `TryFrom`.
+//! [`wire`] is generated from `proto/peer.proto` and committed, so that the build needs no code
+//! generator (`docs/design/peer-protocol.md` says how to regenerate it). The validated types are in
+//! this module; messages from the network are converted by their `TryFrom`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,118 +20,122 @@
     include!("generated/peer.rs");
 }
 
-/// Most members in one heartbeat.
+/// Maximum number of member records in one heartbeat.
 pub const MAX_MEMBERS: usize = 64;
-/// Most counters in one heartbeat.
+/// Maximum number of heartbeat counters in one heartbeat.
 pub const MAX_BEATS: usize = 512;
-/// Most server reports in one heartbeat.
+/// Maximum number of server reports in one heartbeat.
 pub const MAX_REPORTS: usize = 128;
-/// Oldest report that is taken in.
+/// Maximum age of a report that is accepted.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
-/// Longest name on the wire, bytes.
-pub const MAX_NAME: usize = 128;
-/// Header of the shared secret on every call between boxes.
+/// Maximum length of a name in a message.
+pub const MAX_NAME_BYTES: usize = 128;
+/// The header with the shared secret, sent on every call between boxes.
 pub const SECRET_HEADER: &str = "copperweir-peer-secret";
 
-/// What a box is doing.
+/// The lifecycle phase of a box.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// No configuration yet.
+    /// The box has no configuration yet.
     Starting,
-    /// Takes requests.
+    /// The box accepts requests.
     Serving,
-    /// Finishes what it has.
+    /// The box completes its requests before it stops.
     Leaving,
-    /// Does not answer calls, as somebody else found.
+    /// The box does not respond to calls, as another box found.
     Dead,
 }
 
-/// What a box says of itself.
+/// The membership record of a box.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Name.
+    /// The name.
     pub name: BoxId,
-    /// Region.
+    /// The region.
     pub region: RegionId,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where boxes reach it.
+    /// The address for other boxes.
     pub peer_address: SocketAddr,
-    /// Drawn at its start.
+    /// A random number, drawn at the start of the box.
     pub incarnation: Incarnation,
-    /// Grows by one with each of its heartbeats.
+    /// The heartbeat counter of the box, which each of its heartbeats increments.
     pub beat: u32,
-    /// Phase.
+    /// The phase.
     pub phase: Phase,
-    /// Configuration in force on it.
+    /// The version of the configuration in force on the box.
     pub version: Version,
-    /// Requests in progress on it.
+    /// The number of requests in progress on the box.
     pub in_flight: u32,
-    /// Boxes that it knows in its region, itself among them.
+    /// The number of boxes that it knows in its region, including itself.
     pub region_boxes: u32,
 }
 
 impl Member {
-    /// Stands for the member and its incarnation in [`Beat`]s.
+    /// Returns the ID that stands for the member and its incarnation in [`Beat`]s.
     pub fn id(&self) -> MemberId {
         name_hash(&format!("{}/{}", self.name, self.incarnation))
     }
 }
 
-/// Hash of a member's name and incarnation.
+/// The hash of a member's name and incarnation.
 pub type MemberId = NameHash;
 
-/// Word that a member was alive when its counter stood there.
+/// The heartbeat counter of a member: evidence that the member was alive when the counter had this
+/// value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Beat {
-    /// Member.
+    /// The member.
     pub member: MemberId,
-    /// Its counter.
+    /// The member's heartbeat counter.
     pub beat: u32,
 }
 
-/// What is known of a backend server's load.
+/// A report on the load and state of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerReport {
-    /// Server.
+    /// The hash of the server's name.
     pub server: NameHash,
-    /// Requests on it, its queue included.
+    /// The number of requests on the server, including those in its queue.
     pub load: u32,
-    /// Whether it answered.
+    /// Whether the server responded.
     pub reachable: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// Whether this is word of the platform's list, which says nothing of load.
+    /// Whether the report comes from the platform's list, which contains no load.
     pub listed: bool,
-    /// Age when sent.
+    /// The age of the report when it was sent.
     pub age: Duration,
 }
 
-/// A message that is not what it should be.
+/// An error for a malformed message; names the field.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("peer message: field {0} is missing or malformed")]
-pub struct Malformed(pub &'static str);
+pub struct MalformedField(pub &'static str);
 
-fn name(text: String, field: &'static str) -> Result<String, Malformed> {
-    if text.is_empty() || text.len() > MAX_NAME {
-        return Err(Malformed(field));
+fn parse_name(text: String, field: &'static str) -> Result<String, MalformedField> {
+    if text.is_empty() || text.len() > MAX_NAME_BYTES {
+        return Err(MalformedField(field));
     }
     Ok(text)
 }
 
 impl TryFrom<wire::Member> for Member {
-    type Error = Malformed;
+    type Error = MalformedField;
 
-    fn try_from(raw: wire::Member) -> Result<Member, Malformed> {
+    fn try_from(raw: wire::Member) -> Result<Member, MalformedField> {
         Ok(Member {
-            phase: phase(raw.phase()),
-            name: name(raw.name, "name")?,
-            region: name(raw.region, "region")?,
-            failure_domain: name(raw.failure_domain, "failure_domain")?,
-            caller_address: raw.caller_address.parse().map_err(|_| Malformed("caller_address"))?,
-            peer_address: raw.peer_address.parse().map_err(|_| Malformed("peer_address"))?,
+            phase: parse_phase(raw.phase()),
+            name: parse_name(raw.name, "name")?,
+            region: parse_name(raw.region, "region")?,
+            failure_domain: parse_name(raw.failure_domain, "failure_domain")?,
+            caller_address: raw
+                .caller_address
+                .parse()
+                .map_err(|_| MalformedField("caller_address"))?,
+            peer_address: raw.peer_address.parse().map_err(|_| MalformedField("peer_address"))?,
             incarnation: raw.incarnation,
             beat: raw.beat,
             version: raw.configuration_version,
@@ -142,7 +145,7 @@
     }
 }
 
-fn phase(raw: wire::Phase) -> Phase {
+fn parse_phase(raw: wire::Phase) -> Phase {
     match raw {
         wire::Phase::Starting => Phase::Starting,
         wire::Phase::Serving => Phase::Serving,
@@ -175,32 +178,34 @@
     }
 }
 
-const REACHABLE: u32 = 1;
-const LEAVING: u32 = 2;
-const LISTED: u32 = 4;
+const FLAG_REACHABLE: u32 = 1;
+const FLAG_LEAVING: u32 = 2;
+const FLAG_LISTED: u32 = 4;
 
-fn reports(raw: &wire::ServerReports) -> Result<Vec<ServerReport>, Malformed> {
+fn parse_reports(raw: &wire::ServerReports) -> Result<Vec<ServerReport>, MalformedField> {
     let rows = raw.server.len();
     let columns = [raw.load.len(), raw.flags.len(), raw.age_ms.len()];
     if rows > MAX_REPORTS || columns.iter().any(|column| *column != rows) {
-        return Err(Malformed("servers"));
+        return Err(MalformedField("servers"));
     }
     let report = |row: usize| ServerReport {
         server: raw.server[row],
         load: raw.load[row],
-        reachable: raw.flags[row] & REACHABLE != 0,
-        leaving: raw.flags[row] & LEAVING != 0,
-        listed: raw.flags[row] & LISTED != 0,
+        reachable: raw.flags[row] & FLAG_REACHABLE != 0,
+        leaving: raw.flags[row] & FLAG_LEAVING != 0,
+        listed: raw.flags[row] & FLAG_LISTED != 0,
         age: Duration::from_millis(raw.age_ms[row].into()),
     };
     let reports = (0..rows).map(report);
     Ok(reports.filter(|report| report.age <= MAX_REPORT_AGE).collect())
 }
 
-fn wire_reports(reports: &[ServerReport]) -> wire::ServerReports {
+fn encode_reports(reports: &[ServerReport]) -> wire::ServerReports {
     let flags = |report: &ServerReport| {
         let set = |flag: u32, on: bool| if on { flag } else { 0 };
-        set(REACHABLE, report.reachable) | set(LEAVING, report.leaving) | set(LISTED, report.listed)
+        set(FLAG_REACHABLE, report.reachable)
+            | set(FLAG_LEAVING, report.leaving)
+            | set(FLAG_LISTED, report.listed)
     };
     let age = |report: &ServerReport| report.age.as_millis().try_into().unwrap_or(u32::MAX);
     wire::ServerReports {
@@ -211,38 +216,38 @@
     }
 }
 
-fn beats(raw: Option<wire::Beats>) -> Result<Vec<Beat>, Malformed> {
+fn parse_beats(raw: Option<wire::Beats>) -> Result<Vec<Beat>, MalformedField> {
     let raw = raw.unwrap_or_default();
     if raw.member.len() > MAX_BEATS || raw.member.len() != raw.beat.len() {
-        return Err(Malformed("beats"));
+        return Err(MalformedField("beats"));
     }
     let beats = raw.member.into_iter().zip(raw.beat);
     Ok(beats.map(|(member, beat)| Beat { member, beat }).collect())
 }
 
-fn wire_beats(beats: &[Beat]) -> Option<wire::Beats> {
+fn encode_beats(beats: &[Beat]) -> Option<wire::Beats> {
     (!beats.is_empty()).then(|| wire::Beats {
         member: beats.iter().map(|beat| beat.member).collect(),
         beat: beats.iter().map(|beat| beat.beat).collect(),
     })
 }
 
-fn demands(raw: Option<wire::Demands>) -> Result<Vec<Demand>, Malformed> {
+fn parse_demands(raw: Option<wire::Demands>) -> Result<Vec<Demand>, MalformedField> {
     let raw = raw.unwrap_or_default();
     let rows = raw.team.len();
     if rows > MAX_REPORTS || rows != raw.requests_per_minute.len() {
-        return Err(Malformed("demands"));
+        return Err(MalformedField("demands"));
     }
     let demands = raw.team.into_iter().zip(raw.requests_per_minute);
     Ok(demands.map(|(team, requests_per_minute)| Demand { team, requests_per_minute }).collect())
 }
 
-/// A checked heartbeat.
+/// A validated heartbeat.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
-    /// Who sent it.
+    /// The sender.
     pub sender: Member,
-    /// Records that the receiver may not have.
+    /// Member records that the receiver may not have.
     pub members: Vec<Member>,
     /// Live members of the sender's region.
     pub same_region: Vec<Beat>,
@@ -250,53 +255,53 @@
     pub other_regions: Vec<Beat>,
     /// Members whose records the sender lacks.
     pub requested: Vec<MemberId>,
-    /// Load of backend servers in the sender's region.
+    /// Reports on backend servers of the sender's region.
     pub reports: Vec<ServerReport>,
-    /// Slots lent to the receiver's region.
+    /// Slots that are lent to the receiver's region.
     pub credits: Vec<Credit>,
-    /// The sender's demand by team.
+    /// The demand of each team on the sender.
     pub demands: Vec<Demand>,
 }
 
-/// Slots of a pool that one region lends to another for a while.
+/// Slots of a pool that one region lends to another for a limited time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Credit {
-    /// Pool.
+    /// The name of the pool.
     pub pool: String,
-    /// Slots.
+    /// The number of slots.
     pub slots: u32,
-    /// How long they hold.
+    /// How long the slots may be used.
     pub ttl: Duration,
 }
 
-/// Requests of a team on one box.
+/// The request rate of a team on one box.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Demand {
-    /// Team.
+    /// The hash of the team's name.
     pub team: NameHash,
-    /// Requests a minute.
+    /// Requests per minute.
     pub requests_per_minute: u32,
 }
 
 impl TryFrom<wire::Heartbeat> for Heartbeat {
-    type Error = Malformed;
+    type Error = MalformedField;
 
-    fn try_from(raw: wire::Heartbeat) -> Result<Heartbeat, Malformed> {
+    fn try_from(raw: wire::Heartbeat) -> Result<Heartbeat, MalformedField> {
         if raw.members.len() > MAX_MEMBERS {
-            return Err(Malformed("members"));
+            return Err(MalformedField("members"));
         }
         if raw.wanted.len() > MAX_BEATS {
-            return Err(Malformed("wanted"));
+            return Err(MalformedField("wanted"));
         }
         Ok(Heartbeat {
-            sender: raw.sender.ok_or(Malformed("sender"))?.try_into()?,
+            sender: raw.sender.ok_or(MalformedField("sender"))?.try_into()?,
             members: raw.members.into_iter().map(Member::try_from).collect::<Result<_, _>>()?,
-            same_region: beats(raw.near)?,
-            other_regions: beats(raw.far)?,
+            same_region: parse_beats(raw.near)?,
+            other_regions: parse_beats(raw.far)?,
             requested: raw.wanted,
-            reports: reports(&raw.servers.unwrap_or_default())?,
+            reports: parse_reports(&raw.servers.unwrap_or_default())?,
             credits: raw.credits.into_iter().take(MAX_REPORTS).map(Credit::from).collect(),
-            demands: demands(raw.demands)?,
+            demands: parse_demands(raw.demands)?,
         })
     }
 }
@@ -307,10 +312,10 @@
         wire::Heartbeat {
             sender: Some((&heartbeat.sender).into()),
             members: heartbeat.members.iter().map(Into::into).collect(),
-            near: wire_beats(&heartbeat.same_region),
-            far: wire_beats(&heartbeat.other_regions),
+            near: encode_beats(&heartbeat.same_region),
+            far: encode_beats(&heartbeat.other_regions),
             wanted: heartbeat.requested.clone(),
-            servers: (!heartbeat.reports.is_empty()).then(|| wire_reports(&heartbeat.reports)),
+            servers: (!heartbeat.reports.is_empty()).then(|| encode_reports(&heartbeat.reports)),
             credits: heartbeat.credits.iter().map(Into::into).collect(),
             demands: (!demands.is_empty()).then(|| wire::Demands {
                 team: demands.iter().map(|demand| demand.team).collect(),
--- a/lib/src/protocol/platform.rs
+++ b/lib/src/protocol/platform.rs
@@ -1,8 +1,8 @@
-//! What the platform offers: a key-value store, a directory and a list of boxes.
+//! The services of the platform: a key-value store, a directory and a list of boxes.
 //!
-//! Each is one small trait, so that another platform costs one adapter. The
-//! JSON bodies here are those of the HTTP adapter in
-//! [`transport::platform`](crate::transport::platform) and of the stand-in.
+//! Each service is one small trait, so that supporting another platform takes one adapter. The JSON
+//! bodies here are those of the HTTP adapter in [`transport::platform`](crate::transport::platform)
+//! and of the stand-in platform for tests.
 
 use std::fmt;
 use std::future::Future;
@@ -11,18 +11,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Revision of a key; grows with each write. 0 stands for "absent".
+/// The revision of a key; increases with each write. 0 means that the key is absent.
 pub type Revision = u64;
-/// Number of the store's history. It rises when the store comes back from an older copy and gives
-/// revisions out again; 0 for a store that does not tell it.
+/// The number of the store's history. It increases when the store is restored from an older copy
+/// and assigns revisions again. 0 for a store that does not report it.
 pub type Era = u64;
 
-/// A place in the history of a store. All of a later era is newer than all of an earlier one.
+/// A position in the history of a store. Every position of a later era is newer than every position
+/// of an earlier one.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Position {
-    /// Number of the history.
+    /// The number of the history.
     pub era: Era,
-    /// Revision in that history.
+    /// The revision in that history.
     pub revision: Revision,
 }
 
@@ -32,42 +33,42 @@
     }
 }
 
-/// Id of a lease in the store.
+/// The ID of a lease in the store.
 pub type LeaseId = u64;
 
-/// A stored value.
+/// A stored key with its value.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// Key.
+    /// The key.
     pub key: String,
-    /// Value; text, since all we store is.
+    /// The value; always text.
     pub value: String,
-    /// Revision of its last write.
+    /// The revision of its last write.
     pub revision: Revision,
 }
 
-/// Why a call to the platform failed.
+/// The reason for which a call to the platform failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PlatformError {
     /// The call certainly had no effect.
     #[error("the platform cannot be reached: {0}")]
     Unreachable(String),
-    /// Refused for now: too many calls.
+    /// The platform rejected the call because it got too many calls.
     #[error("the platform limits our calls")]
-    Limited,
-    /// No usable answer; the call may have taken effect.
+    RateLimited,
+    /// No usable response; the call may have taken effect.
     #[error("no answer from the platform: {0}")]
-    Lost(String),
+    NoResponse(String),
     /// Another write came first.
     #[error("the key is at revision {0}")]
     Conflict(Revision),
-    /// The lease is over.
+    /// The lease has expired.
     #[error("the lease is over")]
-    LeaseOver,
-    /// The store no longer knows the changes after that revision.
+    LeaseExpired,
+    /// The store no longer has the changes after that revision.
     #[error("the store has forgotten its history")]
-    HistoryGone,
-    /// The platform's answer makes no sense.
+    HistoryCompacted,
+    /// The platform's response cannot be decoded.
     #[error("the platform's answer cannot be read: {0}")]
     Malformed(String),
 }
@@ -75,14 +76,14 @@
 /// A write of one key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Put {
-    /// Value.
+    /// The value.
     pub value: String,
-    /// Revision that the key must have now.
+    /// The revision that the key must have before the write.
     pub expect: Revision,
-    /// Lease that the key lives by.
+    /// The lease that the key is bound to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<LeaseId>,
-    /// Life of the key, milliseconds.
+    /// The TTL of the key, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub life_ms: Option<u64>,
 }
@@ -92,14 +93,14 @@
     /// Reads a key; `None` if absent.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>, PlatformError>> + Send;
 
-    /// Writes a key if its revision is as expected; gives the new revision.
+    /// Writes a key if its revision is as expected. Returns the new revision.
     fn put(
         &self,
         key: &str,
         put: Put,
     ) -> impl Future<Output = Result<Revision, PlatformError>> + Send;
 
-    /// Waits until the key has a revision over `after`, or `wait` has passed.
+    /// Waits until the revision of the key exceeds `after`, or until `wait` has passed.
     fn watch(
         &self,
         key: &str,
@@ -107,66 +108,66 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Option<Entry>, PlatformError>> + Send;
 
-    /// Takes out a lease.
-    fn grant(&self, life: Duration) -> impl Future<Output = Result<LeaseId, PlatformError>> + Send;
+    /// Grants a lease.
+    fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, PlatformError>> + Send;
 
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), PlatformError>> + Send;
 }
 
-/// What the directory says to clients of a box.
+/// The directory's entry of a box, which clients read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DirectoryEntry {
-    /// Box.
+    /// The name of the box.
     pub name: String,
-    /// Region.
+    /// The region.
     pub region: String,
-    /// Failure domain.
+    /// The failure domain.
     pub failure_domain: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: String,
-    /// Where boxes reach it.
+    /// The address for other boxes.
     pub peers: String,
-    /// Whether it is leaving.
+    /// Whether the box is leaving.
     pub leaving: bool,
 }
 
-/// The directory that clients ask for a first box.
+/// The directory in which clients find a first box.
 pub trait Directory: Send + Sync + 'static {
-    /// Announces a box for `life`.
+    /// Registers a box for the duration `ttl`.
     fn announce(
         &self,
         listing: &DirectoryEntry,
-        life: Duration,
+        ttl: Duration,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 }
 
-/// State of a box in the platform's list.
+/// The state of a box in the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BoxListState {
-    /// Running.
+    /// The box is running.
     Live,
-    /// To be stopped soon.
+    /// The box will be stopped soon.
     Leaving,
 }
 
-/// A row of the platform's list: an entry box of ours or one that carries backend servers.
+/// An entry of the platform's list: either one of our boxes, or a box that runs backend servers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxListEntry {
-    /// Name of the box or of the backend server on it.
+    /// The name of the box or of the backend server on it.
     pub name: String,
-    /// State; lags behind.
+    /// The state, which lags behind.
     pub state: BoxListState,
-    /// Peer address, for entry boxes.
+    /// The peer address, if this is one of our boxes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<String>,
-    /// Region, for entry boxes.
+    /// The region, if this is one of our boxes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<String>,
 }
 
-/// The lagging list of boxes.
+/// The platform's list of boxes, which lags behind the actual state.
 pub trait BoxList: Send + Sync + 'static {
     /// Reads the list.
     fn list(&self) -> impl Future<Output = Result<Vec<BoxListEntry>, PlatformError>> + Send;
--- a/lib/src/protocol/retry_after.rs
+++ b/lib/src/protocol/retry_after.rs
@@ -1,12 +1,13 @@
-//! Times after which a request may come again.
+//! Parsing of `Retry-After` delays.
 
 use std::time::Duration;
 
 use http::HeaderMap;
 use http::header;
 
-/// Reads seconds, with a fraction or without. A date, a time that is over and what is no number say nothing; a time that
-/// no clock can hold counts as the longest one.
+/// Parses a number of seconds, with or without a fraction. A date, a number that is not positive
+/// and any other text give `None`. A delay too long for a [`Duration`] is capped at
+/// [`Duration::MAX`].
 pub fn parse(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     if seconds.is_nan() || seconds <= 0.0 {
@@ -15,7 +16,7 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// The time that an answer names.
-pub fn read(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the delay in the `Retry-After` header of a response.
+pub fn from_headers(headers: &HeaderMap) -> Option<Duration> {
     parse(headers.get(header::RETRY_AFTER)?.to_str().ok()?)
 }
--- a/lib/src/protocol/routing.rs
+++ b/lib/src/protocol/routing.rs
@@ -1,5 +1,5 @@
-//! Which requests are taken, what may be done with them, and which service
-//! runs them. A [`Routing`] is one version of the whole, never changed in place.
+//! The routing table: which requests are accepted, how they may be executed, and which service
+//! executes them. A [`Routing`] is one immutable version of the whole table.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,51 +9,51 @@
 use super::Version;
 use super::team::Teams;
 
-/// Name of a service: a set of equal backend servers.
+/// The name of a service: a set of interchangeable backend servers.
 pub type ServiceId = String;
 
-/// What may be done with a request.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeatability {
-    /// Running it twice does no harm.
+    /// Any number of times; the request is idempotent.
     Safe,
-    /// It may run at most once.
+    /// At most once.
     Once,
-    /// At most once, unless the route can be resumed; its answer is a stream of events.
+    /// At most once, unless the route is resumable. The response is a stream of events.
     Stream,
 }
 
-/// One row of the table of routes.
+/// A route: one row of the routing table.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name, for logs.
+    /// The name, for logs.
     pub name: String,
-    /// Value of the `Host` header.
+    /// The value of the `Host` header.
     pub host: String,
-    /// Beginning of the path.
+    /// The path prefix.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// How often its requests may be executed.
     pub repeatability: Repeatability,
-    /// Longest time that a request is held.
+    /// The longest time that a request may take.
     pub timeout: Duration,
-    /// Latency objective: to the whole answer, or to the first event of a stream.
+    /// The latency objective: time to the complete response, or to the first event of a stream.
     pub latency_objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights; never empty.
+    /// The services with their weights; never empty.
     pub services: Vec<(ServiceId, u32)>,
-    /// Most backend servers that one request is sent to.
+    /// The maximum number of backend servers that one request is sent to.
     pub max_attempts: usize,
-    /// Whether a stream may go on at another backend server after its last event.
+    /// Whether a broken stream may be continued on another backend server, after its last event.
     pub resumable: bool,
-    /// Regions that may run it; empty means all.
+    /// The regions that may execute its requests; empty for all regions.
     pub home_regions: Vec<RegionId>,
-    /// Whether a request needs no key.
+    /// Whether requests need no API key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// Whether a second run does no harm.
+    /// Returns whether a request may be executed more than once.
     pub fn repeatable(&self) -> bool {
         match self.repeatability {
             Repeatability::Safe => true,
@@ -62,54 +62,57 @@
         }
     }
 
-    /// Whether a region may run it.
+    /// Returns whether a region may execute the route's requests.
     pub fn allows(&self, region: &str) -> bool {
         self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 
-    /// The service for a request; `point` picks evenly among the weights.
+    /// Returns the service for a request. `point` is mapped to the services in proportion to their
+    /// weights.
     pub fn pick_service(&self, point: u64) -> Option<&ServiceId> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut rest = point % total.max(1);
+        let mut remaining = point % total.max(1);
         for (service, weight) in &self.services {
             let weight = u64::from(*weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            rest -= weight;
+            remaining -= weight;
         }
         self.services.first().map(|(service, _)| service)
     }
 }
 
-/// What is known of a service beside its servers.
+/// The properties of a service, apart from its servers.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// Connections that a server takes from all callers together.
+    /// The maximum number of connections to one server, from all callers together.
     pub max_connections: usize,
-    /// How long a server stays cold after its start.
+    /// How long a server is cold after its start.
     pub cold_time: Duration,
-    /// Where a server says how it is; `None` if it does not.
+    /// The path of the server's health check; `None` if it has none.
     pub health_path: Option<String>,
-    /// Requests a second that a cold server bears; 0 means that none turns cold.
+    /// The request rate, per second, that a cold server can take. 0 means that servers of this
+    /// service have no cold phase.
     pub warmup_rate: f64,
-    /// Tokens that a server's memory holds; `None` for services that are no model engines.
+    /// The number of tokens that fit into a server's KV cache; `None` for services that are not
+    /// model engines.
     pub kv_cache_tokens: Option<u64>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest head of a request, bytes.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// Largest body, bytes.
+    /// Maximum size of a body.
     pub body_bytes: usize,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// What holds before the first configuration is known.
+    /// The limits that apply before the first configuration is known.
     fn default() -> Limits {
         Limits {
             header_bytes: 16 << 10,
@@ -122,49 +125,49 @@
 /// One version of routes, services and limits.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
-    /// Version; only ever rises in one life of a process.
+    /// The version. It never decreases while a process runs.
     pub version: Version,
-    /// Services by name.
+    /// The services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Bounds on callers.
+    /// The limits on requests.
     pub limits: Limits,
-    /// Teams; `None` if nobody needs a key.
+    /// The teams; `None` if requests need no key at all.
     pub teams: Option<Teams>,
-    hosts: HashMap<String, Vec<std::sync::Arc<Route>>>,
+    routes_by_host: HashMap<String, Vec<std::sync::Arc<Route>>>,
 }
 
 impl Routing {
-    /// A table of routes; the longest prefix of a host goes first.
+    /// Creates a routing table. Among the routes of a host, the longest matching prefix wins.
     pub fn new(
         version: Version,
         routes: Vec<Route>,
         services: BTreeMap<ServiceId, Service>,
         limits: Limits,
     ) -> Routing {
-        let mut hosts: HashMap<String, Vec<std::sync::Arc<Route>>> = HashMap::new();
+        let mut routes_by_host: HashMap<String, Vec<std::sync::Arc<Route>>> = HashMap::new();
         for route in routes {
-            hosts.entry(route.host.clone()).or_default().push(std::sync::Arc::new(route));
+            routes_by_host.entry(route.host.clone()).or_default().push(std::sync::Arc::new(route));
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        Routing { version, services, limits, teams: None, hosts }
+        Routing { version, services, limits, teams: None, routes_by_host }
     }
 
-    /// Asks callers for the keys of these teams.
+    /// Sets the teams whose keys are required.
     pub fn with_teams(self, teams: Option<Teams>) -> Routing {
         Routing { teams, ..self }
     }
 
-    /// How many routes of a host may run in a region.
+    /// Returns the number of routes of a host that a region may execute.
     pub fn count_routes(&self, host: &str, region: &str) -> usize {
-        let routes = self.hosts.get(host).into_iter().flatten();
+        let routes = self.routes_by_host.get(host).into_iter().flatten();
         routes.filter(|route| route.allows(region)).count()
     }
 
-    /// The route of a request, if there is one.
+    /// Returns the route of a request, if there is one.
     pub fn find(&self, host: &str, path: &str) -> Option<&std::sync::Arc<Route>> {
-        let routes = self.hosts.get(host)?;
+        let routes = self.routes_by_host.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 }
--- a/lib/src/protocol/schema.rs
+++ b/lib/src/protocol/schema.rs
@@ -1,9 +1,9 @@
-//! Shapes of files: which fields there are, of which type, and what they mean.
+//! Schemas of files: the fields, their types and their meaning.
 //!
-//! A [`Shape`] finds every misplaced value of a file in one pass, and its
-//! documentation makes the reference page for operators, so the two cannot
-//! drift apart. What a shape cannot say (names that must exist elsewhere,
-//! ranges) is checked by the `TryFrom` of the type that the file becomes.
+//! A [`Shape`] finds all misplaced values of a file in one pass. The reference page for operators
+//! is generated from the same shape, so the two cannot diverge. What a shape cannot express (names
+//! that must exist elsewhere, ranges) is checked by the `TryFrom` implementation of the type that
+//! the file is converted to.
 
 use std::fmt::Write;
 
@@ -16,19 +16,19 @@
 /// The shape of a value.
 #[derive(Clone, Copy)]
 pub enum Shape {
-    /// Text.
+    /// A string.
     String,
-    /// A whole number from 0.
+    /// An integer of at least 0.
     UnsignedInteger,
     /// A number.
     Number,
     /// `true` or `false`.
     Boolean,
-    /// One of these words.
+    /// One of these strings.
     Enum(&'static [&'static str]),
-    /// A list.
+    /// A list of values of one shape.
     List(&'static Shape),
-    /// An object with names that the user chooses.
+    /// An object whose keys are chosen by the user.
     Map(&'static Shape),
     /// An object with these fields.
     Object(&'static [Field]),
@@ -36,23 +36,23 @@
 
 /// A field of an object.
 pub struct Field {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// Whether it must be there.
+    /// Whether the field is required.
     pub required: bool,
-    /// The shape of its value.
+    /// The shape of the value.
     pub shape: Shape,
-    /// What it means, with units and default.
+    /// The meaning of the field, with its unit and default.
     pub doc: &'static str,
 }
 
 impl Field {
-    /// A field that must be there.
+    /// Creates a required field.
     pub const fn required(name: &'static str, shape: Shape, doc: &'static str) -> Field {
         Field { name, required: true, shape, doc }
     }
 
-    /// A field that may be left out.
+    /// Creates an optional field.
     pub const fn optional(name: &'static str, shape: Shape, doc: &'static str) -> Field {
         Field { name, required: false, shape, doc }
     }
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Everything in the document that does not have this shape.
-    pub fn check(&self, document: &Document<'_>) -> Vec<Problem> {
+    /// Returns a problem for each value of the document that does not match this shape.
+    pub fn validate(&self, document: &Document<'_>) -> Vec<Problem> {
         let mut problems = Vec::new();
-        self.visit(document, document.root(), &mut String::new(), &mut problems);
+        self.collect_problems(document, document.root(), &mut String::new(), &mut problems);
         problems
     }
 
-    fn visit(
+    fn collect_problems(
         &self,
         document: &Document<'_>,
         value: &ast::Value<'_>,
@@ -100,20 +100,20 @@
             }
             (Shape::List(shape), ast::Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
-                    within(path, &index.to_string(), |path| {
-                        shape.visit(document, element, path, problems);
+                    with_path_segment(path, &index.to_string(), |path| {
+                        shape.collect_problems(document, element, path, problems);
                     });
                 }
             }
             (Shape::Map(shape), ast::Value::Object(object)) => {
                 for property in &object.properties {
-                    within(path, property.name.as_str(), |path| {
-                        shape.visit(document, &property.value, path, problems);
+                    with_path_segment(path, property.name.as_str(), |path| {
+                        shape.collect_problems(document, &property.value, path, problems);
                     });
                 }
             }
             (Shape::Object(fields), ast::Value::Object(object)) => {
-                visit_object(fields, document, object, path, problems);
+                collect_object_problems(fields, document, object, path, problems);
             }
             _ => {
                 let message = format!("expected {}", self.expected());
@@ -122,14 +122,14 @@
         }
     }
 
-    /// Rows for the reference page: path, shape, whether required, meaning.
+    /// Returns the rows of the reference page: path, shape, whether required, meaning.
     pub fn reference_rows(&self) -> String {
         let mut rows = String::new();
-        self.describe("", &mut rows);
+        self.write_rows("", &mut rows);
         rows
     }
 
-    fn describe(&self, path: &str, rows: &mut String) {
+    fn write_rows(&self, path: &str, rows: &mut String) {
         match self {
             Shape::Object(fields) => {
                 for field in *fields {
@@ -142,17 +142,17 @@
                     let expected = field.shape.expected();
                     let _ =
                         writeln!(rows, "| `{path}` | {expected} | {required} | {} |", field.doc);
-                    field.shape.describe(&path, rows);
+                    field.shape.write_rows(&path, rows);
                 }
             }
-            Shape::Map(shape) => shape.describe(&format!("{path}.<name>"), rows),
-            Shape::List(shape) => shape.describe(&format!("{path}.<n>"), rows),
+            Shape::Map(shape) => shape.write_rows(&format!("{path}.<name>"), rows),
+            Shape::List(shape) => shape.write_rows(&format!("{path}.<n>"), rows),
             _ => {}
         }
     }
 }
 
-fn visit_object(
+fn collect_object_problems(
     fields: &[Field],
     document: &Document<'_>,
     object: &ast::Object<'_>,
@@ -162,13 +162,15 @@
     let mut seen = Vec::with_capacity(object.properties.len());
     for property in &object.properties {
         let name = property.name.as_str();
-        within(path, name, |path| {
+        with_path_segment(path, name, |path| {
             if seen.contains(&name) {
-                let message = "the field stands twice";
+                let message = "duplicate field";
                 problems.push(document.problem_at(property.start(), path, message, None));
             }
             match fields.iter().find(|field| field.name == name) {
-                Some(field) => field.shape.visit(document, &property.value, path, problems),
+                Some(field) => {
+                    field.shape.collect_problems(document, &property.value, path, problems)
+                }
                 None => {
                     let hint = suggestion(name, fields.iter().map(|field| field.name));
                     problems.push(document.problem_at(
@@ -190,27 +192,27 @@
     }
 }
 
-fn within(path: &mut String, part: &str, visit: impl FnOnce(&mut String)) {
+fn with_path_segment(path: &mut String, segment: &str, visit: impl FnOnce(&mut String)) {
     let length = path.len();
     if length > 0 {
         path.push('.');
     }
-    path.push_str(part);
+    path.push_str(segment);
     visit(path);
     path.truncate(length);
 }
 
-/// A hint that names the nearest known word, or all of them.
+/// Returns a hint that suggests the most similar known word, or lists all known words.
 pub fn suggestion<'a>(given: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     let known: Vec<&str> = known.collect();
-    let best = known.iter().min_by_key(|word| distance(given, word))?;
-    if distance(given, best) <= 2 {
-        return Some(format!("did you mean \"{best}\"?"));
+    let closest = known.iter().min_by_key(|word| edit_distance(given, word))?;
+    if edit_distance(given, closest) <= 2 {
+        return Some(format!("did you mean \"{closest}\"?"));
     }
     Some(format!("known here: {}", known.join(", ")))
 }
 
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
--- a/lib/src/protocol/server_status.rs
+++ b/lib/src/protocol/server_status.rs
@@ -1,22 +1,23 @@
-//! What backend servers say of themselves with each answer.
+//! The status that backend servers report in the headers of each response.
 
 use std::time::Duration;
 
-/// What a server says of itself in the head of an answer.
+/// The status that a backend server reports in a response head.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerStatus {
-    /// It is about to end.
+    /// Whether the server is about to terminate.
     pub leaving: bool,
-    /// How long it wants nothing from this box, if it turned the request away and says so.
+    /// How long the server wants no requests from this box, if it rejected the request and gave a
+    /// delay.
     pub rest: Option<Duration>,
-    /// Requests a second that it takes from all boxes together, if it names a limit.
+    /// The rate limit, in requests per second from all boxes together, if the server gives one.
     pub rate: Option<f64>,
-    /// How long it is still cold, if it says so.
+    /// How long the server will remain cold, if it reports this.
     pub cold_left: Option<Duration>,
 }
 
 impl ServerStatus {
-    /// Whether it says anything.
+    /// Returns whether the server reported anything.
     pub fn reports_anything(&self) -> bool {
         *self != ServerStatus::default()
     }
--- a/lib/src/protocol/settings.rs
+++ b/lib/src/protocol/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one box: its names, addresses and what it talks to.
+//! The settings of one box: its names, its addresses and the addresses of its peers and services.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use super::schema::Field;
 use super::schema::Shape;
 
-/// Shape of a settings file; also the source of its reference page.
+/// The shape of a settings file. The reference page is generated from it.
 pub const SHAPE: Shape = Shape::Object(&[
     Field::required("box", Shape::String, "Name of this box; unique in the installation."),
-    Field::required("region", Shape::String, "Region that the box stands in."),
-    Field::required("failure_domain", Shape::String, "Failure domain that the box stands in."),
+    Field::required("region", Shape::String, "Region of this box."),
+    Field::required("failure_domain", Shape::String, "Failure domain of this box."),
     Field::required("callers", Shape::String, "IP number and port for callers."),
     Field::required("peers", Shape::String, "IP number and port for other boxes."),
     Field::required("operators", Shape::String, "IP number and port for operators."),
@@ -36,28 +36,32 @@
     Field::optional(
         "seeds",
         Shape::List(&Shape::String),
-        "Peer addresses to ask when the platform is out. Default: none.",
+        "Peer addresses of boxes to contact when the platform is unavailable. Default: none.",
     ),
     Field::optional(
         "peer_routes",
         Shape::Map(&Shape::String),
-        "Addresses to use in place of other boxes' peer addresses, where the network translates them. Default: none.",
+        "Replacements for the peer addresses of other boxes, for networks with address translation. Default: none.",
+    ),
+    Field::optional(
+        "traffic_threads",
+        Shape::UnsignedInteger,
+        "Number of traffic threads. Default: 2.",
     ),
-    Field::optional("traffic_threads", Shape::UnsignedInteger, "Threads for traffic. Default: 2."),
     Field::optional(
         "stop_limit_ms",
         Shape::UnsignedInteger,
-        "Longest time that a planned stop waits for requests in progress. Default: 600000.",
+        "Maximum time that a planned stop waits for requests in progress. Default: 600000.",
     ),
     Field::optional(
         "stop_grace_ms",
         Shape::UnsignedInteger,
-        "Time that a leaving box still accepts requests, so that no caller is still told of it. Default: 5000.",
+        "Time for which a leaving box still accepts requests, until callers are no longer directed to it. Default: 5000.",
     ),
     Field::optional(
         "log",
         Shape::String,
-        "Log levels in the logger's form, such as \"info\". Default: \"info\".",
+        "Log filter in the syntax of the logger, such as \"info\". Default: \"info\".",
     ),
     Field::optional(
         "statsd",
@@ -89,64 +93,64 @@
     statsd: Option<String>,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this box.
+    /// The name of this box.
     pub name: BoxId,
-    /// Its region.
+    /// The region of this box.
     pub region: RegionId,
-    /// Its failure domain.
+    /// The failure domain of this box.
     pub failure_domain: String,
-    /// Address for callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Address for other boxes.
+    /// The address for other boxes.
     pub peers: SocketAddr,
-    /// Address for operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Address of the platform's service.
+    /// The address of the platform's service.
     pub platform: SocketAddr,
-    /// Secret that all boxes share.
+    /// The secret that all boxes share.
     pub peer_secret: String,
-    /// SHA-256 of the operators' key in hex.
+    /// The SHA-256 digest of the operators' key, in hex.
     pub operator_key_sha256: Option<String>,
-    /// Peers to ask when the platform is out.
+    /// The addresses of boxes to contact when the platform is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Addresses to use in place of other boxes' peer addresses.
+    /// Replacements for the peer addresses of other boxes.
     pub peer_routes: BTreeMap<SocketAddr, SocketAddr>,
-    /// Threads for traffic.
+    /// The number of traffic threads.
     pub traffic_threads: usize,
-    /// Longest wait of a planned stop.
+    /// The longest time that a planned stop waits for requests in progress.
     pub stop_limit: Duration,
-    /// Time that a leaving box still accepts requests.
+    /// The time for which a leaving box still accepts requests.
     pub stop_grace: Duration,
-    /// Log levels.
+    /// The log levels.
     pub log: String,
-    /// Where counters go.
+    /// The statsd address that counters are sent to.
     pub statsd: Option<SocketAddr>,
 }
 
-const DEFAULT_THREADS: usize = 2;
-const MAX_THREADS: usize = 256;
+const DEFAULT_TRAFFIC_THREADS: usize = 2;
+const MAX_TRAFFIC_THREADS: usize = 256;
 const DEFAULT_STOP_LIMIT: Duration = Duration::from_secs(600);
 const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(5);
-const MIN_SECRET: usize = 16;
+const MIN_SECRET_LEN: usize = 16;
 
 impl Settings {
-    /// Reads and checks a file; all problems at once.
+    /// Parses and validates a file. Reports all problems at once.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Problems> {
         let document = Document::parse(file, text).map_err(|problem| Problems(vec![problem]))?;
-        let problems = SHAPE.check(&document);
+        let problems = SHAPE.validate(&document);
         if !problems.is_empty() {
             return Err(Problems(problems));
         }
         let raw: Raw = serde_json::from_value(document.to_json())
             .map_err(|error| Problems(vec![document.problem(&[], error.to_string(), None)]))?;
-        check(&document, raw)
+        validate(&document, raw)
     }
 }
 
-fn check(document: &Document<'_>, raw: Raw) -> Result<Settings, Problems> {
+fn validate(document: &Document<'_>, raw: Raw) -> Result<Settings, Problems> {
     let mut problems = Vec::new();
     for (field, text) in
         [("box", &raw.r#box), ("region", &raw.region), ("failure_domain", &raw.failure_domain)]
@@ -155,20 +159,24 @@
             problems.push(document.problem(&[field], "expected a name", None));
         }
     }
-    let callers = address(document, "callers", &raw.callers, &mut problems);
-    let peers = address(document, "peers", &raw.peers, &mut problems);
-    let operators = address(document, "operators", &raw.operators, &mut problems);
-    let platform = address(document, "platform", &raw.platform, &mut problems);
-    let statsd = raw.statsd.as_deref().map(|text| address(document, "statsd", text, &mut problems));
-    let seeds =
-        raw.seeds.iter().map(|text| address(document, "seeds", text, &mut problems)).collect();
+    let callers = parse_address(document, "callers", &raw.callers, &mut problems);
+    let peers = parse_address(document, "peers", &raw.peers, &mut problems);
+    let operators = parse_address(document, "operators", &raw.operators, &mut problems);
+    let platform = parse_address(document, "platform", &raw.platform, &mut problems);
+    let statsd =
+        raw.statsd.as_deref().map(|text| parse_address(document, "statsd", text, &mut problems));
+    let seeds = raw
+        .seeds
+        .iter()
+        .map(|text| parse_address(document, "seeds", text, &mut problems))
+        .collect();
     let mut route = |(from, to): (&String, &String)| {
-        let from = address(document, "peer_routes", from, &mut problems);
-        (from, address(document, "peer_routes", to, &mut problems))
+        let from = parse_address(document, "peer_routes", from, &mut problems);
+        (from, parse_address(document, "peer_routes", to, &mut problems))
     };
     let peer_routes = raw.peer_routes.iter().map(&mut route).collect();
-    if raw.peer_secret.len() < MIN_SECRET {
-        let message = format!("expected {MIN_SECRET} characters or more");
+    if raw.peer_secret.len() < MIN_SECRET_LEN {
+        let message = format!("expected {MIN_SECRET_LEN} characters or more");
         problems.push(document.problem(&["peer_secret"], message, None));
     }
     if raw.operator_key_sha256.is_none() && !operators.ip().is_loopback() {
@@ -176,9 +184,9 @@
         let message = "the operators' port is open to others and has no key";
         problems.push(document.problem(&["operators"], message, Some(hint)));
     }
-    let threads = raw.traffic_threads.unwrap_or(DEFAULT_THREADS);
-    if !(1..=MAX_THREADS).contains(&threads) {
-        let message = format!("expected 1 to {MAX_THREADS}");
+    let threads = raw.traffic_threads.unwrap_or(DEFAULT_TRAFFIC_THREADS);
+    if !(1..=MAX_TRAFFIC_THREADS).contains(&threads) {
+        let message = format!("expected 1 to {MAX_TRAFFIC_THREADS}");
         problems.push(document.problem(&["traffic_threads"], message, None));
     }
     if !problems.is_empty() {
@@ -204,7 +212,7 @@
     })
 }
 
-fn address(
+fn parse_address(
     document: &Document<'_>,
     field: &str,
     text: &str,
--- a/lib/src/protocol/team.rs
+++ b/lib/src/protocol/team.rs
@@ -1,9 +1,8 @@
-//! Teams: who may send requests, by which keys, how urgent these are, where
-//! they may run, and how much a team may ask for.
+//! Teams: their API keys, the priority of their requests, the regions that may execute these, and
+//! their rate limits.
 //!
-//! A key is known by its digest alone, from the moment a request's head is
-//! read: keys themselves are kept nowhere, and are told neither to backend
-//! servers nor to other boxes or the log.
+//! A key is reduced to its digest as soon as a request head is read. Keys themselves are never
+//! stored, and never sent to backend servers, to other boxes or to the log.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -16,80 +15,80 @@
 use super::RegionId;
 use super::TeamId;
 
-/// Bytes of a digest.
-const DIGEST: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
-/// SHA-256 of a key; looked up by value, so that the time of a look-up says nothing of a key.
+/// The SHA-256 digest of a key. Lookups use the digest, so that their duration reveals nothing
+/// about the key.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct KeyDigest([u8; DIGEST]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key).into())
     }
 }
 
 impl fmt::Display for KeyDigest {
-    /// Lower-case hex.
+    /// Writes lower-case hex.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Enough to tell two keys apart in a log.
+    /// Writes the first two bytes only, enough to distinguish keys in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "KeyDigest({:02x}{:02x})", self.0[0], self.0[1])
     }
 }
 
-/// The text is no digest.
+/// An error for a text that is not a digest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("a digest has 64 hexadecimal digits")]
-pub struct DigestError;
+pub struct ParseDigestError;
 
 impl FromStr for KeyDigest {
-    type Err = DigestError;
+    type Err = ParseDigestError;
 
-    fn from_str(text: &str) -> Result<KeyDigest, DigestError> {
-        if text.len() != 2 * DIGEST || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(DigestError);
+    fn from_str(text: &str) -> Result<KeyDigest, ParseDigestError> {
+        if text.len() != 2 * DIGEST_BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+            return Err(ParseDigestError);
         }
-        let mut digest = [0; DIGEST];
+        let mut digest = [0; DIGEST_BYTES];
         for (byte, pair) in digest.iter_mut().zip(text.as_bytes().chunks(2)) {
-            let pair = std::str::from_utf8(pair).map_err(|_| DigestError)?;
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| DigestError)?;
+            let pair = std::str::from_utf8(pair).map_err(|_| ParseDigestError)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| ParseDigestError)?;
         }
         Ok(KeyDigest(digest))
     }
 }
 
-/// What a limit counts.
+/// The unit that a rate limit counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RateUnit {
-    /// Requests, each as one.
+    /// Requests; each has a cost of 1.
     Requests,
-    /// Tokens of the prompt and the most to be generated.
+    /// Tokens of the prompt plus the maximum number of generated tokens.
     Tokens {
-        /// What a request counts as that does not say.
+        /// The cost of a request that does not give its number of tokens.
         default_tokens: u64,
     },
 }
 
-/// How much a team may ask of all boxes together.
+/// The rate limit of a team, over all boxes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// The burst size, in units.
     pub burst: f64,
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: RateUnit,
 }
 
 impl RateLimit {
-    /// What a request counts as, by the tokens that it says it has.
+    /// Returns the cost of a request, given the number of tokens in its headers.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             RateUnit::Requests => 1.0,
@@ -101,23 +100,24 @@
 /// A team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Name.
+    /// The name.
     pub name: TeamId,
-    /// Rank of its requests in place of their route's; 0 is the most urgent.
+    /// The priority of the team's requests, which overrides that of the route; 0 is the most
+    /// urgent.
     pub priority: Option<u8>,
-    /// Regions that may run its requests; empty means all.
+    /// The regions that may execute its requests; empty for all regions.
     pub home_regions: Vec<RegionId>,
-    /// How much it may ask for; `None` for no limit.
+    /// The rate limit; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
 impl Team {
-    /// A team of which only the name is known.
+    /// Creates a team of which only the name is known.
     pub fn with_name(name: &str) -> Team {
         Team { name: name.to_owned(), priority: None, home_regions: Vec::new(), limit: None }
     }
 
-    /// Whether a region may run its requests.
+    /// Returns whether a region may execute the team's requests.
     pub fn allows(&self, region: &str) -> bool {
         self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
@@ -131,30 +131,31 @@
 }
 
 impl Teams {
-    /// Teams with the digests of their keys. A key that two of them have belongs to the first.
+    /// Indexes teams by name and by the digests of their keys. A key that is listed for two teams
+    /// belongs to the first.
     pub fn new(teams: impl IntoIterator<Item = (Team, Vec<KeyDigest>)>) -> Teams {
-        let mut all = Teams::default();
+        let mut index = Teams::default();
         for (team, keys) in teams {
             let team = Arc::new(team);
             for key in keys {
-                all.by_key.entry(key).or_insert_with(|| Arc::clone(&team));
+                index.by_key.entry(key).or_insert_with(|| Arc::clone(&team));
             }
-            all.by_name.entry(team.name.clone()).or_insert(team);
+            index.by_name.entry(team.name.clone()).or_insert(team);
         }
-        all
+        index
     }
 
-    /// The team that holds a key.
+    /// Returns the team that owns a key.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
         self.by_key.get(key)
     }
 
-    /// The team of a name.
+    /// Returns the team with a name.
     pub fn find_by_name(&self, name: &str) -> Option<&Arc<Team>> {
         self.by_name.get(name)
     }
 
-    /// All teams, in no order.
+    /// Returns all teams, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Team>> {
         self.by_name.values()
     }
--- a/lib/src/state/burn.rs
+++ b/lib/src/state/burn.rs
@@ -1,9 +1,9 @@
-//! How fast the error budget of each objective burns.
+//! The burn rate of the error budget of each objective.
 //!
-//! A burn rate of 1 spends exactly the budget; over 1, the objective will be
-//! missed if it goes on. Two windows, so that a short burst and a slow leak
-//! both show. Counts are kept in slices of time that this box's memory holds;
-//! a replaced box starts anew, which the report says.
+//! A burn rate of 1 spends exactly the budget; with a rate over 1, the objective will be missed if
+//! the rate persists. Counts are reported for several windows, so that both short bursts and slow
+//! leaks are visible. The counts are kept in time slices in the memory of one box. A replaced box
+//! starts from zero; the report says for how long it has counted.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,18 +15,18 @@
 
 use crate::protocol::config::Configuration;
 
-/// Length of a slice.
+/// The length of a slice.
 const SLICE: Duration = Duration::from_secs(10);
-/// Windows of the report.
+/// The windows of a report.
 pub const WINDOWS: [Duration; 3] =
     [Duration::from_secs(300), Duration::from_secs(3600), Duration::from_secs(6 * 3600)];
 
-/// Requests of a slice or window.
+/// The request counts of a slice or window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RequestCounts {
-    /// All.
+    /// All requests.
     pub total: u64,
-    /// Those that missed the objective.
+    /// Requests that missed the objective.
     pub bad: u64,
 }
 
@@ -36,8 +36,8 @@
         self.bad += other.bad;
     }
 
-    /// Burn rate for an objective with this target share.
-    pub fn burn(&self, target: f64) -> f64 {
+    /// Returns the burn rate for an objective with this target share.
+    pub fn burn_rate(&self, target: f64) -> f64 {
         if self.total == 0 {
             return 0.0;
         }
@@ -45,27 +45,27 @@
     }
 }
 
-/// One row of a report: an objective over each window.
+/// The counts of one objective over each window.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ObjectiveBurn {
-    /// Objective.
+    /// The name of the objective.
     pub objective: String,
-    /// Pool.
+    /// The pool.
     pub pool: String,
-    /// Target share.
+    /// The target share.
     pub target: f64,
-    /// Counts in the order of [`WINDOWS`].
+    /// The counts, in the order of [`WINDOWS`].
     pub windows: Vec<RequestCounts>,
 }
 
-/// What one box reports.
+/// The report of one box.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnReport {
-    /// Box.
+    /// The name of the box.
     pub name: String,
-    /// How long it has counted, seconds.
+    /// How long the box has counted, in seconds.
     pub since_s: u64,
-    /// Rows by objective.
+    /// One row per objective.
     pub rows: Vec<ObjectiveBurn>,
 }
 
@@ -94,12 +94,13 @@
 }
 
 impl BurnTracker {
-    /// Nothing counted yet.
+    /// Creates a tracker without counts.
     pub fn new(now: Instant) -> BurnTracker {
         BurnTracker { started_at: now, slices: BTreeMap::new() }
     }
 
-    /// A request of a pool ended. `first_byte` is `None` where it failed.
+    /// Records a finished request of a pool. `first_byte` is the time to the first byte, or `None`
+    /// if the request failed.
     pub fn record(
         &mut self,
         configuration: &Configuration,
@@ -113,11 +114,11 @@
             }
             let good = first_byte.is_some_and(|time| time <= objective.first_byte);
             let count = RequestCounts { total: 1, bad: u64::from(!good) };
-            self.slice(name, now).add(count);
+            self.current_slice(name, now).add(count);
         }
     }
 
-    fn slice(&mut self, objective: &str, now: Instant) -> &mut RequestCounts {
+    fn current_slice(&mut self, objective: &str, now: Instant) -> &mut RequestCounts {
         if !self.slices.contains_key(objective) {
             self.slices.insert(objective.to_owned(), VecDeque::new());
         }
@@ -126,21 +127,25 @@
         while slices.front().is_some_and(|(at, _)| now.saturating_duration_since(*at) > longest) {
             slices.pop_front();
         }
-        let fresh = slices.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SLICE);
-        if fresh {
+        let starts_slice =
+            slices.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SLICE);
+        if starts_slice {
             slices.push_back((now, RequestCounts::default()));
         }
         let last = slices.len() - 1;
         &mut slices[last].1
     }
 
-    /// The report of this box.
+    /// Returns the report of this box.
     pub fn report(&self, name: &str, configuration: &Configuration, now: Instant) -> BurnReport {
         let rows = configuration.objectives.iter().map(|(objective, detail)| ObjectiveBurn {
             objective: objective.clone(),
             pool: detail.pool.clone(),
             target: detail.target,
-            windows: WINDOWS.iter().map(|window| self.window(objective, *window, now)).collect(),
+            windows: WINDOWS
+                .iter()
+                .map(|window| self.window_counts(objective, *window, now))
+                .collect(),
         });
         BurnReport {
             name: name.to_owned(),
@@ -149,7 +154,7 @@
         }
     }
 
-    fn window(&self, objective: &str, window: Duration, now: Instant) -> RequestCounts {
+    fn window_counts(&self, objective: &str, window: Duration, now: Instant) -> RequestCounts {
         let mut sum = RequestCounts::default();
         let slices = self.slices.get(objective).into_iter().flatten();
         for (at, count) in slices {
--- a/lib/src/state/clock.rs
+++ b/lib/src/state/clock.rs
@@ -1,11 +1,10 @@
-//! The time that a box judges by: steady, and counting on while the machine is
-//! suspended.
+//! A monotonic clock that keeps running while the machine is suspended.
 //!
-//! [`Instant::now`] stands still while a machine is suspended. A box that woke
-//! after ten seconds would take its lease for held, its state for fresh, and a
-//! caller's deadline for ahead. [`now`] gives instants that have moved on by as much
-//! as passed, so all that is compared with them is judged by the time that really
-//! passed. Waits that were begun before are another matter: `transport::timer`.
+//! [`Instant::now`] stands still while a machine is suspended. A box that resumed after ten seconds
+//! would believe that it still holds its lease, that its state is fresh, and that the deadlines of
+//! callers are still ahead. Instants from [`now`] include the time of suspensions, so comparisons
+//! with them are correct after a suspension. Timers that were started before a suspension are
+//! handled in `transport::timer`.
 
 use std::sync::LazyLock;
 use std::sync::atomic::AtomicU64;
@@ -13,21 +12,22 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// A moment on both clocks.
+/// One point in time on both clocks.
 struct Anchor {
     instant: Instant,
-    boot: Duration,
+    boot_time: Duration,
 }
 
 static ANCHOR: LazyLock<Anchor> =
-    LazyLock::new(|| Anchor { instant: Instant::now(), boot: since_boot() });
+    LazyLock::new(|| Anchor { instant: Instant::now(), boot_time: since_boot() });
 
-/// Time since the machine was started, that in which it was suspended included.
+/// Returns the time since the machine booted, including suspensions.
 #[cfg(target_os = "linux")]
 fn since_boot() -> Duration {
     use nix::time::ClockId;
     use nix::time::clock_gettime;
-    // Any Linux that the program runs on has this clock; without it, suspensions would go unseen.
+    // Every Linux version that the program supports has this clock. Without it, suspensions would
+    // go unnoticed.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
@@ -37,29 +37,29 @@
     START.elapsed()
 }
 
-/// Suspensions that tests make up, milliseconds.
-static MADE_UP: AtomicU64 = AtomicU64::new(0);
+/// The total duration of simulated suspensions in tests.
+static SIMULATED_SUSPENSION_MS: AtomicU64 = AtomicU64::new(0);
 
-/// Moves the clock on as a suspension of the machine does, for tests.
+/// Advances the clock as a suspension of the machine does, for tests.
 #[doc(hidden)]
 pub fn simulate_suspension(time: Duration) {
-    MADE_UP.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
+    SIMULATED_SUSPENSION_MS.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
 }
 
-/// This moment.
+/// Returns the current instant.
 pub fn now() -> Instant {
     let anchor = &*ANCHOR;
-    let made_up = Duration::from_millis(MADE_UP.load(Ordering::Relaxed));
-    anchor.instant + since_boot().saturating_sub(anchor.boot) + made_up
+    let simulated = Duration::from_millis(SIMULATED_SUSPENSION_MS.load(Ordering::Relaxed));
+    anchor.instant + since_boot().saturating_sub(anchor.boot_time) + simulated
 }
 
-/// Time that has passed since a moment that [`now`] gave.
+/// Returns the time elapsed since an instant of [`now`].
 pub fn since(at: Instant) -> Duration {
     now().saturating_duration_since(at)
 }
 
-/// How long the machine has been suspended since this was first asked.
+/// Returns how long the machine has been suspended since the first use of this clock.
 pub fn total_suspension() -> Duration {
-    let passed = now();
-    passed.saturating_duration_since(Instant::now())
+    let including_suspension = now();
+    including_suspension.saturating_duration_since(Instant::now())
 }
--- a/lib/src/state/counters.rs
+++ b/lib/src/state/counters.rs
@@ -1,31 +1,31 @@
-//! Counters, the first thing to look at.
+//! Counters of events on one box.
 //!
-//! Each is an atomic in the process, readable on the operators' port; a
-//! [`cadence`] client sends what they grew by to a statsd address, if one is set.
+//! Each counter is an atomic that can be read on the operators' port. If a statsd address is set, a
+//! [`cadence`] client sends the increments to it.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 macro_rules! counters {
     ($($name:ident $text:literal $doc:literal;)*) => {
-        /// Names of the counters.
+        /// The counters.
         #[derive(Clone, Copy, Debug, Eq, PartialEq)]
         pub enum Counter {
             $(#[doc = $doc] $name,)*
         }
 
         impl Counter {
-            /// All of them.
+            /// All counters.
             pub const ALL: &[Counter] = &[$(Counter::$name,)*];
 
-            /// Name on the operators' port and for statsd.
+            /// Returns the name used on the operators' port and for statsd.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Counter::$name => $text,)*
                 }
             }
 
-            /// What it counts.
+            /// Returns what the counter counts.
             pub fn doc(self) -> &'static str {
                 match self {
                     $(Counter::$name => $doc,)*
@@ -39,41 +39,41 @@
     Requests "requests" "Requests that arrived from callers.";
     Answered "answered" "Requests answered by a backend server.";
     Failed "failed" "Requests answered with an error of the gateway.";
-    Refused "refused" "Of those, requests that were not run.";
-    ServersEnded "servers_ended" "Times that backend servers were found to have ended under requests of this box.";
-    Quarantined "quarantined" "Requests refused because backend servers ended under them.";
-    Unauthorized "unauthorized" "Requests refused for want of a key that is held.";
-    OverLimit "over_limit" "Requests refused because their team was over its limit.";
-    Throttled "throttled" "Requests refused because all backend servers with room get as many as they say they take.";
-    Cut "cut" "Answers that ended before their end.";
-    CallerGone "caller_gone" "Callers that went away before the end of their answer.";
-    Attempts "attempts" "Attempts on backend servers of this region.";
+    Refused "refused" "Failed requests that were not executed.";
+    ServersEnded "servers_ended" "Backend servers found to have terminated while they executed requests of this box.";
+    Quarantined "quarantined" "Requests rejected because backend servers had terminated while executing them.";
+    Unauthorized "unauthorized" "Requests rejected because they had no valid API key.";
+    OverLimit "over_limit" "Requests rejected because their team was over its rate limit.";
+    Throttled "throttled" "Requests rejected because all backend servers with free slots were at the rate limits that they report.";
+    Cut "cut" "Responses that broke off before their end.";
+    CallerGone "caller_gone" "Callers that disconnected before the end of their response.";
+    Attempts "attempts" "Attempts to send a request to a backend server of this region.";
     Retries "retries" "Attempts after the first.";
-    RetriesDenied "retries_denied" "Attempts that the budget did not allow.";
+    RetriesDenied "retries_denied" "Retries that the retry budget did not allow.";
     Queued "queued" "Requests that waited for a slot.";
     ForwardedOut "forwarded_out" "Requests sent to another box.";
-    ForwardedIn "forwarded_in" "Requests that came from another box.";
-    Replayed "replayed" "Answers given again for a key.";
-    Claims "claims" "Keys claimed in the platform's store.";
+    ForwardedIn "forwarded_in" "Requests received from another box.";
+    Replayed "replayed" "Stored responses returned again for an idempotency key.";
+    Claims "claims" "Idempotency keys claimed in the platform's store.";
     HeartbeatsSent "heartbeats_sent" "Heartbeats sent.";
-    HeartbeatsFailed "heartbeats_failed" "Heartbeats without an answer.";
+    HeartbeatsFailed "heartbeats_failed" "Heartbeats that got no response.";
     HeartbeatsReceived "heartbeats_received" "Heartbeats received.";
     HeartbeatBytes "heartbeat_bytes" "Bytes of heartbeats sent and received, without framing.";
-    PeerRefused "peer_refused" "Calls between boxes that were not let in.";
+    PeerRefused "peer_refused" "Calls from other boxes that failed authentication.";
     Probes "probes" "Probes of backend servers.";
     StoreReads "store_reads" "Reads and watches of the platform's store.";
-    StoreRenewals "store_renewals" "Renewals of leases in the platform's store.";
+    StoreRenewals "store_renewals" "Lease renewals in the platform's store.";
     StoreWrites "store_writes" "Writes to the platform's store.";
     StoreFailures "store_failures" "Calls to the platform that failed.";
-    StoreRestored "store_restored" "Times that the platform's store came back from an older copy.";
-    ConfigurationsAdopted "configurations_adopted" "Versions of the configuration put in force.";
-    OlderOffers "older_offers" "Offers of an older version than the one in force.";
-    Orders "orders" "Orders given to backend servers.";
-    OrdersFailed "orders_failed" "Orders that failed or were refused.";
-    Breaches "breaches" "Broken invariants.";
+    StoreRestored "store_restored" "Restores of the platform's store from an older copy.";
+    ConfigurationsAdopted "configurations_adopted" "Configuration versions put in force.";
+    OlderOffers "older_offers" "Configuration versions offered that are older than the one in force.";
+    Orders "orders" "Orders sent to backend servers.";
+    OrdersFailed "orders_failed" "Orders that failed or were rejected.";
+    Breaches "breaches" "Violated invariants.";
 }
 
-/// The counters of one process.
+/// The values of the counters of one process.
 #[derive(Debug)]
 pub struct Counters {
     values: [AtomicU64; Counter::ALL.len()],
@@ -86,17 +86,17 @@
 }
 
 impl Counters {
-    /// Adds one.
+    /// Adds one to a counter.
     pub fn increment(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Adds some.
+    /// Adds a number to a counter.
     pub fn add(&self, counter: Counter, count: u64) {
         self.values[counter as usize].fetch_add(count, Ordering::Relaxed);
     }
 
-    /// The value now.
+    /// Returns the current value of a counter.
     pub fn get(&self, counter: Counter) -> u64 {
         self.values[counter as usize].load(Ordering::Relaxed)
     }
--- a/lib/src/state/load.rs
+++ b/lib/src/state/load.rs
@@ -1,10 +1,10 @@
 //! The latest observation of each backend server of a region.
 //!
-//! Probes by this box, reports by others and signs in traffic all end here.
-//! The younger observation wins; ages travel instead of times, so that clocks
-//! need not agree. What the platform's list says of servers that are leaving is
-//! kept apart, since a probe of the server knows nothing of it, and ends when
-//! nobody has read it in the list for a while.
+//! Observations come from probes by this box, from reports by other boxes and from the outcomes of
+//! requests. The younger observation wins. Messages contain ages instead of times, so that clocks
+//! need not agree. The servers that the platform's list names as leaving are stored separately,
+//! because a probe of the server says nothing about the list. Such an entry expires when no box has
+//! read it in the list for some time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use crate::protocol::peer::MAX_REPORT_AGE;
 use crate::protocol::peer::ServerReport;
 
-/// Ages closer together than this count as the same when reports are picked.
-const SAME_AGE: Duration = Duration::from_millis(250);
-/// Age at which an observation is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(300);
-/// Age at which word of the platform's list is forgotten.
-const LISTED_LIFE: Duration = Duration::from_secs(10);
+/// Ages are divided by this duration and rounded down to select reports, so that ages within one
+/// bucket count as equal.
+const AGE_BUCKET: Duration = Duration::from_millis(250);
+/// The age at which an observation is discarded.
+const OBSERVATION_TTL: Duration = Duration::from_secs(300);
+/// The age at which an entry of the platform's list is discarded.
+const LISTED_TTL: Duration = Duration::from_secs(10);
 
-/// An observation.
+/// An observation of a server.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// Requests on the server, its queue included.
+    /// The number of requests on the server, including those in its queue.
     pub load: u32,
-    /// Whether it answered.
+    /// Whether the server responded.
     pub reachable: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// When this was so.
+    /// The time of the observation.
     pub observed_at: Instant,
 }
 
-/// All observations that one box has.
+/// All observations of one box.
 #[derive(Debug, Default)]
 pub struct ServerLoads {
     servers: BTreeMap<NameHash, Observation>,
@@ -47,12 +48,11 @@
 }
 
 impl ServerLoads {
-    /// Takes in an observation. True where the server became leaving or
-    /// reachable, or ceased to be.
+    /// Records an observation. Returns whether the server's `leaving` or `reachable` state changed.
     pub fn observe(&mut self, report: &ServerReport, now: Instant) -> bool {
         let Some(observed_at) = now.checked_sub(report.age) else { return false };
         if report.listed {
-            return self.observe_listed(report.server, observed_at, now);
+            return self.observe_listed_leaving(report.server, observed_at, now);
         }
         let known = self.servers.get(&report.server);
         if known.is_some_and(|known| known.observed_at >= observed_at) {
@@ -69,41 +69,42 @@
         before != (report.reachable, report.leaving)
     }
 
-    /// The platform's list, read at `at`, names a server as leaving. True where that is news.
-    pub fn observe_listed(&mut self, server: NameHash, at: Instant, now: Instant) -> bool {
-        if now.saturating_duration_since(at) >= LISTED_LIFE {
+    /// Records that the platform's list names a server as leaving. `at` is the time at which the
+    /// list was read. Returns whether this is new.
+    pub fn observe_listed_leaving(&mut self, server: NameHash, at: Instant, now: Instant) -> bool {
+        if now.saturating_duration_since(at) >= LISTED_TTL {
             return false;
         }
         let known = self.listed.entry(server).or_insert(at);
-        let news = *known == at;
+        let is_new = *known == at;
         *known = at.max(*known);
-        news
+        is_new
     }
 
-    /// The observation of a server.
+    /// Returns the observation of a server.
     pub fn get(&self, server: &ServerId) -> Option<&Observation> {
         self.servers.get(&name_hash(server))
     }
 
-    /// Whether a server is known to be leaving.
-    pub fn leaving(&self, server: &ServerId, now: Instant) -> bool {
+    /// Returns whether a server is known to be leaving.
+    pub fn is_leaving(&self, server: &ServerId, now: Instant) -> bool {
         let listed = self.listed.get(&name_hash(server));
-        let listed = listed.is_some_and(|at| now.saturating_duration_since(*at) < LISTED_LIFE);
+        let listed = listed.is_some_and(|at| now.saturating_duration_since(*at) < LISTED_TTL);
         listed || self.get(server).is_some_and(|observation| observation.leaving)
     }
 
-    /// Reports to pass on: leaving servers first, then the youngest.
+    /// Returns the reports to send to other boxes: leaving servers first, then the youngest.
     pub fn reports_to_share(
         &self,
-        most: usize,
+        limit: usize,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Vec<ServerReport> {
         let age = |at: &Instant| now.saturating_duration_since(*at);
-        let listed = self.listed.iter().filter(|(_, at)| age(at) < LISTED_LIFE);
+        let listed = self.listed.iter().filter(|(_, at)| age(at) < LISTED_TTL);
         let mut reports: Vec<ServerReport> =
-            listed.map(|(server, at)| word(*server, age(at))).collect();
-        reports.truncate(most / 2);
+            listed.map(|(server, at)| listed_leaving_report(*server, age(at))).collect();
+        reports.truncate(limit / 2);
         let mut observed: Vec<ServerReport> = self
             .servers
             .iter()
@@ -118,25 +119,25 @@
             })
             .collect();
         observed.shuffle(rng);
-        let order = |report: &ServerReport| {
-            (!report.leaving, report.age.as_millis() / SAME_AGE.as_millis())
+        let sort_key = |report: &ServerReport| {
+            (!report.leaving, report.age.as_millis() / AGE_BUCKET.as_millis())
         };
-        observed.sort_by_key(order);
-        observed.truncate(most - reports.len());
+        observed.sort_by_key(sort_key);
+        observed.truncate(limit - reports.len());
         reports.extend(observed);
         reports
     }
 
-    /// Forgets servers that the configuration no longer has, and old observations.
+    /// Discards servers for which `keep` is false (no longer configured) and expired observations.
     pub fn retain(&mut self, keep: impl Fn(&NameHash) -> bool, now: Instant) {
-        let young = |at: &Instant, life| now.saturating_duration_since(*at) < life;
+        let is_younger = |at: &Instant, ttl| now.saturating_duration_since(*at) < ttl;
         self.servers.retain(|server, observation| {
-            keep(server) && young(&observation.observed_at, FORGET_AFTER)
+            keep(server) && is_younger(&observation.observed_at, OBSERVATION_TTL)
         });
-        self.listed.retain(|_, at| young(at, LISTED_LIFE));
+        self.listed.retain(|_, at| is_younger(at, LISTED_TTL));
     }
 }
 
-fn word(server: NameHash, age: Duration) -> ServerReport {
+fn listed_leaving_report(server: NameHash, age: Duration) -> ServerReport {
     ServerReport { server, load: 0, reachable: true, leaving: true, listed: true, age }
 }
--- a/lib/src/state/mod.rs
+++ b/lib/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the decisions are made from.
+//! The data that decisions are based on.
 
 pub mod burn;
 pub mod clock;
--- a/lib/src/state/snapshot.rs
+++ b/lib/src/state/snapshot.rs
@@ -1,9 +1,8 @@
-//! What traffic threads see of the control state.
+//! The part of the control state that traffic threads read.
 //!
-//! The control thread publishes a new snapshot whole; a request takes one at
-//! its start and decides by it to its end. A traffic thread that stalled goes
-//! on with an old snapshot for the requests it already has, and takes the
-//! newest for the next one.
+//! The control thread publishes each snapshot as a whole. A request loads one snapshot at its start
+//! and uses it until its end. A traffic thread that stalled continues with an old snapshot for the
+//! requests that it already has, and loads the newest one for the next request.
 
 use std::sync::Arc;
 
@@ -13,20 +12,20 @@
 use crate::protocol::config::Configuration;
 use crate::protocol::peer::Member;
 
-/// One state of control, as traffic sees it.
+/// One version of the control state.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// Configuration in force.
+    /// The configuration in force.
     pub configuration: Arc<Configuration>,
-    /// This box.
+    /// The membership record of this box.
     pub own: Member,
-    /// Other live boxes.
+    /// The other live boxes.
     pub members: Vec<Member>,
-    /// Whether the box has all it needs to serve.
+    /// Whether the box is ready to serve requests.
     pub ready: bool,
-    /// How far a planned stop is.
+    /// The stage of a planned stop.
     pub stage: Stage,
 }
 
-/// The place where snapshots are published.
+/// The shared reference to the current snapshot.
 pub type SharedSnapshot = Arc<ArcSwap<Snapshot>>;
