--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -1,10 +1,10 @@
-//! HTTP to backend servers.
+//! HTTP client for backend servers.
 //!
-//! One request owns one connection until its answer has been read to its
-//! proper end; only then may another use it. The connection-level interface
-//! hands back a request that was never written, so "not sent" is known, not
-//! guessed. A request that may not be repeated takes a fresh connection, so
-//! that nothing an earlier answer left behind can be taken for its own.
+//! Each request has exclusive use of a connection until its response has been read completely. Only
+//! then may another request use the connection. The connection-level interface returns a request
+//! that was never written, so the client knows for certain when a request was not sent. A request
+//! that must be executed at most once uses a new connection, so that nothing left over from an
+//! earlier response can be mistaken for its own.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -32,43 +32,43 @@
 use crate::state::clock;
 use crate::transport::timer;
 
-/// Idle connections that a thread keeps per backend server.
-const IDLE_PER_SERVER: usize = 1024;
-/// Longest wait for an idle connection to become ready.
+/// Maximum number of idle connections that a thread keeps per backend server.
+const MAX_IDLE_PER_SERVER: usize = 1024;
+/// The longest wait for an idle connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
-/// Longest time that an idle connection is used again; servers that close
-/// earlier say so, and a close is seen before the next use in most cases.
-const IDLE_TIME: Duration = Duration::from_secs(60);
-/// Longest wait for a connection.
+/// The longest time that an idle connection is kept for reuse. Servers that close connections
+/// earlier announce it, and in most cases the close is noticed before the next use.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(60);
+/// The longest wait for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest body that [`Client::fetch`] takes.
-const FETCH_LIMIT: usize = 4 << 20;
+/// Maximum size of a body that [`Client::fetch`] accepts.
+const MAX_FETCH_BYTES: usize = 4 << 20;
 
-/// A failed attempt.
+/// The reason for which an attempt failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum AttemptError {
     /// No byte of the request was written.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The request, or part of it, may have arrived.
+    /// The request, or a part of it, may have arrived.
     #[error("no answer: {0}")]
     NoResponse(String),
-    /// Whoever asked no longer wanted it sent.
+    /// The sender cancelled the request before it was sent.
     #[error("withheld")]
     Withheld,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
-/// Idle connections of each thread by address.
+/// The idle connections, by thread and address.
 type IdleConnections = Arc<Mutex<HashMap<(usize, SocketAddr), Vec<Connection>>>>;
 
-/// An open connection. It is closed at once when it is dropped: that is how
-/// the other side learns that nobody waits for an answer any more.
+/// An open connection. It is closed immediately when it is dropped, which tells the server that
+/// nobody waits for a response.
 struct Connection {
     sender: Sender,
     task: AbortHandle,
-    /// Until when it may be used again.
-    fresh_until: Instant,
+    /// The time until which the connection may be reused.
+    reusable_until: Instant,
 }
 
 impl Drop for Connection {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Connections to backend servers.
+/// A client with a pool of connections to backend servers.
 #[derive(Clone)]
 pub struct Client {
     idle: IdleConnections,
@@ -90,52 +90,52 @@
     }
 }
 
-/// An answer and the connection that it arrives on.
+/// The body of a response, together with the connection that it arrives on.
 pub struct PooledBody {
     body: Incoming,
     connection: Option<(Connection, SocketAddr, IdleConnections)>,
-    /// Whether the connection may serve others afterwards.
+    /// Whether the connection may be reused.
     reuse: bool,
 }
 
 impl PooledBody {
-    /// The body.
+    /// Returns the body.
     pub fn body(&mut self) -> &mut Incoming {
         &mut self.body
     }
 
-    /// The body was read to its proper end: others may use the connection.
+    /// Returns the connection to the pool. Call this only after the body was read completely.
     pub fn release(&mut self) {
-        self.release_for(IDLE_TIME);
+        self.release_for(MAX_IDLE_TIME);
     }
 
-    /// As [`PooledBody::finished`], for a connection that may rest for `idle` at most.
+    /// As [`PooledBody::release`], but keeps the connection idle for at most `idle_time`.
     pub fn release_for(&mut self, idle_time: Duration) {
-        let Some((mut link, address, idle)) = self.connection.take() else { return };
-        if !self.reuse || link.sender.is_closed() {
+        let Some((mut connection, address, idle)) = self.connection.take() else { return };
+        if !self.reuse || connection.sender.is_closed() {
             return;
         }
-        link.fresh_until = clock::now() + idle_time.min(IDLE_TIME);
-        keep(&idle, address, link);
+        connection.reusable_until = clock::now() + idle_time.min(MAX_IDLE_TIME);
+        store_idle(&idle, address, connection);
     }
 }
 
-/// Keeps a connection for the next request of this thread.
-fn keep(idle: &IdleConnections, address: SocketAddr, link: Connection) {
+/// Stores a connection for the next request of this thread.
+fn store_idle(idle: &IdleConnections, address: SocketAddr, connection: Connection) {
     let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
-    let links = idle.entry((traffic_thread::index(), address)).or_default();
-    if links.len() < IDLE_PER_SERVER {
-        links.push(link);
+    let connections = idle.entry((traffic_thread::index(), address)).or_default();
+    if connections.len() < MAX_IDLE_PER_SERVER {
+        connections.push(connection);
     }
 }
 
 impl Client {
-    /// A client that waits so long for a connection.
+    /// Creates a client with this timeout for establishing a connection.
     pub fn new(connect_timeout: Duration) -> Client {
         Client { idle: IdleConnections::default(), connect_timeout }
     }
 
-    /// Sends a request and waits for the head of the answer. `fresh` asks for a new connection.
+    /// Sends a request and waits for the head of the response. `fresh` demands a new connection.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -145,39 +145,41 @@
         self.send_if(address, request, fresh, || true).await
     }
 
-    /// As [`Client::exchange`]; asks once more, when there is a connection, whether to send it at all.
+    /// As [`Client::send`], but calls `still_wanted` once a connection is established and sends the
+    /// request only if it returns true.
     pub async fn send_if(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         fresh: bool,
-        admits: impl Fn() -> bool,
+        still_wanted: impl Fn() -> bool,
     ) -> Result<Response<PooledBody>, AttemptError> {
-        while !fresh && let Some(mut link) = self.take_idle(address) {
-            // Right after an answer, the connection's own task has yet to see its end.
-            match timer::timeout(READY_TIMEOUT, link.sender.ready()).await {
+        while !fresh && let Some(mut connection) = self.take_idle(address) {
+            // Immediately after a response, the connection's task may not have processed its end
+            // yet.
+            match timer::timeout(READY_TIMEOUT, connection.sender.ready()).await {
                 Ok(Ok(())) => {}
                 _ => continue,
             }
-            if !admits() {
-                keep(&self.idle, address, link);
+            if !still_wanted() {
+                store_idle(&self.idle, address, connection);
                 return Err(AttemptError::Withheld);
             }
-            match link.sender.try_send_request(request).await {
-                Ok(response) => return Ok(self.answered(response, link, address, true)),
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok(self.wrap_response(response, connection, address, true)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(AttemptError::NoResponse(error.into_error().to_string())),
                 },
             }
         }
-        let mut link =
+        let mut connection =
             connect(address, self.connect_timeout).await.map_err(AttemptError::NotSent)?;
-        if !admits() {
+        if !still_wanted() {
             return Err(AttemptError::Withheld);
         }
-        match link.sender.try_send_request(request).await {
-            Ok(response) => Ok(self.answered(response, link, address, !fresh)),
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok(self.wrap_response(response, connection, address, !fresh)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let text = error.into_error().to_string();
@@ -190,51 +192,52 @@
         }
     }
 
-    fn answered(
+    fn wrap_response(
         &self,
         response: Response<Incoming>,
-        link: Connection,
+        connection: Connection,
         address: SocketAddr,
         reuse: bool,
     ) -> Response<PooledBody> {
-        let connection = Some((link, address, Arc::clone(&self.idle)));
+        let connection = Some((connection, address, Arc::clone(&self.idle)));
         response.map(|body| PooledBody { body, connection, reuse })
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let links = idle.get_mut(&(traffic_thread::index(), address))?;
+        let connections = idle.get_mut(&(traffic_thread::index(), address))?;
         let now = clock::now();
-        links.retain(|link| !link.sender.is_closed() && now < link.fresh_until);
-        let ready = links.iter().rposition(|link| link.sender.is_ready());
-        let index = ready.or(links.len().checked_sub(1))?;
-        Some(links.swap_remove(index))
+        connections
+            .retain(|connection| !connection.sender.is_closed() && now < connection.reusable_until);
+        let ready = connections.iter().rposition(|connection| connection.sender.is_ready());
+        let index = ready.or(connections.len().checked_sub(1))?;
+        Some(connections.swap_remove(index))
     }
 
-    /// Idle connections of this thread to a server.
+    /// Returns the number of idle connections of this thread to a server.
     pub fn idle_count(&self, address: SocketAddr) -> usize {
         let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.get(&(traffic_thread::index(), address)).map_or(0, Vec::len)
     }
 
-    /// Closes the idle connections to servers that are no longer wanted.
+    /// Closes the idle connections to servers for which `keep` is false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|(_, address), _| keep(address));
     }
 
-    /// Sends a small request and reads the whole answer.
+    /// Sends a small request and reads the complete response.
     pub async fn fetch(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, AttemptError> {
         let response = self.send(address, request, false).await?;
-        let (head, mut exchange) = response.into_parts();
-        let limited = http_body_util::Limited::new(exchange.body(), FETCH_LIMIT);
+        let (head, mut pooled_body) = response.into_parts();
+        let limited = http_body_util::Limited::new(pooled_body.body(), MAX_FETCH_BYTES);
         let body =
             limited.collect().await.map_err(|error| AttemptError::NoResponse(error.to_string()))?;
-        exchange.release();
+        pooled_body.release();
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 }
@@ -250,16 +253,17 @@
         .await
         .map_err(|error| error.to_string())?;
     let task = tokio::spawn(connection).abort_handle();
-    Ok(Connection { sender, task, fresh_until: clock::now() + IDLE_TIME })
+    Ok(Connection { sender, task, reusable_until: clock::now() + MAX_IDLE_TIME })
 }
 
-/// Whether the machine there says that nothing listens on that port: the process is gone.
+/// Returns whether the host refuses connections to the port, which means that the process has
+/// terminated.
 pub async fn refuses_connections(address: SocketAddr, timeout: Duration) -> bool {
     let connected = timer::timeout(timeout, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Whether something accepts connections there.
+/// Returns whether a process accepts connections at the address.
 pub async fn accepts_connections(address: SocketAddr, timeout: Duration) -> bool {
     matches!(timer::timeout(timeout, TcpStream::connect(address)).await, Ok(Ok(_)))
 }
--- a/lib/src/transport/body.rs
+++ b/lib/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -10,41 +10,42 @@
 use http_body::SizeHint;
 use tokio::sync::mpsc;
 
-/// Why an answer ended before its end.
+/// The reason for which a response broke off.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum BodyError {
-    /// The backend server's connection broke.
+    /// The connection to the backend server broke.
     #[error("the backend server's answer broke off: {0}")]
     ConnectionLost(String),
-    /// Silence for too long.
+    /// The backend server sent nothing for too long.
     #[error("the backend server was silent for too long")]
     IdleTimeout,
-    /// The answer ended without its closing mark.
+    /// The stream ended without its end marker.
     #[error("the backend server's stream has no end mark")]
     MissingEnd,
-    /// The task that carried it is gone.
+    /// The task that relayed the response has ended.
     #[error("the answer was given up")]
     TaskGone,
 }
 
-/// Parts of an answer.
+/// A chunk of a body.
 pub type Chunk = Result<Bytes, BodyError>;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody<R> {
-    /// Already whole.
+    /// A complete body.
     Buffered(Option<Bytes>),
-    /// Passed on as it arrives.
+    /// A body that is relayed as it arrives.
     Relay(R),
-    /// Passed on by a task that outlives the caller; ends only with [`Chunk`]s and a final `None`.
+    /// A body relayed by a task that outlives the caller's request. A final `None` marks its end; a
+    /// channel that closes without it is an error.
     Channel(mpsc::Receiver<Option<Chunk>>),
 }
 
-/// An answer that is never relayed by polling: whole, or passed on by a task.
-pub type RelayFreeBody = ResponseBody<NoRelay>;
+/// A body that is never relayed by polling: it is either complete or relayed by a task.
+pub type NonRelayBody = ResponseBody<NoRelay>;
 
-/// No body.
+/// A body type without values, for bodies that are never relayed by polling.
 #[derive(Debug)]
 pub enum NoRelay {}
 
@@ -61,7 +62,7 @@
 }
 
 impl<R> ResponseBody<R> {
-    /// A whole body.
+    /// Creates a complete body.
     pub fn buffered(bytes: impl Into<Bytes>) -> ResponseBody<R> {
         ResponseBody::Buffered(Some(bytes.into()))
     }
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP: their load, and fenced orders.
+//! HTTP client for model engines: load queries and fenced orders.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,17 +17,17 @@
 use crate::coordination::lease::Epoch;
 use crate::transport::timer;
 
-/// Longest wait for a probe's answer.
+/// The longest wait for the response to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Load that an engine reports; lags.
+/// The load that an engine reports, which lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineLoad {
-    /// Requests that it runs.
+    /// The number of requests that the engine executes.
     pub running: u32,
-    /// Requests that wait in it.
+    /// The number of requests in the engine's queue.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -35,44 +35,44 @@
 /// A model and its version.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ModelVersion {
-    /// Name.
+    /// The name.
     pub name: String,
-    /// Version.
+    /// The version.
     pub version: String,
 }
 
-/// What an engine has loaded.
+/// The models that an engine has loaded.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedModels {
-    /// Epoch of the latest order; 0 before the first.
+    /// The epoch of the latest order; 0 before the first order.
     pub epoch: Epoch,
-    /// Models, sorted.
+    /// The models, sorted.
     pub models: Vec<ModelVersion>,
 }
 
-/// A failed order.
+/// The reason for which an order failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum OrderError {
     /// The engine has seen a newer epoch.
     #[error("the engine has seen a newer epoch")]
     Fenced,
-    /// No usable answer.
+    /// The engine sent no usable response.
     #[error("{0}")]
     Failed(String),
 }
 
-/// What is said to a model engine besides requests.
+/// The control interface of a model engine.
 pub trait Engine: Send + Sync + 'static {
-    /// Asks for its load; `None` where it does not answer.
+    /// Queries the load; `None` if the engine does not respond.
     fn load(&self, address: SocketAddr) -> impl Future<Output = Option<EngineLoad>> + Send;
 
-    /// Asks what it has loaded.
+    /// Queries the loaded models.
     fn loaded(
         &self,
         address: SocketAddr,
     ) -> impl Future<Output = Result<LoadedModels, OrderError>> + Send;
 
-    /// Orders the state wanted; it says nothing of the state before.
+    /// Sets the target state. The order does not depend on the previous state.
     fn order(
         &self,
         address: SocketAddr,
--- a/lib/src/transport/http1.rs
+++ b/lib/src/transport/http1.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 servers of the gateway: accept and serve on the same thread.
+//! HTTP/1.1 servers of the gateway. A connection is accepted and served on the same thread.
 //!
-//! A connection stays open as long as its caller wants to use it; a stop ends
-//! idle connections only once the answers in progress are out.
+//! A connection stays open as long as its caller wants to use it. A shutdown closes a connection
+//! only after its responses in progress are complete.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -27,32 +27,32 @@
 
 use crate::transport::timer;
 
-/// Pause after a failed accept, so that descriptors can be given back.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Smallest read buffer that the library takes, bytes.
-const MIN_BUFFER: usize = 8192;
+/// The delay after a failed accept, which gives time for file descriptors to be freed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Bounds on a connection, read when it is accepted.
+/// Limits on a connection, read when it is accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Largest head of a request, bytes.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
-/// Where a request's connection comes from; [`serve`] puts it into the request's extensions.
+/// The IP address of the client. [`serve`] adds it to the extensions of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientIp(pub IpAddr);
 
-/// Serves a port until told to stop; then takes no new connections, ends idle ones, and the
-/// others after their answers, unless it is told to end at once.
+/// Serves a port until shutdown. Then it accepts no new connections, closes idle ones, and closes
+/// the others after their responses; [`Shutdown::Immediate`] ends it at once.
 pub async fn serve<H, F, B>(
     listener: TcpListener,
-    most: usize,
-    bounds: impl Fn() -> ConnectionLimits,
+    max_connections: usize,
+    limits: impl Fn() -> ConnectionLimits,
     handler: H,
-    mut stop: watch::Receiver<Shutdown>,
+    mut shutdown: watch::Receiver<Shutdown>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
@@ -60,48 +60,51 @@
     B::Error: std::error::Error + Send + Sync,
 {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(most));
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|stop| *stop != Shutdown::No) => break,
+        let result = tokio::select! {
+            result = listener.accept() => result,
+            _ = shutdown.wait_for(|shutdown| *shutdown != Shutdown::No) => break,
         };
-        let (stream, from) = match accepted {
-            Ok(accepted) => accepted,
+        let (stream, peer_address) = match result {
+            Ok(result) => result,
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                timer::sleep(ACCEPT_PAUSE).await;
+                timer::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-            log::warn!("event=connection_refused reason=\"all {most} places are taken\"");
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+            log::warn!(
+                "event=connection_refused reason=\"all {max_connections} places are taken\""
+            );
             continue;
         };
-        // Without it answers are only a little later.
+        // On an error, responses are only slightly delayed.
         let _ = stream.set_nodelay(true);
-        let ConnectionLimits { header_bytes, idle_timeout } = bounds();
+        let ConnectionLimits { header_bytes, idle_timeout } = limits();
         let handler = handler.clone();
         let service = service_fn(move |mut request: Request<Incoming>| {
-            request.extensions_mut().insert(ClientIp(from.ip()));
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            request.extensions_mut().insert(ClientIp(peer_address.ip()));
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle_timeout)
-            .max_buf_size(header_bytes.max(MIN_BUFFER))
+            .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
-            // Ends with an error whenever a caller goes away; the handler accounts for that.
+            // The connection ends with an error whenever a caller disconnects; the handler accounts
+            // for this.
             let _ = connection.await;
-            drop(place);
+            drop(permit);
         });
     }
     drop(listener);
     tokio::select! {
         () = graceful.shutdown() => {}
-        _ = stop.wait_for(|stop| *stop == Shutdown::Now) => {}
+        _ = shutdown.wait_for(|shutdown| *shutdown == Shutdown::Immediate) => {}
     }
 }
--- a/lib/src/transport/listen.rs
+++ b/lib/src/transport/listen.rs
@@ -1,4 +1,5 @@
-//! HTTP servers: accept, limit, serve, and end without cutting an answer.
+//! HTTP servers: accept connections, limit their number, serve them, and shut down without cutting
+//! off responses.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -26,60 +27,60 @@
 
 use crate::transport::timer;
 
-/// Longest wait for the headers of a request.
+/// The longest wait for the headers of a request, and the interval of HTTP/2 keep-alive pings.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
-/// Most streams on one HTTP/2 connection.
+/// Maximum number of concurrent streams on one HTTP/2 connection.
 const MAX_STREAMS: u32 = 1024;
-/// Most connections of one port on one thread.
+/// Maximum number of connections of one port on one thread.
 pub const MAX_CONNECTIONS: usize = 8192;
-/// Longest wait at the end for answers that are already written to reach their callers.
+/// The longest wait at shutdown for responses that are already written to reach their callers.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether servers should end.
+/// Whether and how servers should shut down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shutdown {
-    /// No.
+    /// Keep running.
     No,
-    /// After the answers in progress.
+    /// Shut down after the responses in progress.
     Graceful,
-    /// At once.
-    Now,
+    /// Shut down immediately.
+    Immediate,
 }
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 4096;
+/// Maximum number of connections in the backlog of a listening socket.
+const ACCEPT_BACKLOG: u32 = 4096;
 
-/// Accepted connections that wait for a thread.
+/// Capacity of the queue of accepted connections of one thread.
 pub const HANDOVER_QUEUE_LEN: usize = 256;
 
-/// Opens a port.
+/// Opens a listening socket.
 pub fn bind(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
     let _guard = runtime.enter();
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)?.into_std()
+    socket.listen(ACCEPT_BACKLOG)?.into_std()
 }
 
-/// Accepted connections on their way to the thread that serves them.
+/// The receiver of accepted connections in the thread that serves them.
 pub type AcceptedStreams = mpsc::Receiver<std::net::TcpStream>;
 
-/// Accepts until told to stop, and hands the connections to the threads in turn.
+/// Accepts connections until shutdown and distributes them to the threads in turn.
 pub async fn accept(
     listener: TcpListener,
-    threads: Vec<mpsc::Sender<std::net::TcpStream>>,
-    mut stop: watch::Receiver<Shutdown>,
+    traffic_threads: Vec<mpsc::Sender<std::net::TcpStream>>,
+    mut shutdown: watch::Receiver<Shutdown>,
 ) {
-    for thread in threads.iter().cycle() {
+    for thread in traffic_threads.iter().cycle() {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|stop| *stop != Shutdown::No) => return,
+            _ = shutdown.wait_for(|shutdown| *shutdown != Shutdown::No) => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors, most likely: let some be given back.
+            // The usual cause is a lack of file descriptors; wait until some are freed.
             timer::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -90,12 +91,12 @@
     }
 }
 
-/// Serves what is accepted until told to stop, then ends idle connections
-/// at once and the others after their answer.
+/// Serves accepted connections until shutdown, then closes idle connections immediately and the
+/// others after their response.
 pub async fn serve<H, F, B>(
     mut accepted: AcceptedStreams,
     handler: H,
-    mut stop: watch::Receiver<Shutdown>,
+    mut shutdown: watch::Receiver<Shutdown>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
@@ -103,27 +104,27 @@
     B::Error: std::error::Error + Send + Sync,
 {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let builder = builder();
     loop {
         let stream = tokio::select! {
             stream = accepted.recv() => stream,
-            _ = stop.wait_for(|stop| *stop != Shutdown::No) => break,
+            _ = shutdown.wait_for(|shutdown| *shutdown != Shutdown::No) => break,
         };
         let Some(stream) = stream else { break };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else { continue };
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else { continue };
         let Ok(stream) = TcpStream::from_std(stream) else { continue };
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
             let _ = connection.await;
-            drop(place);
+            drop(permit);
         });
     }
     drop(accepted);
--- a/lib/src/transport/mod.rs
+++ b/lib/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: HTTP for callers, backend servers and the platform; gRPC between boxes.
+//! Network I/O: HTTP for callers, backend servers and the platform; gRPC between boxes.
 
 pub mod backend;
 pub mod body;
--- a/lib/src/transport/peer.rs
+++ b/lib/src/transport/peer.rs
@@ -1,4 +1,4 @@
-//! gRPC between boxes.
+//! gRPC client and server for calls between boxes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -31,16 +31,17 @@
 use crate::protocol::peer::wire::peer_server::Peer;
 use crate::protocol::peer::wire::peer_server::PeerServer;
 
-/// Largest message between boxes.
+/// Maximum size of a message between boxes.
 pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
-/// Longest wait for a connection.
+/// The longest wait for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to a heartbeat or a query.
+/// The longest wait for the response to a heartbeat or a query.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that does not answer pings for this long is closed.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+/// The interval of keep-alive pings. A connection that does not respond to a ping within the same
+/// time is closed.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A failed call to another box.
+/// The reason for which a call to another box failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The box was not reached; nothing was sent.
@@ -51,7 +52,7 @@
     NoResponse(Box<Status>),
 }
 
-/// Connections to other boxes.
+/// A client with connections to other boxes.
 pub struct Client {
     secret: MetadataValue<Ascii>,
     routes: BTreeMap<SocketAddr, SocketAddr>,
@@ -59,15 +60,15 @@
 }
 
 impl Client {
-    /// A client that shows the shared secret; `None` if the secret is not plain
-    /// ASCII. `routes` has the addresses to use in place of others.
+    /// Creates a client that authenticates with the shared secret; `None` if the secret is not
+    /// plain ASCII. `routes` maps peer addresses to the addresses to use instead.
     pub fn new(secret: &str, routes: BTreeMap<SocketAddr, SocketAddr>) -> Option<Client> {
         let mut secret: MetadataValue<Ascii> = secret.parse().ok()?;
         secret.set_sensitive(true);
         Some(Client { secret, routes, channels: Mutex::default() })
     }
 
-    async fn peer(&self, address: SocketAddr) -> Result<PeerClient<Channel>, CallError> {
+    async fn client_for(&self, address: SocketAddr) -> Result<PeerClient<Channel>, CallError> {
         let known = self.lock().get(&(traffic_thread::index(), address)).cloned();
         let channel = match known {
             Some(channel) => channel,
@@ -93,49 +94,50 @@
         request
     }
 
-    fn lost(&self, address: SocketAddr, status: Status) -> CallError {
+    fn call_error(&self, address: SocketAddr, status: Status) -> CallError {
         if status.code() == tonic::Code::Unavailable {
             self.lock().remove(&(traffic_thread::index(), address));
         }
         CallError::NoResponse(Box::new(status))
     }
 
-    /// Exchanges heartbeats.
+    /// Sends a heartbeat and returns the one in the response.
     pub async fn exchange(
         &self,
         address: SocketAddr,
         heartbeat: wire::Heartbeat,
     ) -> Result<wire::Heartbeat, CallError> {
-        let mut peer = self.peer(address).await?;
+        let mut client = self.client_for(address).await?;
         let mut request = self.request(heartbeat);
         request.set_timeout(CALL_TIMEOUT);
-        let answer = peer.exchange(request).await;
-        answer.map(tonic::Response::into_inner).map_err(|status| self.lost(address, status))
+        let response = client.exchange(request).await;
+        response.map(tonic::Response::into_inner).map_err(|status| self.call_error(address, status))
     }
 
-    /// Asks for the configuration if it is newer than ours.
+    /// Requests the configuration if it is newer than the given version.
     pub async fn fetch_configuration(
         &self,
         address: SocketAddr,
         newer_than: Version,
     ) -> Result<Option<Bytes>, CallError> {
-        let mut peer = self.peer(address).await?;
+        let mut client = self.client_for(address).await?;
         let mut request = self.request(wire::ConfigurationQuery { newer_than });
         request.set_timeout(CALL_TIMEOUT);
-        let answer = peer.fetch_configuration(request).await;
-        let document = answer.map_err(|status| self.lost(address, status))?.into_inner().document;
+        let response = client.fetch_configuration(request).await;
+        let document =
+            response.map_err(|status| self.call_error(address, status))?.into_inner().document;
         Ok(Some(document).filter(|document| !document.is_empty()))
     }
 
-    /// Has a request run on another box.
+    /// Forwards a request to another box, which executes it.
     pub async fn forward(
         &self,
         address: SocketAddr,
         forward: wire::ForwardRequest,
     ) -> Result<Streaming<wire::ForwardFrame>, CallError> {
-        let mut peer = self.peer(address).await?;
-        let answer = peer.forward(self.request(forward)).await;
-        answer.map(tonic::Response::into_inner).map_err(|status| self.lost(address, status))
+        let mut client = self.client_for(address).await?;
+        let response = client.forward(self.request(forward)).await;
+        response.map(tonic::Response::into_inner).map_err(|status| self.call_error(address, status))
     }
 }
 
@@ -143,16 +145,16 @@
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .map_err(|error| error.to_string())?
         .connect_timeout(CONNECT_TIMEOUT)
-        .http2_keep_alive_interval(KEEPALIVE)
-        .keep_alive_timeout(KEEPALIVE)
+        .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
+        .keep_alive_timeout(KEEPALIVE_INTERVAL)
         .tcp_nodelay(true);
     endpoint.connect().await.map_err(|error| format!("{address}: {error}"))
 }
 
-/// Lets in only callers that show the shared secret.
+/// Accepts only calls with the correct shared secret.
 pub fn authorize<T>(request: &Request<T>, secret: &str) -> Result<(), Status> {
-    let shown = request.metadata().get(SECRET_HEADER).map(MetadataValue::as_bytes);
-    let equal = shown.is_some_and(|shown| bool::from(shown.ct_eq(secret.as_bytes())));
+    let received = request.metadata().get(SECRET_HEADER).map(MetadataValue::as_bytes);
+    let equal = received.is_some_and(|received| bool::from(received.ct_eq(secret.as_bytes())));
     if equal {
         Ok(())
     } else {
@@ -160,14 +162,14 @@
     }
 }
 
-/// Serves other boxes on accepted connections until told to stop.
+/// Serves calls from other boxes on accepted connections until shutdown.
 pub async fn serve<P: Peer>(
     accepted: AcceptedStreams,
     service: PeerServer<P>,
-    mut stop: watch::Receiver<Shutdown>,
+    mut shutdown: watch::Receiver<Shutdown>,
 ) {
-    let ended = async move {
-        let _ = stop.wait_for(|stop| *stop != Shutdown::No).await;
+    let shut_down = async move {
+        let _ = shutdown.wait_for(|shutdown| *shutdown != Shutdown::No).await;
     };
     let incoming = ReceiverStream::new(accepted).map(|stream| {
         let stream = TcpStream::from_std(stream)?;
@@ -175,7 +177,7 @@
         Ok::<_, std::io::Error>(stream)
     });
     let server = tonic::transport::Server::builder().add_service(service);
-    if let Err(error) = server.serve_with_incoming_shutdown(incoming, ended).await {
+    if let Err(error) = server.serve_with_incoming_shutdown(incoming, shut_down).await {
         log::error!("event=peer_port_failed error=\"{error}\"");
     }
 }
--- a/lib/src/transport/platform.rs
+++ b/lib/src/transport/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP and JSON.
+//! Client of the platform over HTTP and JSON.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use crate::state::counters::Counter;
 use crate::state::counters::Counters;
 
-/// Longest wait for an answer, beyond the time that a watch itself may wait.
+/// The longest wait for a response, in addition to the time that a watch itself may wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The platform at one address.
@@ -67,14 +67,14 @@
 }
 
 impl Platform {
-    /// A platform; its calls are counted.
+    /// Creates a client of a platform. Its calls are counted.
     pub fn new(address: SocketAddr, counters: Arc<Counters>) -> Platform {
         Platform { address, client: Client::default(), counters }
     }
 
     async fn call(&self, call: Call) -> Result<(StatusCode, Bytes), PlatformError> {
-        let read = call.method == Method::GET;
-        self.counters.increment(if read { Counter::StoreReads } else { Counter::StoreWrites });
+        let is_read = call.method == Method::GET;
+        self.counters.increment(if is_read { Counter::StoreReads } else { Counter::StoreWrites });
         let result = self.send(call).await;
         if result.is_err() {
             self.counters.increment(Counter::StoreFailures);
@@ -87,25 +87,25 @@
         let body = call.body.map(|body| body.to_string()).unwrap_or_default();
         let call =
             adapter::StoreRequest { method: call.method, path: call.path, body: body.into() };
-        store::exchange(&self.client, self.address, call, timeout).await
+        store::call_http(&self.client, self.address, call, timeout).await
     }
 
-    async fn find(&self, call: Call) -> Result<Option<Entry>, PlatformError> {
+    async fn get_entry(&self, call: Call) -> Result<Option<Entry>, PlatformError> {
         let (status, body) = self.call(call).await?;
         match status {
             StatusCode::NOT_FOUND | StatusCode::NO_CONTENT => Ok(None),
-            _ => read(&body).map(Some),
+            _ => decode(&body).map(Some),
         }
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
     serde_json::from_slice(body).map_err(|error| PlatformError::Malformed(error.to_string()))
 }
 
 impl Store for Platform {
     async fn get(&self, key: &str) -> Result<Option<Entry>, PlatformError> {
-        self.find(Call::new(Method::GET, format!("/kv/{key}"))).await
+        self.get_entry(Call::new(Method::GET, format!("/kv/{key}"))).await
     }
 
     async fn put(&self, key: &str, put: Put) -> Result<Revision, PlatformError> {
@@ -113,10 +113,10 @@
         let (status, body) = self.call(call).await?;
         match status {
             StatusCode::CONFLICT => {
-                Err(PlatformError::Conflict(read::<RevisionAnswer>(&body)?.revision))
+                Err(PlatformError::Conflict(decode::<RevisionAnswer>(&body)?.revision))
             }
-            StatusCode::GONE => Err(PlatformError::LeaseOver),
-            status if status.is_success() => Ok(read::<RevisionAnswer>(&body)?.revision),
+            StatusCode::GONE => Err(PlatformError::LeaseExpired),
+            status if status.is_success() => Ok(decode::<RevisionAnswer>(&body)?.revision),
             status => Err(PlatformError::Malformed(format!("status {status}"))),
         }
     }
@@ -130,20 +130,20 @@
         let path = format!("/watch/{key}?after={after}&wait_ms={}", wait.as_millis());
         let mut call = Call::new(Method::GET, path);
         call.wait = wait;
-        self.find(call).await
+        self.get_entry(call).await
     }
 
     async fn grant(&self, life: Duration) -> Result<LeaseId, PlatformError> {
         let body = json!({"life_ms": life.as_millis() as u64});
         let call = Call::new(Method::POST, "/leases".to_owned()).with_body(body);
         let (_, body) = self.call(call).await?;
-        Ok(read::<LeaseAnswer>(&body)?.lease)
+        Ok(decode::<LeaseAnswer>(&body)?.lease)
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<(), PlatformError> {
         let (status, _) = self.call(Call::new(Method::POST, format!("/leases/{lease}"))).await?;
         match status {
-            StatusCode::GONE => Err(PlatformError::LeaseOver),
+            StatusCode::GONE => Err(PlatformError::LeaseExpired),
             _ => Ok(()),
         }
     }
@@ -164,6 +164,6 @@
 impl BoxList for Platform {
     async fn list(&self) -> Result<Vec<BoxListEntry>, PlatformError> {
         let (_, body) = self.call(Call::new(Method::GET, "/boxes".to_owned())).await?;
-        read(&body)
+        decode(&body)
     }
 }
--- a/lib/src/transport/store.rs
+++ b/lib/src/transport/store.rs
@@ -1,5 +1,5 @@
-//! The client of a platform's store: one call, one answer. What a call looks
-//! like is the codec's matter; when to call again is the caller's.
+//! Client of the platform's store. Each call is one request and one response. The codec determines
+//! the form of a call; the caller decides when to retry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,34 +29,34 @@
 use crate::state::latency::Timing;
 use crate::transport::timer;
 
-/// Longest wait for an answer, beyond the time that a watch itself may wait.
-/// A healthy store answers in milliseconds; a slow one in some hundreds.
+/// The longest wait for a response, in addition to the time that a watch itself may wait. A healthy
+/// store responds within milliseconds, a slow one within some hundred milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause after a failed call.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The delay after a failed call.
+pub const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The store at one address.
+/// A client of the store at one address.
 #[derive(Clone)]
 pub struct Client<C> {
     address: SocketAddr,
     codec: C,
     http: backend::Client,
-    measures: StoreMetrics,
-    eras: NewestEra,
+    metrics: StoreMetrics,
+    newest_era: NewestEra,
 }
 
-/// The newest era that the store, or another box, has told.
+/// The newest era that the store or another box has reported.
 #[derive(Clone, Debug, Default)]
 pub struct NewestEra(Arc<AtomicU64>);
 
 impl NewestEra {
-    /// The newest era so far; 0 if none was told.
+    /// Returns the newest era so far; 0 if none was reported.
     pub fn get(&self) -> Era {
         self.0.load(Ordering::Acquire)
     }
 
-    /// The store, or a box, at that address has told an era.
+    /// Records an era reported by the store or the box at this address.
     pub fn observe(&self, era: Era, by: SocketAddr) {
         let before = self.0.fetch_max(era, Ordering::AcqRel);
         if before < era {
@@ -65,41 +65,41 @@
     }
 }
 
-/// An answer, and the history of the store that it is about.
+/// A response of the store, and the era that it belongs to.
 #[derive(Clone, Debug)]
 pub struct ResponseWithEra {
-    /// The answer.
+    /// The response.
     pub response: StoreResponse,
-    /// The store's era, if it tells one.
+    /// The era of the store, if reported.
     pub era: Option<Era>,
 }
 
-/// Where calls are counted and timed.
+/// The metrics in which calls are recorded.
 #[derive(Clone)]
 pub struct StoreMetrics {
-    /// Counters.
+    /// The counters.
     pub counters: Arc<Counters>,
-    /// How long calls took.
+    /// The latency histograms.
     pub latencies: Arc<Latencies>,
 }
 
 impl<C: StoreCodec> Client<C> {
-    /// A store; calls are counted.
+    /// Creates a client. Calls are counted and timed.
     pub fn new(
         address: SocketAddr,
         codec: C,
-        measures: StoreMetrics,
-        eras: NewestEra,
+        metrics: StoreMetrics,
+        newest_era: NewestEra,
     ) -> Client<C> {
-        Client { address, codec, http: backend::Client::default(), measures, eras }
+        Client { address, codec, http: backend::Client::default(), metrics, newest_era }
     }
 
-    /// Makes a call.
+    /// Executes an operation.
     pub async fn call(&self, operation: &Operation) -> Result<StoreResponse, PlatformError> {
-        self.call_with_era(operation).await.map(|told| told.response)
+        self.call_with_era(operation).await.map(|reply| reply.response)
     }
 
-    /// Makes a call whose answer counts for one history of the store only.
+    /// Executes an operation whose response is valid only within one era of the store.
     pub async fn call_with_era(
         &self,
         operation: &Operation,
@@ -109,14 +109,14 @@
             Operation::Renew(_) => Counter::StoreRenewals,
             _ => Counter::StoreWrites,
         };
-        let StoreMetrics { counters, latencies } = &self.measures;
+        let StoreMetrics { counters, latencies } = &self.metrics;
         counters.increment(counter);
-        let called = clock::now();
+        let started_at = clock::now();
         let result = self.send(operation).await;
         if result.is_err() {
             counters.increment(Counter::StoreFailures);
         } else if !matches!(operation, Operation::Watch { .. }) {
-            latencies.record(Timing::StoreCall, clock::since(called));
+            latencies.record(Timing::StoreCall, clock::since(started_at));
         }
         result
     }
@@ -127,33 +127,33 @@
             Operation::Watch { wait, .. } => *wait + CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
         };
-        let response = fetch(&self.http, self.address, call, timeout).await?;
+        let response = fetch_response(&self.http, self.address, call, timeout).await?;
         let era = self.codec.era(response.headers());
         if let Some(era) = era {
-            self.eras.observe(era, self.address);
+            self.newest_era.observe(era, self.address);
         }
-        let (status, body) = answered(response)?;
+        let (status, body) = check_status(response)?;
         Ok(ResponseWithEra { response: self.codec.decode(operation, status, &body)?, era })
     }
 
-    /// The newest era that was told; 0 if none was.
+    /// Returns the newest era that was reported; 0 if none was.
     pub fn newest_era(&self) -> Era {
-        self.eras.get()
+        self.newest_era.get()
     }
 }
 
-/// Makes one call to a platform and tells failures apart: those that certainly had no effect
-/// from those that may have had one.
-pub(super) async fn exchange(
+/// Sends one request to a platform. The error distinguishes calls that certainly had no effect from
+/// calls that may have had one.
+pub(super) async fn call_http(
     http: &backend::Client,
     address: SocketAddr,
     call: StoreRequest,
     timeout: Duration,
 ) -> Result<(StatusCode, Bytes), PlatformError> {
-    answered(fetch(http, address, call, timeout).await?)
+    check_status(fetch_response(http, address, call, timeout).await?)
 }
 
-async fn fetch(
+async fn fetch_response(
     http: &backend::Client,
     address: SocketAddr,
     call: StoreRequest,
@@ -167,20 +167,20 @@
         .body(Full::new(call.body))
         .map_err(|error| PlatformError::Malformed(error.to_string()))?;
     match timer::timeout(timeout, http.fetch(address, request)).await {
-        Err(_) => Err(PlatformError::Lost("no answer in time".to_owned())),
-        Ok(Err(AttemptError::NoResponse(text))) => Err(PlatformError::Lost(text)),
+        Err(_) => Err(PlatformError::NoResponse("no answer in time".to_owned())),
+        Ok(Err(AttemptError::NoResponse(text))) => Err(PlatformError::NoResponse(text)),
         Ok(Err(unsent)) => Err(PlatformError::Unreachable(unsent.to_string())),
         Ok(Ok(response)) => Ok(response),
     }
 }
 
-fn answered(response: Response<Bytes>) -> Result<(StatusCode, Bytes), PlatformError> {
+fn check_status(response: Response<Bytes>) -> Result<(StatusCode, Bytes), PlatformError> {
     match response.status() {
-        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Limited),
+        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::RateLimited),
         StatusCode::SERVICE_UNAVAILABLE => {
             Err(PlatformError::Unreachable("the platform is out of service".to_owned()))
         }
-        status if status.is_server_error() => Err(PlatformError::Lost(status.to_string())),
+        status if status.is_server_error() => Err(PlatformError::NoResponse(status.to_string())),
         status => Ok((status, response.into_body())),
     }
 }
--- a/lib/src/transport/timer.rs
+++ b/lib/src/transport/timer.rs
@@ -1,10 +1,10 @@
-//! The timer service: parts subscribe to ticks of a period.
+//! The timer service: components subscribe to periodic ticks.
 //!
-//! Each tick says how late it is. A large lateness means that the process was
-//! frozen or starved, and that what it believes of others is old.
+//! Each tick has its lateness. A large lateness means that the process was frozen or starved, and
+//! that its knowledge about others is outdated.
 //!
-//! Everything that waits does so through this module: a machine that was
-//! suspended has waited as well, and its waits end when it wakes.
+//! All waits in the process use this module. The time for which the machine was suspended counts
+//! towards a wait, so waits that have expired meanwhile end when the machine resumes.
 
 use std::future::Future;
 use std::pin::pin;
@@ -16,18 +16,18 @@
 
 use crate::state::clock;
 
-/// One tick.
+/// A tick of a subscription.
 #[derive(Clone, Copy, Debug)]
 pub struct Tick<T> {
-    /// Which subscription.
+    /// The topic of the subscription.
     pub topic: T,
-    /// When it was delivered.
+    /// The time of delivery.
     pub now: Instant,
-    /// How much later than planned.
+    /// The delay after the planned time.
     pub lateness: Duration,
 }
 
-/// A subscription.
+/// A subscription to periodic ticks.
 #[derive(Clone, Copy, Debug)]
 struct Subscription<T> {
     topic: T,
@@ -35,7 +35,7 @@
     due: Instant,
 }
 
-/// Delivers ticks of all subscriptions into one channel.
+/// Delivers the ticks of all subscriptions to one channel.
 #[derive(Debug)]
 pub struct Timer<T> {
     subscriptions: Vec<Subscription<T>>,
@@ -48,14 +48,14 @@
 }
 
 impl<T: Copy + Send + 'static> Timer<T> {
-    /// Subscribes a topic; the first tick comes after `first`.
-    pub fn subscribe(&mut self, topic: T, period: Duration, first: Duration) {
-        let due = clock::now() + first;
+    /// Subscribes to ticks with a topic. The first tick comes after `initial_delay`.
+    pub fn subscribe(&mut self, topic: T, period: Duration, initial_delay: Duration) {
+        let due = clock::now() + initial_delay;
         self.subscriptions.push(Subscription { topic, period, due });
     }
 
-    /// Delivers until the receiver goes away. A tick that would come while the
-    /// receiver has not yet taken earlier ones waits; lateness ticks are not made up for.
+    /// Delivers ticks until the receiver is dropped. A tick waits while the receiver has not yet
+    /// taken earlier ones. Missed ticks are skipped.
     pub async fn run(mut self, ticks: mpsc::Sender<Tick<T>>) {
         loop {
             let Some(next) = self.subscriptions.iter_mut().min_by_key(|next| next.due) else {
@@ -75,58 +75,59 @@
     }
 }
 
-/// Time between looks whether the machine was suspended: waits end so much late after that, at most.
-const WATCH: Duration = Duration::from_millis(200);
-/// Least suspension that waits are corrected for: less than this is within what timers are late anyway.
-const SUSPENDED: Duration = Duration::from_millis(50);
+/// The interval of checks for a suspension. After a resume, waits end late by at most this time.
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The shortest suspension for which waits are corrected. Anything shorter is within the usual
+/// lateness of timers.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Wakes all waits when the machine was suspended.
+/// Wakes all waits after a suspension of the machine.
 static RESUMED: Notify = Notify::const_new();
 
-/// Watches for suspensions as long as the runtime lives.
+/// Checks for suspensions for the lifetime of the runtime.
 pub async fn watch_for_suspensions() {
-    let mut known = clock::total_suspension();
+    let mut seen = clock::total_suspension();
     loop {
-        tokio::time::sleep(WATCH).await;
+        tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
         let suspended = clock::total_suspension();
-        let more = suspended.saturating_sub(known);
-        if more < SUSPENDED {
+        let added = suspended.saturating_sub(seen);
+        if added < MIN_SUSPENSION {
             continue;
         }
-        known = suspended;
-        log::warn!("event=resumed suspended_ms={}", more.as_millis());
+        seen = suspended;
+        log::warn!("event=resumed suspended_ms={}", added.as_millis());
         RESUMED.notify_waiters();
     }
 }
 
-/// Waits until a moment of [`clock::now`]. A machine that was suspended meanwhile is taken into account:
-/// the runtime's own timers stand still with it.
+/// Waits until an instant of [`clock::now`]. This accounts for suspensions of the machine, during
+/// which the runtime's own timers stand still.
 pub async fn sleep_until(at: Instant) {
     loop {
         let mut resumed = pin!(RESUMED.notified());
         resumed.as_mut().enable();
-        let left = at.saturating_duration_since(clock::now());
-        if left.is_zero() {
+        let remaining = at.saturating_duration_since(clock::now());
+        if remaining.is_zero() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(left) => return,
+            () = tokio::time::sleep(remaining) => return,
             () = resumed => {}
         }
     }
 }
 
-/// Waits for so long, as [`sleep_until`] does.
+/// Waits for a duration, as [`sleep_until`] does.
 pub async fn sleep(time: Duration) {
     sleep_until(clock::now() + time).await;
 }
 
-/// The time for something is over.
+/// An error for a wait that reached its timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not done in time")]
 pub struct Elapsed;
 
-/// Waits for something until a moment of [`clock::now`] at most.
+/// Waits for a future until an instant of [`clock::now`] at most.
 pub async fn timeout_at<F: Future>(at: Instant, future: F) -> Result<F::Output, Elapsed> {
     tokio::select! {
         biased;
@@ -135,7 +136,7 @@
     }
 }
 
-/// Waits for something for so long at most.
+/// Waits for a future for a duration at most.
 pub async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, Elapsed> {
     timeout_at(clock::now() + time, future).await
 }
--- a/lib/src/transport/traffic_thread.rs
+++ b/lib/src/transport/traffic_thread.rs
@@ -1,8 +1,7 @@
-//! Traffic threads, each with a runtime of its own.
+//! The index of the current traffic thread. Each traffic thread has its own runtime.
 //!
-//! A connection stays on the thread that accepted it, and what it needs of
-//! others (connections to backend servers and boxes) is kept per thread, so
-//! that passing a request through wakes no other thread.
+//! A connection stays on the thread that accepted it. Connections to backend servers and to other
+//! boxes are kept per thread, so that forwarding a request wakes no other thread.
 
 use std::cell::Cell;
 
@@ -10,12 +9,12 @@
     static INDEX: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Tells this thread its number.
+/// Sets the index of the current thread.
 pub fn set_index(index: usize) {
     INDEX.set(index);
 }
 
-/// Number of this thread; 0 where it was told none.
+/// Returns the index of the current thread; 0 if none was set.
 pub fn index() -> usize {
     INDEX.get()
 }
--- a/lib/tests/test_facts.rs
+++ b/lib/tests/test_facts.rs
@@ -36,7 +36,7 @@
 fn server(cold_left: Duration) -> Server {
     Server {
         id: "i-1".to_owned(),
-        born: None,
+        started_at: None,
         service: "s".to_owned(),
         address: ([10, 0, 0, 1], 80).into(),
         failure_domain: "z".to_owned(),
@@ -195,7 +195,7 @@
 
 fn born_at(seconds: u64) -> Server {
     let born = SystemTime::UNIX_EPOCH + Duration::from_secs(seconds);
-    Server { born: Some(born), ..server(Duration::ZERO) }
+    Server { started_at: Some(born), ..server(Duration::ZERO) }
 }
 
 #[test]
@@ -207,7 +207,7 @@
     assert!(!facts.learn(Fact::Server(leaving), 7, now), "a late write of the earlier one");
     assert!(!facts.learn(Fact::Server(server(Duration::ZERO)), 8, now), "of whom nothing is known");
     let known = facts.known(&view(&own, false));
-    assert!(known["s"][0].usable && known["s"][0].server.born == born_at(20).born);
+    assert!(known["s"][0].usable && known["s"][0].server.started_at == born_at(20).started_at);
 }
 
 #[test]
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -61,7 +61,7 @@
         let now = begin + Duration::from_secs(10);
         let server = Server {
             id: "i-1".to_owned(),
-            born: None,
+            started_at: None,
             service: "s".to_owned(),
             address: ([10, 0, 0, 1], 80).into(),
             failure_domain: "z".to_owned(),
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -31,7 +31,7 @@
 fn known(number: usize, slots: u32) -> Known {
     let server = Server {
         id: format!("i-{number}"),
-        born: None,
+        started_at: None,
         service: "s".to_owned(),
         address: ([10, 0, 0, number as u8], 80).into(),
         failure_domain: "z".to_owned(),
@@ -473,7 +473,7 @@
     let reborn = |seconds| {
         let server = known(0, 8).server;
         let born = SystemTime::UNIX_EPOCH + Duration::from_secs(seconds);
-        let server = Arc::new(Server { born: Some(born), ..(*server).clone() });
+        let server = Arc::new(Server { started_at: Some(born), ..(*server).clone() });
         Known { server, ..known(0, 8) }
     };
     let service =
