--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -96,7 +96,7 @@
         incarnation: 0x1a23_6abf_a651_0000 + index as u64,
         beat: 1,
         phase: Phase::Serving,
-        version: 1,
+        configuration_version: 1,
         in_flight: 20,
         region_boxes: 1,
     }
@@ -307,7 +307,10 @@
         if let Some((newer, _)) = heard.newer {
             // Fetching it takes a round trip; then the box tells others at once.
             self.nodes[node].version = newer;
-            self.nodes[node].exchange.membership.update_own(|own| own.version = newer);
+            self.nodes[node]
+                .exchange
+                .membership
+                .update_own(|own| own.configuration_version = newer);
             self.spread(node);
         }
         if heard.servers_changed {
@@ -400,7 +403,7 @@
     let work: Duration = world.nodes.iter().map(|node| node.work).sum();
 
     world.nodes[0].version = 2;
-    world.nodes[0].exchange.membership.update_own(|own| own.version = 2);
+    world.nodes[0].exchange.membership.update_own(|own| own.configuration_version = 2);
     world.spread(0);
     let configuration = world.until_all(|_, node| node.version == 2);
 
--- a/lib/examples/balancer.rs
+++ b/lib/examples/balancer.rs
@@ -59,6 +59,6 @@
         total: Duration::from_millis(80),
     };
     let wakes = pool.finish(&running[0], outcome, now, &mut rng);
-    println!("a slot came free: {wakes:?}");
+    println!("a slot became free: {wakes:?}");
     assert_eq!((wakes.len(), pool.waiting()), (1, 1));
 }
--- a/lib/examples/lease_holder.rs
+++ b/lib/examples/lease_holder.rs
@@ -41,9 +41,9 @@
                 holder.handle(event);
             }
         }
-        let acting: Vec<_> = holders.iter().map(|holder| holder.epoch(now)).collect();
-        assert!(acting.iter().flatten().count() <= 1, "two act at once");
-        println!("second {second}: {acting:?}");
+        let epochs: Vec<_> = holders.iter().map(|holder| holder.epoch(now)).collect();
+        assert!(epochs.iter().flatten().count() <= 1, "two processes hold the lease");
+        println!("second {second}: {epochs:?}");
     }
     assert_eq!(holders[1].epoch(now), Some(2), "the second process took over");
 }
--- a/lib/src/coordination/exchange.rs
+++ b/lib/src/coordination/exchange.rs
@@ -122,7 +122,8 @@
                 heard.servers_changed |= self.load.observe(report, now);
             }
         }
-        heard.newer = (sender.version > version).then_some((sender.version, sender.peer_address));
+        heard.newer = (sender.configuration_version > version)
+            .then_some((sender.configuration_version, sender.peer_address));
         if !wanted.is_empty() || !heartbeat.requested.is_empty() {
             let given = heartbeat.requested.clone();
             heard.follow_up = Some(FollowUp { to: sender.peer_address, wanted, given });
--- a/lib/src/daemon/caller.rs
+++ b/lib/src/daemon/caller.rs
@@ -113,7 +113,7 @@
         path: path.to_owned(),
         method: parts.method,
         headers: parts.headers,
-        body: read_body(body, snapshot.configuration.limits.body_bytes).await?,
+        body: read_body(body, snapshot.configuration.limits.max_body_bytes).await?,
         arrived,
     };
     let pool_failed = |call: &Call| record_failure(shared, call);
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -135,7 +135,11 @@
             return;
         }
         let now = clock::now();
-        let holder = self.exchange.membership.live(now).find(|member| member.version >= version);
+        let holder = self
+            .exchange
+            .membership
+            .live(now)
+            .find(|member| member.configuration_version >= version);
         if let Some(address) = holder.map(|member| member.peer_address) {
             self.fetch_from(address);
         }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -346,7 +346,7 @@
         let version = self.rollout.version();
         self.exchange.membership.update_own(|own| {
             own.in_flight = in_flight.try_into().unwrap_or(u32::MAX);
-            own.version = version;
+            own.configuration_version = version;
         });
         let snapshot = Snapshot {
             configuration: Arc::clone(&self.configuration),
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -230,7 +230,7 @@
         incarnation,
         beat: 1,
         phase: Phase::Starting,
-        version: 0,
+        configuration_version: 0,
         in_flight: 0,
         region_boxes: 1,
     }
--- a/lib/src/daemon/once.rs
+++ b/lib/src/daemon/once.rs
@@ -231,11 +231,11 @@
     let Some(age) = shared.uptime(now).checked_sub(ticket.issued) else {
         return Err(Failure::new(ErrorKind::BadRequest, "the ticket was not handed out yet"));
     };
-    if age > limits.ticket_life && !shared.once.knows(key) {
+    if age > limits.ticket_ttl && !shared.once.knows(key) {
         let message = "the life of the ticket is over; whether it was used is no longer known";
         return Err(Failure::new(ErrorKind::TicketExpired, message));
     }
-    let expires = shared.started_at + ticket.issued + limits.ticket_life;
+    let expires = shared.started_at + ticket.issued + limits.ticket_ttl;
     Ok(Owner::Here { keep_until: expires.max(now) + limits.max_timeout, claim: false })
 }
 
--- a/lib/src/daemon/operators.rs
+++ b/lib/src/daemon/operators.rs
@@ -178,7 +178,7 @@
         region: member.region.clone(),
         callers: member.caller_address.to_string(),
         phase: phase.to_owned(),
-        version: member.version,
+        version: member.configuration_version,
     }
 }
 
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -102,7 +102,7 @@
     /// A relay; `events` where the answer is a stream of server-sent events.
     pub fn new(source: Source, account: Account, events: bool) -> Relay {
         let now = clock::now();
-        let idle_limit = account.snapshot.configuration.limits.stream_idle;
+        let idle_limit = account.snapshot.configuration.limits.stream_idle_timeout;
         Relay {
             source,
             account,
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -114,7 +114,7 @@
         let team = identify(shared, &claim, &routing, &route)?;
         let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let deadline = arrived + patience;
-        let body = read_body(body, routing.limits.body_bytes, deadline).await?;
+        let body = read_body(body, routing.limits.max_body_bytes, deadline).await?;
         let fingerprint = fingerprint(origin, &ask, &head, &body);
         let point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
         let service = route
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -331,7 +331,7 @@
     let state = Arc::clone(&shared);
     let for_handover = move |request| handover::handle(Arc::clone(&state), request);
     let small =
-        || ConnectionLimits { header_bytes: 8 << 10, idle_timeout: Duration::from_secs(60) };
+        || ConnectionLimits { max_header_bytes: 8 << 10, idle_timeout: Duration::from_secs(60) };
     tokio::join!(
         http1::serve(callers, places(CALLERS_PART), bounds.clone(), for_callers, stop.clone()),
         http1::serve(peers, places(PEERS_PART), small, for_peers, stop.clone()),
@@ -346,7 +346,10 @@
 fn bounds<A: Adapter>(shared: &Shared<A>) -> ConnectionLimits {
     let limits = shared.snapshot.load().routing.as_ref().map(|routing| routing.limits);
     let limits = limits.unwrap_or_default();
-    ConnectionLimits { header_bytes: limits.header_bytes, idle_timeout: limits.idle_timeout }
+    ConnectionLimits {
+        max_header_bytes: limits.max_header_bytes,
+        idle_timeout: limits.idle_timeout,
+    }
 }
 
 /// Address of a port on the same machine as another address.
--- a/lib/src/protocol/adapter.rs
+++ b/lib/src/protocol/adapter.rs
@@ -106,7 +106,7 @@
 
     /// Prepares the headers of a request that is forwarded to another box: updates the time left
     /// and removes the caller's key.
-    fn set_forward_headers(&self, headers: &mut HeaderMap, left: Duration);
+    fn set_forward_headers(&self, headers: &mut HeaderMap, time_left: Duration);
 
     /// Parses the head of a backend server's response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
--- a/lib/src/protocol/config/check.rs
+++ b/lib/src/protocol/config/check.rs
@@ -337,17 +337,17 @@
         let millis = |value: Option<u64>, default| value.map_or(default, Duration::from_millis);
         let defaults = Limits::default();
         let checked = Limits {
-            body_bytes: limits.body_bytes.unwrap_or(defaults.body_bytes),
+            max_body_bytes: limits.body_bytes.unwrap_or(defaults.max_body_bytes),
             default_timeout: millis(limits.default_timeout_ms, defaults.default_timeout),
             max_timeout: millis(limits.max_timeout_ms, defaults.max_timeout),
-            stream_idle: millis(limits.stream_idle_ms, defaults.stream_idle),
-            ticket_life: millis(limits.ticket_life_ms, defaults.ticket_life),
+            stream_idle_timeout: millis(limits.stream_idle_ms, defaults.stream_idle_timeout),
+            ticket_ttl: millis(limits.ticket_life_ms, defaults.ticket_ttl),
         };
         if checked.default_timeout > checked.max_timeout {
             let message = "default_timeout_ms is over max_timeout_ms";
             self.report(document, &["limits", "default_timeout_ms"], message);
         }
-        if checked.ticket_life < checked.max_timeout {
+        if checked.ticket_ttl < checked.max_timeout {
             let message =
                 "ticket_life_ms is under max_timeout_ms; a ticket must outlive its request";
             self.report(document, &["limits", "ticket_life_ms"], message);
--- a/lib/src/protocol/config/mod.rs
+++ b/lib/src/protocol/config/mod.rs
@@ -171,25 +171,25 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum size of a body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The timeout of requests that give none.
     pub default_timeout: Duration,
     /// The longest timeout that a request may give.
     pub max_timeout: Duration,
     /// The longest time that a stream may be idle.
-    pub stream_idle: Duration,
+    pub stream_idle_timeout: Duration,
     /// The TTL of a ticket, and of the response that is kept for it.
-    pub ticket_life: Duration,
+    pub ticket_ttl: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            body_bytes: 1 << 20,
+            max_body_bytes: 1 << 20,
             default_timeout: Duration::from_secs(60),
             max_timeout: Duration::from_secs(600),
-            stream_idle: Duration::from_secs(30),
-            ticket_life: Duration::from_secs(900),
+            stream_idle_timeout: Duration::from_secs(30),
+            ticket_ttl: Duration::from_secs(900),
         }
     }
 }
--- a/lib/src/protocol/events.rs
+++ b/lib/src/protocol/events.rs
@@ -18,13 +18,13 @@
     pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
         // Common case: complete events arrive together and need no copy.
         if self.incomplete.is_empty() && bytes.ends_with(b"\n\n") {
-            self.read_ids(&bytes);
+            self.update_last_id(&bytes);
             return Some(bytes);
         }
         self.incomplete.extend_from_slice(&bytes);
         let end = self.incomplete.windows(2).rposition(|pair| pair == b"\n\n")? + 2;
         let complete = self.incomplete.split_to(end).freeze();
-        self.read_ids(&complete);
+        self.update_last_id(&complete);
         Some(complete)
     }
 
@@ -44,7 +44,7 @@
         self.incomplete.clear();
     }
 
-    fn read_ids(&mut self, events: &[u8]) {
+    fn update_last_id(&mut self, events: &[u8]) {
         let mut lines = events.rsplit(|byte| *byte == b'\n');
         let last = lines.find_map(|line| line.strip_prefix(b"id:"));
         let last = last.and_then(|id| std::str::from_utf8(id).ok());
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -66,7 +66,7 @@
     /// The phase.
     pub phase: Phase,
     /// The version of the configuration in force on the box.
-    pub version: Version,
+    pub configuration_version: Version,
     /// The number of requests in progress on the box.
     pub in_flight: u32,
     /// The number of boxes that it knows in its region, including itself.
@@ -138,7 +138,7 @@
             peer_address: raw.peer_address.parse().map_err(|_| MalformedField("peer_address"))?,
             incarnation: raw.incarnation,
             beat: raw.beat,
-            version: raw.configuration_version,
+            configuration_version: raw.configuration_version,
             in_flight: raw.in_flight,
             region_boxes: raw.region_boxes,
         })
@@ -171,7 +171,7 @@
             incarnation: member.incarnation,
             beat: member.beat,
             phase: phase.into(),
-            configuration_version: member.version,
+            configuration_version: member.configuration_version,
             in_flight: member.in_flight,
             region_boxes: member.region_boxes,
         }
--- a/lib/src/protocol/platform.rs
+++ b/lib/src/protocol/platform.rs
@@ -137,7 +137,7 @@
     /// Registers a box for the duration `ttl`.
     fn announce(
         &self,
-        listing: &DirectoryEntry,
+        entry: &DirectoryEntry,
         ttl: Duration,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 }
--- a/lib/src/protocol/routing.rs
+++ b/lib/src/protocol/routing.rs
@@ -104,9 +104,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum size of a request head.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of a body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
@@ -115,8 +115,8 @@
     /// The limits that apply before the first configuration is known.
     fn default() -> Limits {
         Limits {
-            header_bytes: 16 << 10,
-            body_bytes: 4 << 20,
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
             idle_timeout: Duration::from_secs(15),
         }
     }
--- a/lib/src/protocol/schema.rs
+++ b/lib/src/protocol/schema.rs
@@ -65,7 +65,7 @@
             Shape::UnsignedInteger => "a whole number from 0".to_owned(),
             Shape::Number => "a number".to_owned(),
             Shape::Boolean => "true or false".to_owned(),
-            Shape::Enum(words) => format!("one of {}", words.join(", ")),
+            Shape::Enum(values) => format!("one of {}", values.join(", ")),
             Shape::List(_) => "a list".to_owned(),
             Shape::Map(_) | Shape::Object(_) => "an object".to_owned(),
         }
@@ -91,11 +91,12 @@
             (Shape::Number, ast::Value::NumberLit(_)) => {}
             (Shape::UnsignedInteger, ast::Value::NumberLit(number))
                 if number.value.parse::<u64>().is_ok() => {}
-            (Shape::Enum(words), ast::Value::StringLit(text)) if words.contains(&&*text.value) => {}
-            (Shape::Enum(words), ast::Value::StringLit(text)) => {
+            (Shape::Enum(values), ast::Value::StringLit(text))
+                if values.contains(&&*text.value) => {}
+            (Shape::Enum(values), ast::Value::StringLit(text)) => {
                 let message =
                     format!("\"{}\" is not known; expected {}", text.value, self.expected());
-                let hint = suggestion(&text.value, words.iter().copied());
+                let hint = suggestion(&text.value, values.iter().copied());
                 problems.push(document.problem_at(value.start(), path, message, hint));
             }
             (Shape::List(shape), ast::Value::Array(array)) => {
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -76,7 +76,7 @@
     fn order(
         &self,
         address: SocketAddr,
-        wanted: &LoadedModels,
+        target: &LoadedModels,
         timeout: Duration,
     ) -> impl Future<Output = Result<(), OrderError>> + Send;
 }
@@ -96,11 +96,11 @@
     async fn order(
         &self,
         address: SocketAddr,
-        wanted: &LoadedModels,
+        target: &LoadedModels,
         timeout: Duration,
     ) -> Result<(), OrderError> {
         let body =
-            serde_json::to_vec(wanted).map_err(|error| OrderError::Failed(error.to_string()))?;
+            serde_json::to_vec(target).map_err(|error| OrderError::Failed(error.to_string()))?;
         call(self, address, Method::PUT, "/engine/models", body.into(), timeout).await.map(|_| ())
     }
 }
@@ -119,8 +119,8 @@
         .header(header::HOST, address.to_string())
         .body(Full::new(body))
         .map_err(|error| OrderError::Failed(error.to_string()))?;
-    let answer = timer::timeout(timeout, client.fetch(address, request)).await;
-    match answer {
+    let result = timer::timeout(timeout, client.fetch(address, request)).await;
+    match result {
         Err(_) => Err(OrderError::Failed("no answer in time".to_owned())),
         Ok(Err(attempt)) => Err(OrderError::Failed(attempt.to_string())),
         Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Err(OrderError::Fenced),
--- a/lib/src/transport/http1.rs
+++ b/lib/src/transport/http1.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// Maximum size of a request head.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
@@ -82,7 +82,7 @@
         };
         // On an error, responses are only slightly delayed.
         let _ = stream.set_nodelay(true);
-        let ConnectionLimits { header_bytes, idle_timeout } = limits();
+        let ConnectionLimits { max_header_bytes, idle_timeout } = limits();
         let handler = handler.clone();
         let service = service_fn(move |mut request: Request<Incoming>| {
             request.extensions_mut().insert(ClientIp(peer_address.ip()));
@@ -92,7 +92,7 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle_timeout)
-            .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
+            .max_buf_size(max_header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
--- a/lib/src/transport/platform.rs
+++ b/lib/src/transport/platform.rs
@@ -133,8 +133,8 @@
         self.get_entry(call).await
     }
 
-    async fn grant(&self, life: Duration) -> Result<LeaseId, PlatformError> {
-        let body = json!({"life_ms": life.as_millis() as u64});
+    async fn grant(&self, ttl: Duration) -> Result<LeaseId, PlatformError> {
+        let body = json!({"life_ms": ttl.as_millis() as u64});
         let call = Call::new(Method::POST, "/leases".to_owned()).with_body(body);
         let (_, body) = self.call(call).await?;
         Ok(decode::<LeaseAnswer>(&body)?.lease)
@@ -150,13 +150,9 @@
 }
 
 impl Directory for Platform {
-    async fn announce(
-        &self,
-        listing: &DirectoryEntry,
-        life: Duration,
-    ) -> Result<(), PlatformError> {
-        let body = json!({"listing": listing, "life_ms": life.as_millis() as u64});
-        let path = format!("/directory/{}", listing.name);
+    async fn announce(&self, entry: &DirectoryEntry, ttl: Duration) -> Result<(), PlatformError> {
+        let body = json!({"listing": entry, "life_ms": ttl.as_millis() as u64});
+        let path = format!("/directory/{}", entry.name);
         self.call(Call::new(Method::PUT, path).with_body(body)).await.map(|_| ())
     }
 }
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -12,20 +12,20 @@
 use copperweir_lib::protocol::settings;
 use copperweir_lib::state::counters::Counter;
 
-fn page(name: &str, expected: &str) {
+fn check_page(name: &str, expected: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operators").join(name);
     if std::env::var_os("COPPERWEIR_WRITE_DOCS").is_some() {
-        std::fs::write(&path, expected).expect("the page is written");
+        std::fs::write(&path, expected).expect("write the page");
     }
     let found = std::fs::read_to_string(&path).unwrap_or_default();
-    assert_eq!(found, expected, "docs/operators/{name} is not what the types say");
+    assert_eq!(found, expected, "docs/operators/{name} does not match the types");
 }
 
 #[test]
 fn error_kinds() {
     let mut text = String::from(
-        "# Error kinds\n\nEvery failed answer has one of these codes in `error.code`, and `Copperweir-Ran`.\n\
-         \"varies\" means that the header tells. `Retry-After` comes only where the request did not run.\n\n\
+        "# Error kinds\n\nEvery error response has one of these codes in `error.code`, and a `Copperweir-Ran` header.\n\
+         \"varies\" means that only the header has the value. `Retry-After` is set only if the request was not executed.\n\n\
          | code | status | type | ran | Retry-After, s |\n|---|---|---|---|---|\n",
     );
     for row in TABLE {
@@ -40,33 +40,33 @@
             row.code, row.status, row.error_type
         );
     }
-    page("errors.md", &text);
+    check_page("errors.md", &text);
 }
 
 #[test]
 fn counters() {
     let mut text = String::from(
-        "# Counters\n\n`copperweir show --box <address> counters` prints them; with `statsd` set, what they grew by is sent\n\
+        "# Counters\n\n`copperweir show --box <address> counters` prints them; if `statsd` is set, their increments are sent\n\
          every 10 s as `copperweir.<name>` with the tags `box` and `region`.\n\n| name | counts |\n|---|---|\n",
     );
     for counter in Counter::ALL {
         let _ = writeln!(text, "| `{}` | {} |", counter.as_str(), counter.doc());
     }
-    text.push_str("\nBroken invariants are listed by name in `show`; there should be none:\n\n");
+    text.push_str("\nViolated invariants are listed by name in `show`; there should be none:\n\n");
     for invariant in Invariant::ALL {
         let _ = writeln!(text, "- `{}`", invariant.as_str());
     }
-    page("counters.md", &text);
+    check_page("counters.md", &text);
 }
 
 #[test]
 fn configuration_reference() {
     let text = format!(
-        "# Configuration files\n\nJSON with comments. All files together are one configuration; a name stands in one place only.\n\n\
+        "# Configuration files\n\nJSON with comments. All files together form one configuration; each name is declared in one place only.\n\n\
          | field | expected | required | meaning |\n|---|---|---|---|\n{}",
         shape::FILE.reference_rows()
     );
-    page("configuration.md", &text);
+    check_page("configuration.md", &text);
 }
 
 #[test]
@@ -76,5 +76,5 @@
          | field | expected | required | meaning |\n|---|---|---|---|\n{}",
         settings::SHAPE.reference_rows()
     );
-    page("settings.md", &text);
+    check_page("settings.md", &text);
 }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -21,7 +21,7 @@
         incarnation: 1,
         beat,
         phase: Phase::Serving,
-        version: 1,
+        configuration_version: 1,
         in_flight: 0,
         region_boxes: 2,
     }
