--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -170,15 +170,15 @@
 ) -> Option<()> {
     let address = plan.targets[sample.target];
     let request = request(plan, ask, address)?;
-    let response = client.exchange(address, request, false).await.ok()?;
+    let response = client.send(address, request, false).await.ok()?;
     let (head, mut exchange) = response.into_parts();
     sample.status = Some(head.status.as_u16());
     let text = |name: &str| {
         let value = head.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    sample.region = text(caller::REGION);
-    sample.ran = text(caller::RAN);
+    sample.region = text(caller::REGION_HEADER);
+    sample.ran = text(caller::RAN_HEADER);
     let mut last: Option<Instant> = None;
     loop {
         let Some(frame) = exchange.body().frame().await else { break };
@@ -193,7 +193,7 @@
     if last.is_none() {
         sample.first_byte = due.elapsed();
     }
-    exchange.finished();
+    exchange.release();
     Some(())
 }
 
@@ -203,10 +203,10 @@
         request = request.header("authorization", format!("Bearer {key}"));
     }
     if !ask.priority.is_empty() {
-        request = request.header(caller::PRIORITY, &*ask.priority);
+        request = request.header(caller::PRIORITY_HEADER, &*ask.priority);
     }
     if ask.timeout_ms > 0 {
-        request = request.header(caller::TIMEOUT, ask.timeout_ms);
+        request = request.header(caller::TIMEOUT_HEADER, ask.timeout_ms);
     }
     request.body(Full::new(ask.body.clone())).ok()
 }
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -25,9 +25,9 @@
 use copperweir_lib::protocol::peer::Heartbeat;
 use copperweir_lib::protocol::peer::Member;
 use copperweir_lib::protocol::peer::Phase;
-use copperweir_lib::protocol::peer::Report;
+use copperweir_lib::protocol::peer::ServerReport;
 use copperweir_lib::protocol::peer::wire;
-use copperweir_lib::state::load::Load;
+use copperweir_lib::state::load::ServerLoads;
 use prost::Message;
 use rand::Rng;
 use rand::SeedableRng;
@@ -93,12 +93,12 @@
         name: format!("box-{region}-{number:03}"),
         region: format!("region-{region}"),
         failure_domain: format!("region-{region}-{}", number % 3),
-        callers: address(8080),
-        peers: address(8081),
+        caller_address: address(8080),
+        peer_address: address(8081),
         incarnation: 0x1a23_6abf_a651_0000 + index as u64,
         beat: 1,
         phase: Phase::Serving,
-        version: 1,
+        configuration_version: 1,
         in_flight: 20,
         region_boxes: 1,
     }
@@ -112,9 +112,9 @@
         for (region, count) in split_by_region(boxes).into_iter().enumerate() {
             for number in 0..count {
                 let own = member(region, number, nodes.len());
-                addresses.insert(own.peers, nodes.len());
+                addresses.insert(own.peer_address, nodes.len());
                 let membership = Membership::new(own, Tuning::default());
-                let exchange = Exchange { membership, load: Load::default() };
+                let exchange = Exchange { membership, load: ServerLoads::default() };
                 nodes.push(Node {
                     exchange,
                     region,
@@ -223,7 +223,7 @@
         for server in self.nodes[node].probed_servers.clone() {
             {
                 let hash = name_hash(&self.servers[region][server]);
-                let report = Report {
+                let report = ServerReport {
                     server: hash,
                     load: self.rng.random_range(0..16),
                     reachable: true,
@@ -255,8 +255,10 @@
 
     fn compose(&mut self, node: usize, to: usize, mut extra: Extra) -> Vec<u8> {
         let now = self.current_instant();
-        let demand =
-            |team: usize| Demand { team: name_hash(&format!("team-{team}")), per_minute: 60 };
+        let demand = |team: usize| Demand {
+            team: name_hash(&format!("team-{team}")),
+            requests_per_minute: 60,
+        };
         extra.demands = (0..TEAMS_PER_BOX).map(demand).collect();
         let region = self.nodes[to].exchange.membership.own().region.clone();
         let started_at = Instant::now();
@@ -290,7 +292,7 @@
         let follow_up = self.apply_request(node, bytes);
         let response = self.compose(node, from, follow_up);
         let arrives = self.now + self.delay(node, from);
-        let peer = self.nodes[node].exchange.membership.own().peers;
+        let peer = self.nodes[node].exchange.membership.own().peer_address;
         self.schedule(arrives, from, Event::Response(peer, response));
     }
 
@@ -310,7 +312,10 @@
             // Fetching the configuration takes a round trip; then the box notifies others
             // at once.
             self.nodes[node].version = newer;
-            self.nodes[node].exchange.membership.update_own(|own| own.version = newer);
+            self.nodes[node]
+                .exchange
+                .membership
+                .update_own(|own| own.configuration_version = newer);
             self.send_urgent_heartbeats(node);
         }
         if effects.servers_changed {
@@ -411,14 +416,14 @@
     let cpu_time: Duration = simulation.nodes.iter().map(|node| node.cpu_time).sum();
 
     simulation.nodes[0].version = 2;
-    simulation.nodes[0].exchange.membership.update_own(|own| own.version = 2);
+    simulation.nodes[0].exchange.membership.update_own(|own| own.configuration_version = 2);
     simulation.send_urgent_heartbeats(0);
     let configuration_known = simulation.run_until_all(|_, node| node.version == 2);
 
     let server = simulation.servers[0][0].clone();
     simulation.leaving = Some(name_hash(&server));
     let leaving_known = simulation.run_until_all(|simulation, node| {
-        node.region != 0 || node.exchange.load.leaving(&server, simulation.current_instant())
+        node.region != 0 || node.exchange.load.is_leaving(&server, simulation.current_instant())
     });
 
     let dead_index = simulation.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
--- a/lib/examples/lease_holder.rs
+++ b/lib/examples/lease_holder.rs
@@ -1,6 +1,6 @@
-//! A duty that one of several processes holds at a time, fenced by an epoch,
-//! with nothing but a clock and a store that grants leases. Here the store is a
-//! variable and time is counted by hand.
+//! A task that at most one of several processes performs at a time, fenced by an epoch. It needs
+//! only a clock and a store that grants leases. In this example the store is a variable and the
+//! time is simulated.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -41,9 +41,9 @@
                 holder.handle(event);
             }
         }
-        let acting: Vec<_> = holders.iter().map(|holder| holder.epoch(now)).collect();
-        assert!(acting.iter().flatten().count() <= 1, "two act at once");
-        println!("second {second}: {acting:?}");
+        let epochs: Vec<_> = holders.iter().map(|holder| holder.epoch(now)).collect();
+        assert!(epochs.iter().flatten().count() <= 1, "two processes hold the lease");
+        println!("second {second}: {epochs:?}");
     }
     assert_eq!(holders[1].epoch(now), Some(2), "the second process took over");
 }
--- a/lib/src/daemon/caller_api.rs
+++ b/lib/src/daemon/caller_api.rs
@@ -5,6 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::idempotency::GatewayResponse;
+use super::request::IncomingRequest;
+use super::request::Purpose;
 use bytes::Bytes;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -22,21 +25,18 @@
 
 use super::dispatch;
 use super::idempotency;
-use super::idempotency::GatewayResponse;
 use super::relay::Relay;
-use super::request::IncomingRequest;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
 use crate::coordination::ticket::Ticket;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::TeamId;
 use crate::protocol::caller;
-use crate::protocol::caller::BoxRow;
-use crate::protocol::caller::Boxes;
+use crate::protocol::caller::BoxEntry;
+use crate::protocol::caller::BoxesResponse;
 use crate::protocol::caller::Endpoint;
 use crate::protocol::config::Configuration;
 use crate::protocol::peer::Member;
@@ -45,11 +45,11 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::body::Answer;
+use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
 /// A response to a caller.
-pub type CallerResponse = Response<Answer<Relay>>;
+pub type CallerResponse = Response<ResponseBody<Relay>>;
 
 /// Maximum time to read a request body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
@@ -93,9 +93,9 @@
         Endpoint::Ready => return readiness_response(snapshot),
         _ => {}
     }
-    shared.counters.count(Counter::Requests);
+    shared.counters.increment(Counter::Requests);
     if !snapshot.ready {
-        return Err(Failure::new(Kind::NotReady, "the box has no configuration yet"));
+        return Err(Failure::new(ErrorKind::NotReady, "the box has no configuration yet"));
     }
     let team = authenticate(&snapshot.configuration, &parts.headers)?;
     match endpoint {
@@ -115,7 +115,7 @@
         path: path.to_owned(),
         method: parts.method,
         headers: parts.headers,
-        body: read_body(body, snapshot.configuration.limits.body_bytes).await?,
+        body: read_body(body, snapshot.configuration.limits.max_body_bytes).await?,
         arrived_at,
     };
     let on_failure = |request: &ValidatedRequest| record_failure(shared, request);
@@ -148,7 +148,7 @@
 
 fn readiness_response(snapshot: &Snapshot) -> Result<CallerResponse, Failure> {
     if !snapshot.ready {
-        return Err(Failure::new(Kind::NotReady, "the box has no configuration yet"));
+        return Err(Failure::new(ErrorKind::NotReady, "the box has no configuration yet"));
     }
     if snapshot.own.phase == Phase::Leaving {
         return Err(leaving_failure(snapshot));
@@ -160,18 +160,18 @@
     let serving = snapshot.members.iter().filter(|member| member.phase == Phase::Serving);
     let nearest = serving.min_by_key(|member| member.region != snapshot.own.region);
     let message = match nearest {
-        Some(member) => format!("this box is leaving; use {}", member.callers),
+        Some(member) => format!("this box is leaving; use {}", member.caller_address),
         None => "this box is leaving".to_owned(),
     };
-    Failure::new(Kind::Leaving, message)
+    Failure::new(ErrorKind::Leaving, message)
 }
 
 /// Determines the team of a request. The configuration holds hashes of the
 /// keys, and the lookup compares hashes, so its timing reveals nothing about a
 /// key.
 fn authenticate(configuration: &Configuration, headers: &HeaderMap) -> Result<TeamId, Failure> {
-    let unauthorized = |text: &str| Failure::new(Kind::Unauthorized, text);
-    match caller::bearer(headers)? {
+    let unauthorized = |text: &str| Failure::new(ErrorKind::Unauthorized, text);
+    match caller::bearer_token(headers)? {
         Some(key) => {
             let digest = KeyDigest::of(key).to_string();
             let team = configuration.keys.get(&digest).or(configuration.anonymous.as_ref());
@@ -190,17 +190,17 @@
     team: &TeamId,
 ) -> Result<(), Failure> {
     let Some(rate) = configuration.teams.get(team).map(|team| team.requests_per_second) else {
-        return Err(Failure::new(Kind::Unauthorized, "the team is not declared"));
+        return Err(Failure::new(ErrorKind::Unauthorized, "the team is not declared"));
     };
     lock(&shared.limiter).admit(team, rate, clock::now()).map_err(|after| {
         let message = format!("the team is over {rate} requests a second");
-        Failure::new(Kind::RateLimited, message).with_retry_after(after)
+        Failure::new(ErrorKind::RateLimited, message).with_retry_after(after)
     })
 }
 
 async fn read_body(body: RequestBody, max_bytes: usize) -> Result<Bytes, Failure> {
     let too_large =
-        || Failure::new(Kind::BodyTooLarge, format!("the body is over {max_bytes} bytes"));
+        || Failure::new(ErrorKind::BodyTooLarge, format!("the body is over {max_bytes} bytes"));
     let announced_bytes = http_body::Body::size_hint(&body).lower();
     if announced_bytes > max_bytes as u64 {
         tokio::spawn(discard_body(body));
@@ -209,13 +209,13 @@
     let mut body = body;
     let collected = Limited::new(&mut body, max_bytes).collect();
     match timer::timeout(BODY_READ_TIMEOUT, collected).await {
-        Err(_) => Err(Failure::new(Kind::BodyTimeout, "the body did not arrive in time")),
+        Err(_) => Err(Failure::new(ErrorKind::BodyTimeout, "the body did not arrive in time")),
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             tokio::spawn(discard_body(body));
             Err(too_large())
         }
-        Ok(Err(error)) => Err(Failure::new(Kind::BadRequest, format!("the body: {error}"))),
+        Ok(Err(error)) => Err(Failure::new(ErrorKind::BadRequest, format!("the body: {error}"))),
     }
 }
 
@@ -259,11 +259,11 @@
     members.sort_by_key(|member| {
         (member.region != *own_region, member.region.clone(), member.in_flight)
     });
-    let rows = members.into_iter().take(MAX_LISTED_BOXES).map(|member| BoxRow {
+    let rows = members.into_iter().take(MAX_LISTED_BOXES).map(|member| BoxEntry {
         name: member.name.clone(),
         region: member.region.clone(),
         failure_domain: member.failure_domain.clone(),
-        address: member.callers.to_string(),
+        address: member.caller_address.to_string(),
         weight: (IDLE_BOX_WEIGHT / (1 + member.in_flight)).max(1),
     });
     let now = clock::now();
@@ -273,7 +273,7 @@
         issued: Duration::from_millis(shared.uptime(now).as_millis() as u64),
         nonce: rand::rng().random(),
     };
-    let boxes = Boxes {
+    let boxes = BoxesResponse {
         boxes: rows.collect(),
         valid_ms: BOX_LIST_VALIDITY.as_millis() as u64,
         ticket: ticket.to_string(),
@@ -283,11 +283,11 @@
 }
 
 fn text_response(text: &'static str) -> CallerResponse {
-    Response::new(Answer::whole(text))
+    Response::new(ResponseBody::buffered(text))
 }
 
 fn json_response(value: &serde_json::Value) -> CallerResponse {
-    let mut response = Response::new(Answer::whole(value.to_string()));
+    let mut response = Response::new(ResponseBody::buffered(value.to_string()));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
@@ -298,20 +298,20 @@
     *response.status_mut() = gateway_response.status;
     *response.headers_mut() = gateway_response.headers;
     if let Ok(region) = gateway_response.region.parse() {
-        response.headers_mut().insert(caller::REGION, region);
+        response.headers_mut().insert(caller::REGION_HEADER, region);
     }
     response
 }
 
 fn failure_response(shared: &SharedState, failure: &Failure) -> CallerResponse {
-    shared.counters.count(Counter::Failed);
-    if failure.ran() == Ran::No {
-        shared.counters.count(Counter::Refused);
+    shared.counters.increment(Counter::Failed);
+    if failure.executed() == Executed::No {
+        shared.counters.increment(Counter::Refused);
     }
-    let mut response = Response::new(Answer::whole(caller::failure_body(failure)));
+    let mut response = Response::new(ResponseBody::buffered(caller::failure_body(failure)));
     *response.status_mut() = failure.status();
-    caller::failure_headers(failure, response.headers_mut());
-    if failure.kind == Kind::BodyTooLarge || failure.kind == Kind::BodyTimeout {
+    caller::add_failure_headers(failure, response.headers_mut());
+    if failure.kind == ErrorKind::BodyTooLarge || failure.kind == ErrorKind::BodyTimeout {
         // The rest of the body is not read, so the connection cannot be reused.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -327,12 +327,12 @@
     let status = response.status();
     let headers = response.headers_mut();
     if let Ok(id) = id.parse() {
-        headers.insert(caller::REQUEST_ID, id);
+        headers.insert(caller::REQUEST_ID_HEADER, id);
     }
     if let Ok(name) = shared.settings.name.parse() {
-        headers.insert(caller::BOX, name);
+        headers.insert(caller::BOX_HEADER, name);
     }
-    headers.insert(caller::CONFIG_VERSION, snapshot.configuration.version.into());
+    headers.insert(caller::CONFIG_VERSION_HEADER, snapshot.configuration.version.into());
     if status == StatusCode::NO_CONTENT {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -21,7 +21,7 @@
 use crate::coordination::rollout::Offer;
 use crate::protocol::Version;
 use crate::protocol::config::document::Document;
-use crate::protocol::config::document::KEY;
+use crate::protocol::config::document::STORE_KEY;
 use crate::protocol::platform::Store;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -44,7 +44,7 @@
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
-            let entry = platform.get(KEY).await.ok().flatten();
+            let entry = platform.get(STORE_KEY).await.ok().flatten();
             let document = entry.map(|entry| Bytes::from(entry.value));
             let _ = events.send(Event::ConfigurationOffered(document)).await;
             let _ = events.send(Event::ConfigurationSourceDone).await;
@@ -86,8 +86,8 @@
                 let jitter = rng.random_range(0.5..1.5);
                 let watches_store = is_watcher.load(Ordering::Relaxed);
                 let result = match watches_store {
-                    true => platform.watch(KEY, last_revision, WATCH_TIMEOUT).await,
-                    false => platform.get(KEY).await,
+                    true => platform.watch(STORE_KEY, last_revision, WATCH_TIMEOUT).await,
+                    false => platform.get(STORE_KEY).await,
                 };
                 let pause = match result {
                     Err(_) => RETRY_INTERVAL.mul_f64(jitter),
@@ -139,8 +139,12 @@
             return;
         }
         let now = clock::now();
-        let source = self.exchange.membership.live(now).find(|member| member.version >= version);
-        if let Some(address) = source.map(|member| member.peers) {
+        let source = self
+            .exchange
+            .membership
+            .live(now)
+            .find(|member| member.configuration_version >= version);
+        if let Some(address) = source.map(|member| member.peer_address) {
             self.fetch_configuration_from(address);
         }
     }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -47,15 +47,15 @@
 use crate::protocol::peer::Heartbeat;
 use crate::protocol::peer::Member;
 use crate::protocol::peer::Phase;
-use crate::protocol::peer::Report;
+use crate::protocol::peer::ServerReport;
+use crate::protocol::platform::BoxListEntry;
 use crate::protocol::platform::LeaseId;
-use crate::protocol::platform::Listed;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::state::load::Load;
+use crate::state::load::ServerLoads;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::metrics;
 use crate::transport::peer;
 use crate::transport::platform::Platform;
@@ -101,9 +101,9 @@
     /// box's.
     NewerVersionRequired(Version),
     /// A probe of a backend server ended.
-    ProbeCompleted(Report),
+    ProbeCompleted(ServerReport),
     /// The platform's list was read.
-    PlatformListRead(Vec<Listed>),
+    PlatformListRead(Vec<BoxListEntry>),
     /// A call to acquire or renew the lease ended.
     Lease(lease::Event, Option<LeaseId>),
     /// The operator requested a stop.
@@ -139,7 +139,7 @@
 pub struct Control {
     shared: Arc<SharedState>,
     events: mpsc::Sender<Event>,
-    stop: watch::Sender<Stop>,
+    stop: watch::Sender<Shutdown>,
     exchange: Exchange,
     rollout: Rollout,
     configuration: Arc<Configuration>,
@@ -150,7 +150,7 @@
     peers: Arc<peer::Client>,
     platform: Platform,
     backend: backend::Client,
-    metrics: Option<metrics::Sink>,
+    metrics: Option<metrics::StatsdSink>,
     is_watcher: Arc<AtomicBool>,
     fetch_in_progress: Arc<AtomicBool>,
     logged_members: BTreeSet<(String, u64, bool)>,
@@ -167,7 +167,7 @@
     pub fn new(
         shared: Arc<SharedState>,
         events: mpsc::Sender<Event>,
-        stop: watch::Sender<Stop>,
+        stop: watch::Sender<Shutdown>,
         own: Member,
         peers: peer::Client,
     ) -> Control {
@@ -177,12 +177,12 @@
         let mut membership = Membership::new(own, membership::Tuning::default());
         membership.learn_addresses(settings.seeds.iter().copied());
         let metrics = settings.statsd.and_then(|address| {
-            metrics::Sink::open(address, &settings.name, &settings.region)
+            metrics::StatsdSink::open(address, &settings.name, &settings.region)
                 .inspect_err(|error| log::warn!("event=metrics_off error=\"{error}\""))
                 .ok()
         });
         Control {
-            exchange: Exchange { membership, load: Load::default() },
+            exchange: Exchange { membership, load: ServerLoads::default() },
             rollout: Rollout::new(now, INITIAL_CONFIGURATION_TIMEOUT),
             configuration: Arc::new(Configuration::default()),
             drain: Drain::new(tuning),
@@ -220,7 +220,7 @@
             }
         }
         let stage = self.drain.stage();
-        let stop = if stage == Stage::Done { Stop::Gently } else { Stop::Now };
+        let stop = if stage == Stage::Done { Shutdown::Graceful } else { Shutdown::Immediate };
         let _ = self.stop.send(stop);
         stage
     }
@@ -250,7 +250,7 @@
         timer.subscribe(Topic::Cleanup, CLEANUP_INTERVAL, CLEANUP_INTERVAL);
         let (sender, mut ticks) = mpsc::channel(1);
         let events = self.events.clone();
-        tokio::spawn(timer::watch_suspensions());
+        tokio::spawn(timer::watch_for_suspensions());
         tokio::spawn(timer.run(sender));
         tokio::spawn(async move {
             while let Some(tick) = ticks.recv().await {
@@ -290,7 +290,7 @@
 
     fn handle_tick(&mut self, tick: Tick<Topic>) {
         match tick.topic {
-            Topic::Heartbeat => self.send_heartbeats(tick.now, tick.late),
+            Topic::Heartbeat => self.send_heartbeats(tick.now, tick.lateness),
             Topic::Probe => self.probe_servers(),
             Topic::Pools => self.refresh_pools(tick.now),
             Topic::List => self.read_platform_list(false),
@@ -362,7 +362,7 @@
         let version = self.rollout.version();
         self.exchange.membership.update_own(|own| {
             own.in_flight = in_flight.try_into().unwrap_or(u32::MAX);
-            own.version = version;
+            own.configuration_version = version;
         });
         let snapshot = Snapshot {
             configuration: Arc::clone(&self.configuration),
@@ -402,6 +402,6 @@
     }
 
     fn count(&self, counter: Counter) {
-        self.shared.counters.count(counter);
+        self.shared.counters.increment(counter);
     }
 }
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -34,8 +34,8 @@
 use crate::state::counters::Counters;
 use crate::transport::backend;
 use crate::transport::engine::Engine;
-use crate::transport::engine::Loaded;
-use crate::transport::engine::Model;
+use crate::transport::engine::LoadedModels;
+use crate::transport::engine::ModelVersion;
 use crate::transport::engine::OrderError;
 use crate::transport::platform::Platform;
 
@@ -112,7 +112,7 @@
             let asked_at = clock::now();
             let event = match platform.renew(lease_id).await {
                 Ok(()) => lease::Event::Renewed { asked_at },
-                Err(PlatformError::LeaseOver) => lease::Event::Over(clock::now()),
+                Err(PlatformError::LeaseExpired) => lease::Event::Over(clock::now()),
                 Err(_) => lease::Event::RenewalFailed,
             };
             let _ = events.send(Event::Lease(event, None)).await;
@@ -135,7 +135,7 @@
                     let order = Order {
                         server: id.clone(),
                         address: server.address,
-                        wanted_state: Loaded { epoch, models: models.clone() },
+                        wanted_state: LoadedModels { epoch, models: models.clone() },
                         lease_valid_until,
                     };
                     let counters = Arc::clone(&self.shared.counters);
@@ -146,10 +146,10 @@
     }
 }
 
-fn models_to_load(configuration: &Configuration, pool: &PoolId) -> Vec<Model> {
+fn models_to_load(configuration: &Configuration, pool: &PoolId) -> Vec<ModelVersion> {
     let models = configuration.models.iter().filter(|(_, model)| model.pool == *pool);
     models
-        .map(|(name, model)| Model { name: name.clone(), version: model.version.clone() })
+        .map(|(name, model)| ModelVersion { name: name.clone(), version: model.version.clone() })
         .collect()
 }
 
@@ -174,7 +174,7 @@
         Ok(revision) => revision,
         // The write may have succeeded: the stored value names this box's lease if it
         // did.
-        Err(PlatformError::Lost(_)) => match platform.get(key).await {
+        Err(PlatformError::NoResponse(_)) => match platform.get(key).await {
             Ok(Some(entry)) if entry.value == value => entry.revision,
             _ => return not_acquired(),
         },
@@ -187,7 +187,7 @@
 struct Order {
     server: ServerId,
     address: SocketAddr,
-    wanted_state: Loaded,
+    wanted_state: LoadedModels,
     lease_valid_until: Instant,
 }
 
@@ -206,16 +206,16 @@
         invariant::check(Invariant::OrderUnderLease, clock::now() < self.lease_valid_until, || {
             format!("server={} epoch={}", self.server, self.wanted_state.epoch)
         });
-        counters.count(Counter::Orders);
+        counters.increment(Counter::Orders);
         let timeout = lease::Tuning::default().flight;
         let epoch: Epoch = self.wanted_state.epoch;
         match engine.order(self.address, &self.wanted_state, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
             Err(OrderError::Fenced) => {
-                counters.count(Counter::OrdersFailed);
+                counters.increment(Counter::OrdersFailed);
                 log::warn!("event=order_fenced server={} epoch={epoch}", self.server);
             }
-            Err(OrderError::Failed(_)) => counters.count(Counter::OrdersFailed),
+            Err(OrderError::Failed(_)) => counters.increment(Counter::OrdersFailed),
         }
     }
 }
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -16,15 +16,15 @@
 use crate::protocol::ServerId;
 use crate::protocol::config;
 use crate::protocol::name_hash;
-use crate::protocol::peer::Report;
+use crate::protocol::peer::ServerReport;
 use crate::protocol::platform::BoxList;
-use crate::protocol::platform::Listed;
-use crate::protocol::platform::ListedState;
+use crate::protocol::platform::BoxListEntry;
+use crate::protocol::platform::BoxListState;
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::transport::backend;
 use crate::transport::engine::Engine;
-use crate::transport::engine::Load;
+use crate::transport::engine::EngineLoad;
 
 /// Time between probes of a server by one box.
 pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -85,9 +85,9 @@
             Lane {
                 address: server.address,
                 slots: server.slots,
-                leaving: server.leaving || self.exchange.load.leaving(id, now),
+                leaving: server.leaving || self.exchange.load.is_leaving(id, now),
                 reachable: observation.is_none_or(|observation| observation.reachable),
-                report: observation.map(|observation| (observation.load, observation.at)),
+                report: observation.map(|observation| (observation.load, observation.observed_at)),
             }
         };
         local_servers.map(|(id, server)| (id.clone(), server_state(id, server))).collect()
@@ -149,7 +149,7 @@
                 false => backend.load(address).await,
             };
             let (reachable, load) = (load.is_some(), load.unwrap_or_default());
-            let report = Report {
+            let report = ServerReport {
                 server: name_hash(&server),
                 load: load.running + load.queued,
                 reachable,
@@ -162,7 +162,7 @@
     }
 
     /// Handles the result of a probe.
-    pub(super) fn handle_probe_report(&mut self, report: &Report) {
+    pub(super) fn handle_probe_report(&mut self, report: &ServerReport) {
         self.pools_dirty = true;
         if self.exchange.load.observe(report, clock::now()) {
             self.refresh_pools(clock::now());
@@ -192,7 +192,7 @@
 
     /// Handles the platform's list, which names other boxes and the servers
     /// that are leaving.
-    pub(super) fn handle_platform_list(&mut self, listed: &[Listed]) {
+    pub(super) fn handle_platform_list(&mut self, listed: &[BoxListEntry]) {
         let region = self.shared.settings.region.clone();
         let is_starting = !self.shared.snapshot.load().ready;
         let mut addresses = BTreeSet::new();
@@ -208,8 +208,8 @@
         self.exchange.membership.learn_addresses(addresses);
         let now = clock::now();
         let mut changed = false;
-        for entry in listed.iter().filter(|entry| entry.state == ListedState::Leaving) {
-            changed |= self.exchange.load.observe_listed(name_hash(&entry.name), now, now);
+        for entry in listed.iter().filter(|entry| entry.state == BoxListState::Leaving) {
+            changed |= self.exchange.load.observe_listed_leaving(name_hash(&entry.name), now, now);
         }
         self.pools_dirty = true;
         if changed {
@@ -223,6 +223,6 @@
     pool::Limits { queue: pool.queue_limit, bytes: pool.queue_bytes, boxes }
 }
 
-async fn probe_connection(address: SocketAddr) -> Option<Load> {
-    backend::reachable(address, SERVICE_CONNECT_TIMEOUT).await.then(Load::default)
+async fn probe_connection(address: SocketAddr) -> Option<EngineLoad> {
+    backend::accepts_connections(address, SERVICE_CONNECT_TIMEOUT).await.then(EngineLoad::default)
 }
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -10,6 +10,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -23,9 +26,6 @@
 use super::pools::Grant;
 use super::pools::Slot;
 use super::relay::Relay;
-use super::relay::RequestAccounting;
-use super::relay::ResponseSource;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::request::is_forwarded_header;
 use super::shared::InFlightGuard;
@@ -34,17 +34,17 @@
 use crate::coordination::invariant::Invariant;
 use crate::coordination::pool::Arrival;
 use crate::coordination::pool::Outcome;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
 use crate::protocol::caller;
 use crate::protocol::retry_after;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::backend::Attempt;
-use crate::transport::backend::Exchange;
+use crate::transport::backend::AttemptError;
+use crate::transport::backend::PooledBody;
 use crate::transport::timer;
 
 /// Maximum number of attempts per request, regardless of the retry budget.
@@ -91,13 +91,13 @@
     let pool = shared
         .pools
         .get(&request.pool)
-        .ok_or_else(|| Failure::new(Kind::NoServer, "the pool has no backend servers"))?;
+        .ok_or_else(|| Failure::new(ErrorKind::NoServer, "the pool has no backend servers"))?;
     check_region(request)?;
     let mut tried_servers = Vec::new();
     let mut resting_count = 0;
     let mut other_regions = request.other_regions();
     loop {
-        let on_queued = || shared.counters.count(Counter::Queued);
+        let on_queued = || shared.counters.increment(Counter::Queued);
         let grant = pool
             .acquire(placement_request(shared, request, &tried_servers, &other_regions), on_queued)
             .await;
@@ -112,11 +112,15 @@
                     // A region that is unreachable or refuses the request must not cause
                     // a refusal if the request can run here: credits of a region stay
                     // usable for seconds after its last heartbeat.
-                    Err(failure) if failure.ran() == Ran::No && !request.may_have_been_sent() => {
+                    Err(failure)
+                        if failure.executed() == Executed::No && !request.may_have_been_sent() =>
+                    {
                         log::debug!("event=region_left_out region={region} cause=\"{failure}\"");
                         continue;
                     }
-                    Err(failure) if failure.ran() == Ran::No => AttemptOutcome::NotRun(failure),
+                    Err(failure) if failure.executed() == Executed::No => {
+                        AttemptOutcome::NotRun(failure)
+                    }
                     Err(failure) => AttemptOutcome::MayHaveRun(failure),
                 }
             }
@@ -141,7 +145,7 @@
         if !(may_repeat && in_time && has_attempts_left && may_retry(&pool)) {
             return Err(failure_after_attempts(request, failure));
         }
-        shared.counters.count(Counter::Retries);
+        shared.counters.increment(Counter::Retries);
     }
 }
 
@@ -153,11 +157,11 @@
 /// have run, the request must not be reported as "not run", whatever happened
 /// later.
 fn failure_after_attempts(request: &ValidatedRequest, failure: Failure) -> Failure {
-    if failure.ran() != Ran::No || !request.may_have_been_sent() {
+    if failure.executed() != Executed::No || !request.may_have_been_sent() {
         return failure;
     }
     let message = format!("the first attempt failed, and then: {}", failure.message);
-    Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)
+    Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown)
 }
 
 fn placement_request(
@@ -187,7 +191,7 @@
     }
     if request.incoming.purpose == Purpose::Region || request.allowed_regions.is_empty() {
         let message = format!("the request may not run in {own}");
-        return Err(Failure::new(Kind::OutsideRegion, message));
+        return Err(Failure::new(ErrorKind::OutsideRegion, message));
     }
     Ok(())
 }
@@ -205,7 +209,7 @@
     });
     if !is_allowed {
         let message = format!("the request may not run in {own}");
-        return AttemptOutcome::NotRun(Failure::new(Kind::OutsideRegion, message));
+        return AttemptOutcome::NotRun(Failure::new(ErrorKind::OutsideRegion, message));
     }
     let backend_request = match build_backend_request(request, &slot) {
         Ok(backend_request) => backend_request,
@@ -215,8 +219,8 @@
     if let Err(failure) = request.record_send(sent_at) {
         return AttemptOutcome::NotRun(failure);
     }
-    shared.counters.count(Counter::Attempts);
-    let exchange = shared.backend.exchange(slot.address, backend_request, !request.repeatable);
+    shared.counters.increment(Counter::Attempts);
+    let exchange = shared.backend.send(slot.address, backend_request, !request.repeatable);
     let response = match timer::timeout_at(request.deadline, exchange).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
@@ -227,15 +231,15 @@
             slot.set_outcome(Outcome::Failed);
             let message = format!("{} did not answer before the deadline", slot.server);
             return AttemptOutcome::MayHaveRun(
-                Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown),
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
             );
         }
     };
     if server_reports_not_run(&response) {
         request.undo_send();
         let message = format!("{} refused the request", slot.server);
-        let failure = Failure::new(Kind::BackendFailed, message).with_ran(Ran::No);
-        let rest_duration = retry_after::read(response.headers());
+        let failure = Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::No);
+        let rest_duration = retry_after::from_headers(response.headers());
         let Some(rest_duration) = rest_duration.filter(|rest_duration| !rest_duration.is_zero())
         else {
             slot.set_outcome(Outcome::Failed);
@@ -257,32 +261,38 @@
 fn classify_attempt_error(
     request: &ValidatedRequest,
     slot: &Slot,
-    error: Attempt,
+    error: AttemptError,
 ) -> AttemptOutcome {
     let message = format!("{}: {error}", slot.server);
-    let failure = Failure::new(Kind::BackendFailed, message);
+    let failure = Failure::new(ErrorKind::BackendFailed, message);
     match error {
-        Attempt::Unsent(_) | Attempt::Withheld => {
+        AttemptError::NotSent(_) | AttemptError::Withheld => {
             request.undo_send();
-            AttemptOutcome::NotRun(failure.with_ran(Ran::No))
+            AttemptOutcome::NotRun(failure.with_executed(Executed::No))
+        }
+        AttemptError::NoResponse(_) => {
+            AttemptOutcome::MayHaveRun(failure.with_executed(Executed::Unknown))
         }
-        Attempt::Lost(_) => AttemptOutcome::MayHaveRun(failure.with_ran(Ran::Unknown)),
     }
 }
 
 /// Whether the backend server states that it did not run the request.
-fn server_reports_not_run(response: &Response<Exchange>) -> bool {
+fn server_reports_not_run(response: &Response<PooledBody>) -> bool {
     let status = response.status();
     let is_refusal =
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-    is_refusal && response.headers().get(caller::RAN).is_some_and(|ran| ran == Ran::No.as_str())
+    is_refusal
+        && response
+            .headers()
+            .get(caller::RAN_HEADER)
+            .is_some_and(|ran| ran == Executed::No.as_str())
 }
 
 fn build_backend_request(
     request: &ValidatedRequest,
     slot: &Slot,
 ) -> Result<Request<Full<bytes::Bytes>>, Failure> {
-    let malformed_path = |_| Failure::new(Kind::BadRequest, "the path cannot be passed on");
+    let malformed_path = |_| Failure::new(ErrorKind::BadRequest, "the path cannot be passed on");
     let uri: Uri = request.backend_path.parse().map_err(malformed_path)?;
     let mut backend_request = Request::new(Full::new(request.incoming.body.clone()));
     *backend_request.method_mut() = request.incoming.method.clone();
@@ -298,10 +308,10 @@
         headers.insert(header::HOST, host);
     }
     if let Ok(id) = request.incoming.id.parse() {
-        headers.insert(caller::REQUEST_ID, id);
+        headers.insert(caller::REQUEST_ID_HEADER, id);
     }
     if let Ok(priority) = request.priority.as_str().parse() {
-        headers.insert(caller::PRIORITY, priority);
+        headers.insert(caller::PRIORITY_HEADER, priority);
     }
     Ok(backend_request)
 }
@@ -312,7 +322,7 @@
     slot: Slot,
     in_flight_guard: InFlightGuard,
     sent_at: Instant,
-    response: Response<Exchange>,
+    response: Response<PooledBody>,
 ) -> RelayedResponse {
     let (parts, exchange) = response.into_parts();
     let is_event_stream = request.stream && has_event_stream_type(&parts.headers);
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -23,9 +23,9 @@
 use super::shared::SharedState;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::Incarnation;
 use crate::protocol::RegionId;
 use crate::protocol::caller;
@@ -56,12 +56,15 @@
         .filter(|member| member.region == *region && member.phase == Phase::Serving);
     let boxes = serving.choose_multiple(&mut rand::rng(), MAX_BOXES_TRIED);
     let mut in_flight_guard = Some(in_flight_guard);
-    let mut failure = Failure::new(Kind::NoServer, format!("no box of {region} can be reached"));
+    let mut failure =
+        Failure::new(ErrorKind::NoServer, format!("no box of {region} can be reached"));
     for member in boxes {
         let in_flight_guard = in_flight_guard.take().unwrap_or_else(|| shared.in_flight_guard());
         match send_to_box(shared, request, member, Purpose::Region, in_flight_guard).await {
             Ok(response) => return Ok(response),
-            Err(SendError::NotSent(message)) => failure = Failure::new(Kind::NoServer, message),
+            Err(SendError::NotSent(message)) => {
+                failure = Failure::new(ErrorKind::NoServer, message)
+            }
             Err(SendError::Failed(failure_from_box)) => return Err(failure_from_box),
         }
     }
@@ -79,7 +82,7 @@
     let owner_gone = || {
         let message =
             format!("box {owner}, which owned the key, is gone; the request may have run");
-        Failure::new(Kind::OwnerGone, message)
+        Failure::new(ErrorKind::OwnerGone, message)
     };
     let member = request
         .snapshot
@@ -108,25 +111,26 @@
 ) -> Result<RelayedResponse, SendError> {
     if request.incoming.visited.len() >= MAX_VISITED_BOXES {
         let message = "the request was passed on as often as allowed";
-        return Err(SendError::Failed(Failure::new(Kind::TooManyHops, message)));
+        return Err(SendError::Failed(Failure::new(ErrorKind::TooManyHops, message)));
     }
     let is_loop = request.incoming.visited.contains(&member.name);
     invariant::check(Invariant::Hops, !is_loop, || format!("request={}", request.incoming.id));
     let sent_at = clock::now();
     request.record_send(sent_at).map_err(SendError::Failed)?;
     let forward_request = build_forward_request(shared, request, member, purpose, sent_at);
-    shared.counters.count(Counter::ForwardedOut);
+    shared.counters.increment(Counter::ForwardedOut);
     let exchange = async {
-        let mut frames = shared.peers.forward(member.peers, forward_request).await?;
+        let mut frames = shared.peers.forward(member.peer_address, forward_request).await?;
         let first_frame =
-            frames.message().await.map_err(|status| CallError::Lost(Box::new(status)))?;
+            frames.message().await.map_err(|status| CallError::NoResponse(Box::new(status)))?;
         Ok((frames, first_frame))
     };
     let result = match timer::timeout_at(request.deadline, exchange).await {
         Ok(result) => result,
         Err(_) => {
             let message = format!("box {} did not answer before the deadline", member.name);
-            let failure = Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown);
+            let failure =
+                Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown);
             return Err(SendError::Failed(failure));
         }
     };
@@ -135,13 +139,13 @@
             let accounting = request_accounting(shared, request, None, in_flight_guard, sent_at);
             read_first_frame(frames, first_frame, request, accounting, &member.region)
         }
-        Err(CallError::Unsent(message)) => {
+        Err(CallError::NotSent(message)) => {
             request.undo_send();
             Err(SendError::NotSent(message))
         }
-        Err(error @ CallError::Lost(_)) => {
-            let failure = Failure::new(Kind::BackendFailed, error.to_string());
-            Err(SendError::Failed(failure.with_ran(Ran::Unknown)))
+        Err(error @ CallError::NoResponse(_)) => {
+            let failure = Failure::new(ErrorKind::BackendFailed, error.to_string());
+            Err(SendError::Failed(failure.with_executed(Executed::Unknown)))
         }
     }
 }
@@ -159,14 +163,14 @@
     let is_forwarded = |name: &HeaderName| {
         let keeps_key = purpose == Purpose::Owner;
         *name != header::AUTHORIZATION
-            && *name != caller::TIMEOUT
-            && *name != caller::NOT_REPEATABLE
-            && (keeps_key || *name != caller::IDEMPOTENCY_KEY)
+            && *name != caller::TIMEOUT_HEADER
+            && *name != caller::NOT_REPEATABLE_HEADER
+            && (keeps_key || *name != caller::IDEMPOTENCY_KEY_HEADER)
     };
     let mut headers = encode_headers(&incoming.headers, is_forwarded);
     if !request.repeatable {
         let value = bytes::Bytes::from_static(b"true");
-        headers.push(wire::Header { name: caller::NOT_REPEATABLE.to_owned(), value });
+        headers.push(wire::Header { name: caller::NOT_REPEATABLE_HEADER.to_owned(), value });
     }
     let remaining = request.deadline.saturating_duration_since(now);
     wire::ForwardRequest {
@@ -196,7 +200,9 @@
     region: &RegionId,
 ) -> Result<RelayedResponse, SendError> {
     let may_have_run = |text: &str| {
-        SendError::Failed(Failure::new(Kind::BackendFailed, text).with_ran(Ran::Unknown))
+        SendError::Failed(
+            Failure::new(ErrorKind::BackendFailed, text).with_executed(Executed::Unknown),
+        )
     };
     match first_frame.and_then(|frame| frame.frame) {
         Some(Frame::Head(head)) => {
@@ -208,7 +214,7 @@
                 && headers
                     .get(header::CONTENT_TYPE)
                     .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-            let ran_in = headers.remove(caller::REGION);
+            let ran_in = headers.remove(caller::REGION_HEADER);
             let ran_in = ran_in.and_then(|value| value.to_str().map(str::to_owned).ok());
             let source = ResponseSource::Peer { frames: Box::new(frames), ended: false };
             Ok(RelayedResponse {
@@ -220,7 +226,7 @@
         }
         Some(Frame::Failure(failure)) => {
             let failure = decode_failure(&failure);
-            if failure.ran() == Ran::No {
+            if failure.executed() == Executed::No {
                 request.undo_send();
             }
             Err(SendError::Failed(failure))
@@ -256,8 +262,8 @@
 }
 
 fn decode_failure(raw: &wire::Failure) -> Failure {
-    let kind = Kind::parse(&raw.kind).unwrap_or(Kind::BackendFailed);
-    let failure = Failure::new(kind, raw.message.clone()).with_ran(Ran::parse(&raw.ran));
+    let kind = ErrorKind::parse(&raw.kind).unwrap_or(ErrorKind::BackendFailed);
+    let failure = Failure::new(kind, raw.message.clone()).with_executed(Executed::parse(&raw.ran));
     match raw.retry_after_ms {
         0 => failure,
         millis => failure.with_retry_after(std::time::Duration::from_millis(millis.into())),
@@ -267,9 +273,9 @@
 /// Encodes a failure for another box.
 pub(super) fn encode_failure(failure: &Failure) -> wire::Failure {
     wire::Failure {
-        kind: failure.kind.row().code.to_owned(),
+        kind: failure.kind.spec().code.to_owned(),
         message: failure.message.clone(),
-        ran: failure.ran().as_str().to_owned(),
+        ran: failure.executed().as_str().to_owned(),
         retry_after_ms: failure
             .retry_after()
             .map_or(0, |after| after.as_millis().try_into().unwrap_or(u32::MAX)),
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -13,6 +13,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::dispatch::RelayedResponse;
+use super::request::Purpose;
 use bytes::Bytes;
 use bytes::BytesMut;
 use http::HeaderMap;
@@ -25,10 +27,8 @@
 use tokio::sync::oneshot;
 
 use super::dispatch;
-use super::dispatch::RelayedResponse;
 use super::forward;
 use super::relay::Relay;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
@@ -39,17 +39,17 @@
 use crate::coordination::ledger::Ledger;
 use crate::coordination::ledger::Verdict;
 use crate::coordination::ticket::Ticket;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::RegionId;
 use crate::protocol::platform::PlatformError;
 use crate::protocol::platform::Put;
 use crate::protocol::platform::Store;
 use crate::state::clock;
 use crate::state::counters::Counter;
-use crate::transport::body::Answer;
-use crate::transport::body::Part;
+use crate::transport::body::Chunk;
+use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
 /// Bounds of the ledger.
@@ -129,7 +129,7 @@
     /// Region that ran the request.
     pub region: RegionId,
     /// Response body.
-    pub body: Answer<Relay>,
+    pub body: ResponseBody<Relay>,
 }
 
 impl From<RelayedResponse> for GatewayResponse {
@@ -138,7 +138,7 @@
             status: response.status,
             headers: response.headers,
             region: response.region,
-            body: Answer::Relay(response.relay),
+            body: ResponseBody::Relay(response.relay),
         }
     }
 }
@@ -177,7 +177,7 @@
 
 fn still_running_failure() -> Failure {
     let message = "a request with this key is still running";
-    Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown)
+    Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
 fn response_from_verdict(
@@ -186,24 +186,24 @@
 ) -> Result<GatewayResponse, Failure> {
     match verdict {
         Verdict::Replay(kept) => {
-            shared.counters.count(Counter::Replayed);
+            shared.counters.increment(Counter::Replayed);
             Ok(replay(shared, kept))
         }
         Verdict::Ran => {
             let message = "the request ran; its answer is no longer kept";
-            Err(Failure::new(Kind::AlreadyRan, message))
+            Err(Failure::new(ErrorKind::AlreadyRan, message))
         }
         Verdict::Reused => {
             let message = "the key was used before with another request";
-            Err(Failure::new(Kind::KeyReused, message))
+            Err(Failure::new(ErrorKind::KeyReused, message))
         }
         Verdict::Full => {
             let message = "the box remembers as many keys as it can";
-            Err(Failure::new(Kind::LedgerFull, message))
+            Err(Failure::new(ErrorKind::LedgerFull, message))
         }
         Verdict::Unknown | Verdict::Run | Verdict::Wait => {
             let message = "an earlier request with this key may have run";
-            Err(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown))
+            Err(Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown))
         }
     }
 }
@@ -220,7 +220,7 @@
         status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
         headers: header_map,
         region: shared.settings.region.clone(),
-        body: Answer::whole(kept.body),
+        body: ResponseBody::buffered(kept.body),
     }
 }
 
@@ -232,7 +232,7 @@
     let limits = &request.snapshot.configuration.limits;
     let now = clock::now();
     let ticket = Ticket::parse(&key.text)
-        .map_err(|error| Failure::new(Kind::BadRequest, error.to_string()))?;
+        .map_err(|error| Failure::new(ErrorKind::BadRequest, error.to_string()))?;
     let Some(ticket) = ticket else {
         let keep_until = now + CLAIM_TTL + limits.max_timeout + CLAIM_SAFETY_MARGIN;
         return Ok(KeyOwner::Local { keep_until, needs_claim: true });
@@ -241,13 +241,13 @@
         return Ok(KeyOwner::Remote(ticket));
     }
     let Some(age) = shared.uptime(now).checked_sub(ticket.issued) else {
-        return Err(Failure::new(Kind::BadRequest, "the ticket was not handed out yet"));
+        return Err(Failure::new(ErrorKind::BadRequest, "the ticket was not handed out yet"));
     };
-    if age > limits.ticket_life && !shared.keyed_requests.contains_key(key) {
+    if age > limits.ticket_ttl && !shared.keyed_requests.contains_key(key) {
         let message = "the life of the ticket is over; whether it was used is no longer known";
-        return Err(Failure::new(Kind::TicketExpired, message));
+        return Err(Failure::new(ErrorKind::TicketExpired, message));
     }
-    let expires_at = shared.started_at + ticket.issued + limits.ticket_life;
+    let expires_at = shared.started_at + ticket.issued + limits.ticket_ttl;
     Ok(KeyOwner::Local { keep_until: expires_at.max(now) + limits.max_timeout, needs_claim: false })
 }
 
@@ -259,7 +259,7 @@
     let is_own_name = ticket.owner == shared.settings.name;
     if is_own_name || request.incoming.purpose != Purpose::Caller {
         let message = "the box that owned the key is gone; the request may have run";
-        return Err(Failure::new(Kind::OwnerGone, message));
+        return Err(Failure::new(ErrorKind::OwnerGone, message));
     }
     forward::to_owner(shared, request, &ticket.owner, ticket.incarnation)
         .await
@@ -290,7 +290,7 @@
     let run = RunGuard { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
     tokio::spawn(execute_run(run, request, needs_claim, head_sender));
     head_receiver.await.unwrap_or_else(|_| {
-        Err(Failure::new(Kind::Internal, "the run was lost").with_ran(Ran::Unknown))
+        Err(Failure::new(ErrorKind::Internal, "the run was lost").with_executed(Executed::Unknown))
     })
 }
 
@@ -309,12 +309,12 @@
         Ok(response) => response,
         Err(failure) => {
             let not_run_here = needs_claim && request.send_deadline.is_none();
-            run.conclusion = match failure.ran() {
+            run.conclusion = match failure.executed() {
                 // The box that owns the key records whether the request ran.
                 _ if not_run_here => Conclusion::NotRun,
-                Ran::No => Conclusion::NotRun,
-                Ran::Unknown => Conclusion::Unknown,
-                Ran::Yes => Conclusion::Answered(None),
+                Executed::No => Conclusion::NotRun,
+                Executed::Unknown => Conclusion::Unknown,
+                Executed::Yes => Conclusion::Answered(None),
             };
             drop(run);
             let _ = head_sender.send(Err(failure));
@@ -322,7 +322,7 @@
         }
     };
     let (part_sender, part_receiver) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
-    let body = std::mem::replace(&mut response.body, Answer::Channel(part_receiver));
+    let body = std::mem::replace(&mut response.body, ResponseBody::Channel(part_receiver));
     let (status, headers) = (response.status, response.headers.clone());
     let _ = head_sender.send(Ok(response));
     if let Some(body) = relay_body(body, &part_sender).await {
@@ -336,8 +336,8 @@
 /// complete body, `None` if the body was truncated, or `Some(None)` if it is
 /// too large to keep.
 async fn relay_body(
-    mut body: Answer<Relay>,
-    part_sender: &mpsc::Sender<Option<Part>>,
+    mut body: ResponseBody<Relay>,
+    part_sender: &mpsc::Sender<Option<Chunk>>,
 ) -> Option<Option<Bytes>> {
     let mut kept_bytes = Some(BytesMut::new());
     while let Some(frame) = body.frame().await {
@@ -409,13 +409,15 @@
     let path = claim_path(key);
     let value = serde_json::json!(Claim { ticket: own_ticket.to_string() }).to_string();
     let life_ms = u64::try_from(CLAIM_TTL.as_millis()).ok();
-    shared.counters.count(Counter::Claims);
+    shared.counters.increment(Counter::Claims);
     let put = Put { value, expect: 0, lease: None, life_ms };
     match shared.platform.put(&path, put).await {
         Ok(_) => Ok(own_ticket.clone()),
         // Either another claim exists, or this claim was stored and the response was
         // lost: read the claim to find out.
-        Err(PlatformError::Conflict(_) | PlatformError::Lost(_)) => read_claim(shared, &path).await,
+        Err(PlatformError::Conflict(_) | PlatformError::NoResponse(_)) => {
+            read_claim(shared, &path).await
+        }
         Err(error) => Err(claim_failure(&error.to_string())),
     }
 }
@@ -436,7 +438,7 @@
     let message = format!(
         "the key cannot be claimed ({reason}); use a ticket of GET /v1/boxes, which needs no claim"
     );
-    Failure::new(Kind::StoreUnavailable, message)
+    Failure::new(ErrorKind::StoreUnavailable, message)
 }
 
 fn claim_path(key: &Key) -> String {
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -45,16 +45,16 @@
 use crate::protocol::peer::Phase;
 use crate::protocol::peer::wire::peer_server::PeerServer;
 use crate::protocol::settings::Settings;
-use crate::state::burn::Burn;
+use crate::state::burn::BurnTracker;
 use crate::state::clock;
 use crate::state::counters::Counters;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
 use crate::transport::listen;
-use crate::transport::listen::Stop;
+use crate::transport::listen::Shutdown;
 use crate::transport::peer as peer_transport;
 use crate::transport::platform::Platform;
-use crate::transport::worker;
+use crate::transport::traffic_thread;
 
 /// Number of random low bits in an incarnation; the remaining bits hold the
 /// start time.
@@ -109,7 +109,7 @@
             operators: operators.local_addr()?,
         };
         let (events, receiver) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
-        let (stop, stopping) = watch::channel(Stop::No);
+        let (stop, stopping) = watch::channel(Shutdown::No);
         let shared = Arc::new(build_shared_state(settings, addresses, events.clone())?);
         let control = start_control_thread(&shared, events, receiver, stop)?;
         let traffic = start_traffic_threads(&shared, [callers, peers, operators], stopping)?;
@@ -210,7 +210,7 @@
         pools: pools::PoolTable::default(),
         limiter: Mutex::new(Limiter::default()),
         keyed_requests: idempotency::KeyedRequests::default(),
-        burn: Mutex::new(Burn::new(now)),
+        burn: Mutex::new(BurnTracker::new(now)),
         counters,
         backend: backend::Client::default(),
         control,
@@ -229,12 +229,12 @@
         name: settings.name.clone(),
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
-        callers: addresses.callers,
-        peers: addresses.peers,
+        caller_address: addresses.callers,
+        peer_address: addresses.peers,
         incarnation,
         beat: 1,
         phase: Phase::Starting,
-        version: 0,
+        configuration_version: 0,
         in_flight: 0,
         region_boxes: 1,
     }
@@ -244,7 +244,7 @@
     shared: &Arc<SharedState>,
     events: mpsc::Sender<control::Event>,
     receiver: mpsc::Receiver<control::Event>,
-    stop: watch::Sender<Stop>,
+    stop: watch::Sender<Shutdown>,
 ) -> Result<JoinHandle<Stage>, StartError> {
     let peers = new_peer_client(&shared.settings)?;
     let own = shared.current_snapshot().own.clone();
@@ -259,19 +259,19 @@
 
 /// Accepted connections that one traffic thread serves, one channel per port.
 struct TrafficThreadInput {
-    accepted: [listen::Accepted; PORT_COUNT],
+    accepted: [listen::AcceptedStreams; PORT_COUNT],
 }
 
 fn start_traffic_threads(
     shared: &Arc<SharedState>,
     listeners: [TcpListener; PORT_COUNT],
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<Vec<JoinHandle<()>>, StartError> {
     let mut senders: [Vec<mpsc::Sender<TcpStream>>; PORT_COUNT] = Default::default();
     let mut threads = Vec::new();
     for index in 0..shared.settings.traffic_threads {
         let accepted = senders.each_mut().map(|senders| {
-            let (sender, accepted) = mpsc::channel(listen::HANDED_OVER);
+            let (sender, accepted) = mpsc::channel(listen::HANDOVER_QUEUE_LEN);
             senders.push(sender);
             accepted
         });
@@ -292,7 +292,7 @@
 /// or at once on [`Stop::Now`].
 fn spawn_traffic_thread<F>(
     index: usize,
-    mut stopping: watch::Receiver<Stop>,
+    mut stopping: watch::Receiver<Shutdown>,
     work: impl FnOnce() -> F + Send + 'static,
 ) -> Result<JoinHandle<()>, StartError>
 where
@@ -300,11 +300,11 @@
 {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let run = move || {
-        worker::set_index(index);
+        traffic_thread::set_index(index);
         runtime.block_on(async {
             let result = tokio::select! {
                 result = work() => result,
-                _ = stopping.wait_for(|stop| *stop == Stop::Now) => Ok(()),
+                _ = stopping.wait_for(|stop| *stop == Shutdown::Immediate) => Ok(()),
             };
             if let Err(error) = result {
                 log::error!("event=traffic_failed thread={index} error=\"{error}\"");
@@ -317,7 +317,7 @@
 /// Accepts connections on all ports until the stop is complete.
 async fn accept_connections(
     ports: Vec<(TcpListener, Vec<mpsc::Sender<TcpStream>>)>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<(), StartError> {
     let mut accept_tasks = JoinSet::new();
     for (listener, threads) in ports {
@@ -333,7 +333,7 @@
 async fn serve(
     shared: Arc<SharedState>,
     input: TrafficThreadInput,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<Shutdown>,
 ) -> Result<(), StartError> {
     let [callers, peers, operators] = input.accepted;
     let state = Arc::clone(&shared);
@@ -341,8 +341,8 @@
     let state = Arc::clone(&shared);
     let handle_operator = move |request| operator_api::handle(Arc::clone(&state), request);
     let service = PeerServer::new(peer_service::PeerService::new(shared))
-        .max_decoding_message_size(peer_transport::MAX_MESSAGE)
-        .max_encoding_message_size(peer_transport::MAX_MESSAGE);
+        .max_decoding_message_size(peer_transport::MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(peer_transport::MAX_MESSAGE_BYTES);
     tokio::spawn(peer_transport::serve(peers, service, stopping.clone()));
     tokio::join!(
         listen::serve(callers, handle_caller, stopping.clone()),
--- a/lib/src/daemon/operator_api.rs
+++ b/lib/src/daemon/operator_api.rs
@@ -23,8 +23,8 @@
 use super::shared::lock;
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
+use crate::error::ErrorKind;
 use crate::error::Failure;
-use crate::error::Kind;
 use crate::protocol::caller;
 use crate::protocol::peer::Member;
 use crate::protocol::peer::Phase;
@@ -98,7 +98,7 @@
     respond(&shared, &request).unwrap_or_else(|failure| {
         let mut response = Response::new(Full::from(caller::failure_body(&failure)));
         *response.status_mut() = failure.status();
-        caller::failure_headers(&failure, response.headers_mut());
+        caller::add_failure_headers(&failure, response.headers_mut());
         response
     })
 }
@@ -106,25 +106,25 @@
 fn respond(shared: &SharedState, request: &Request<Incoming>) -> Result<OperatorResponse, Failure> {
     authorize(shared, request.headers())?;
     if request.method() != Method::GET {
-        return Err(Failure::new(Kind::MethodNotAllowed, "the operators' port takes GET"));
+        return Err(Failure::new(ErrorKind::MethodNotAllowed, "the operators' port takes GET"));
     }
     match request.uri().path() {
         "/status" => Ok(json_response(&json!(collect_status(shared)))),
         "/counters" => Ok(Response::new(Full::from(format_counters(shared)))),
         "/burn" => Ok(json_response(&json!(burn_report(shared)))),
         "/configuration" => Ok(Response::new(Full::new((**shared.document.load()).clone()))),
-        path => Err(Failure::new(Kind::NotFound, format!("no such path: {path}"))),
+        path => Err(Failure::new(ErrorKind::NotFound, format!("no such path: {path}"))),
     }
 }
 
 fn authorize(shared: &SharedState, headers: &HeaderMap) -> Result<(), Failure> {
     let Some(expected) = &shared.settings.operator_key_sha256 else { return Ok(()) };
-    let key = caller::bearer(headers)?.unwrap_or_default();
+    let key = caller::bearer_token(headers)?.unwrap_or_default();
     let presented: String = Sha256::digest(key).iter().map(|byte| format!("{byte:02x}")).collect();
     if bool::from(presented.as_bytes().ct_eq(expected.as_bytes())) {
         return Ok(());
     }
-    Err(Failure::new(Kind::Unauthorized, "expected Authorization: Bearer <operators' key>"))
+    Err(Failure::new(ErrorKind::Unauthorized, "expected Authorization: Bearer <operators' key>"))
 }
 
 fn json_response(value: &serde_json::Value) -> OperatorResponse {
@@ -178,9 +178,9 @@
     BoxStatus {
         name: member.name.clone(),
         region: member.region.clone(),
-        callers: member.callers.to_string(),
+        callers: member.caller_address.to_string(),
         phase: phase.to_owned(),
-        version: member.version,
+        version: member.configuration_version,
     }
 }
 
@@ -204,7 +204,7 @@
     text
 }
 
-fn burn_report(shared: &SharedState) -> crate::state::burn::Report {
+fn burn_report(shared: &SharedState) -> crate::state::burn::BurnReport {
     let snapshot = shared.current_snapshot();
     let burn = lock(&shared.burn);
     burn.report(&shared.settings.name, &snapshot.configuration, clock::now())
--- a/lib/src/daemon/peer_service.rs
+++ b/lib/src/daemon/peer_service.rs
@@ -6,6 +6,10 @@
 use std::task::Poll;
 use std::time::Duration;
 
+use super::idempotency::GatewayResponse;
+use super::request::IncomingRequest;
+use super::request::MAX_VISITED_BOXES;
+use super::request::Purpose;
 use http::Method;
 use http_body::Body;
 use prost::Message;
@@ -19,16 +23,12 @@
 use super::dispatch;
 use super::forward;
 use super::idempotency;
-use super::idempotency::GatewayResponse;
 use super::relay::Relay;
-use super::request::IncomingRequest;
-use super::request::MAX_VISITED_BOXES;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::Version;
 use crate::protocol::caller;
 use crate::protocol::caller::Endpoint;
@@ -39,7 +39,7 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::body::Answer;
+use crate::transport::body::ResponseBody;
 use crate::transport::peer::authorize;
 use crate::transport::timer;
 
@@ -62,7 +62,7 @@
 
     fn authorize_peer<T>(&self, request: &Request<T>) -> Result<(), Status> {
         authorize(request, &self.shared.settings.peer_secret)
-            .inspect_err(|_| self.shared.counters.count(Counter::PeerRefused))
+            .inspect_err(|_| self.shared.counters.increment(Counter::PeerRefused))
     }
 }
 
@@ -77,7 +77,7 @@
         self.authorize_peer(&request)?;
         let request_message = request.into_inner();
         let counters = &self.shared.counters;
-        counters.count(Counter::HeartbeatsReceived);
+        counters.increment(Counter::HeartbeatsReceived);
         counters.add(Counter::HeartbeatBytes, request_message.encoded_len() as u64);
         let heartbeat = Heartbeat::try_from(request_message);
         let heartbeat = heartbeat.map_err(|error| Status::invalid_argument(error.to_string()))?;
@@ -107,7 +107,7 @@
         request: Request<wire::ForwardRequest>,
     ) -> Result<Response<ResponseFrames>, Status> {
         self.authorize_peer(&request)?;
-        self.shared.counters.count(Counter::ForwardedIn);
+        self.shared.counters.increment(Counter::ForwardedIn);
         let frames = match run_forwarded_request(&self.shared, request.into_inner()).await {
             Ok(response) => ResponseFrames::from_response(response),
             Err(failure) => ResponseFrames::from_failure(&failure),
@@ -142,15 +142,15 @@
     let within_hop_limit =
         forwarded.visited.len() <= MAX_VISITED_BOXES && !forwarded.visited.contains(name);
     if !within_hop_limit {
-        return Err(Failure::new(Kind::TooManyHops, "the request came here before"));
+        return Err(Failure::new(ErrorKind::TooManyHops, "the request came here before"));
     }
     if forwarded.target_region != shared.settings.region
         || forwarded.target_incarnation != shared.incarnation
     {
         let message = "the request was sent to a box that has been replaced";
         let kind = match forwarded.purpose() {
-            wire::Purpose::Owner => Kind::OwnerGone,
-            wire::Purpose::Region => Kind::NoServer,
+            wire::Purpose::Owner => ErrorKind::OwnerGone,
+            wire::Purpose::Region => ErrorKind::NoServer,
         };
         return Err(Failure::new(kind, message));
     }
@@ -171,7 +171,7 @@
         }
         if clock::now() >= deadline {
             let message = format!("this box does not have configuration {version} yet");
-            return Err(Failure::new(Kind::Behind, message));
+            return Err(Failure::new(ErrorKind::Behind, message));
         }
         if !std::mem::replace(&mut requested, true) {
             let _ = shared.control.try_send(control::Event::NewerVersionRequired(version));
@@ -185,10 +185,10 @@
     purpose: Purpose,
 ) -> Result<(IncomingRequest, Duration), Failure> {
     let method = Method::from_bytes(forwarded.method.as_bytes())
-        .map_err(|_| Failure::new(Kind::BadRequest, "a malformed method"))?;
+        .map_err(|_| Failure::new(ErrorKind::BadRequest, "a malformed method"))?;
     let timeout = Duration::from_millis(forwarded.timeout_ms.into());
     let mut headers = forward::decode_headers(&forwarded.headers);
-    headers.remove(caller::TIMEOUT);
+    headers.remove(caller::TIMEOUT_HEADER);
     let incoming = IncomingRequest {
         id: forwarded.request_id,
         purpose,
@@ -206,7 +206,7 @@
 /// Frames of a response to another box.
 pub struct ResponseFrames {
     first: Option<Frame>,
-    body: Option<Answer<Relay>>,
+    body: Option<ResponseBody<Relay>>,
     bytes_sent: u64,
 }
 
@@ -214,7 +214,7 @@
     fn from_response(response: GatewayResponse) -> ResponseFrames {
         let mut headers = forward::encode_headers(&response.headers, |_| true);
         headers.push(wire::Header {
-            name: caller::REGION.to_owned(),
+            name: caller::REGION_HEADER.to_owned(),
             value: response.region.into_bytes().into(),
         });
         let head = wire::Head { status: response.status.as_u16().into(), headers };
@@ -248,9 +248,9 @@
                 }
                 Poll::Ready(Some(Err(cut))) => {
                     self.body = None;
-                    let failure = Failure::new(Kind::BackendFailed, cut.to_string());
+                    let failure = Failure::new(ErrorKind::BackendFailed, cut.to_string());
                     return frame_item(Frame::Failure(forward::encode_failure(
-                        &failure.with_ran(Ran::Unknown),
+                        &failure.with_executed(Executed::Unknown),
                     )));
                 }
                 Poll::Ready(Some(Ok(part))) => {
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -36,8 +36,8 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
-use crate::transport::backend::Exchange;
-use crate::transport::body::Cut;
+use crate::transport::backend::PooledBody;
+use crate::transport::body::BodyError;
 
 /// Maximum time between checks for an idle stream. The runtime's timer stops
 /// while the machine is suspended, but the clock that decides does not.
@@ -50,7 +50,7 @@
 /// Where a response comes from.
 pub enum ResponseSource {
     /// A backend server of this region.
-    Backend(Box<Exchange>),
+    Backend(Box<PooledBody>),
     /// Another box.
     Peer {
         /// Frames received from the box.
@@ -83,7 +83,7 @@
 
 /// Error that ends a truncated stream after its error event was sent.
 struct PendingError {
-    cut: Cut,
+    cut: BodyError,
     flushed: bool,
 }
 
@@ -111,7 +111,7 @@
         is_event_stream: bool,
     ) -> Relay {
         let now = clock::now();
-        let idle_limit = accounting.snapshot.configuration.limits.stream_idle;
+        let idle_limit = accounting.snapshot.configuration.limits.stream_idle_timeout;
         Relay {
             source,
             accounting,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match &mut self.source {
             ResponseSource::Backend(exchange) => poll_backend(exchange, context),
             ResponseSource::Peer { frames, ended } => {
@@ -187,17 +187,17 @@
             self.record_burn();
         }
         if let ResponseSource::Backend(exchange) = &mut self.source {
-            exchange.finished();
+            exchange.release();
         }
         if let Some(slot) = &mut self.accounting.slot {
             slot.set_outcome(Outcome::Answered { first_byte, total });
         }
         self.accounting.slot = None;
-        self.accounting.shared.counters.count(Counter::Answered);
+        self.accounting.shared.counters.increment(Counter::Answered);
     }
 
-    fn fail(&mut self, cut: Cut) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        self.accounting.shared.counters.count(Counter::Cut);
+    fn fail(&mut self, cut: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.accounting.shared.counters.increment(Counter::Cut);
         if let Some(slot) = &mut self.accounting.slot {
             slot.set_outcome(Outcome::Failed);
         }
@@ -214,12 +214,12 @@
 
 impl Body for Relay {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(pending_error) = self.pending_error.as_mut() {
             // On an error, the HTTP server discards data that it has not written yet.
             // Yield once so that it can write the error event.
@@ -241,12 +241,12 @@
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Poll::Ready(Some(Err(cut))) => self.fail(cut),
-            Poll::Ready(None) if !self.is_complete() => self.fail(Cut::Unfinished),
+            Poll::Ready(None) if !self.is_complete() => self.fail(BodyError::MissingEnd),
             Poll::Ready(None) => {
                 self.complete();
                 Poll::Ready(None)
             }
-            Poll::Pending if self.poll_idle_timeout(context) => self.fail(Cut::Silent),
+            Poll::Pending if self.poll_idle_timeout(context) => self.fail(BodyError::IdleTimeout),
             Poll::Pending => Poll::Pending,
         }
     }
@@ -259,21 +259,21 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            self.accounting.shared.counters.count(Counter::CallerGone);
+            self.accounting.shared.counters.increment(Counter::CallerGone);
         }
     }
 }
 
 fn poll_backend(
-    exchange: &mut Exchange,
+    exchange: &mut PooledBody,
     context: &mut Context<'_>,
-) -> Poll<Option<Result<Bytes, Cut>>> {
+) -> Poll<Option<Result<Bytes, BodyError>>> {
     loop {
         match Pin::new(exchange.body()).poll_frame(context) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(None) => return Poll::Ready(None),
             Poll::Ready(Some(Err(error))) => {
-                return Poll::Ready(Some(Err(Cut::Broken(error.to_string()))));
+                return Poll::Ready(Some(Err(BodyError::ConnectionLost(error.to_string()))));
             }
             // Trailers are not relayed.
             Poll::Ready(Some(Ok(frame))) => {
@@ -290,15 +290,15 @@
     ended: &mut bool,
     bytes: u64,
     context: &mut Context<'_>,
-) -> Poll<Option<Result<Bytes, Cut>>> {
+) -> Poll<Option<Result<Bytes, BodyError>>> {
     if *ended {
         return Poll::Ready(None);
     }
     let frame = match Pin::new(frames).poll_next(context) {
         Poll::Pending => return Poll::Pending,
-        Poll::Ready(None) => return Poll::Ready(Some(Err(Cut::Unfinished))),
+        Poll::Ready(None) => return Poll::Ready(Some(Err(BodyError::MissingEnd))),
         Poll::Ready(Some(Err(status))) => {
-            return Poll::Ready(Some(Err(Cut::Broken(status.message().to_owned()))));
+            return Poll::Ready(Some(Err(BodyError::ConnectionLost(status.message().to_owned()))));
         }
         Poll::Ready(Some(Ok(frame))) => frame.frame,
     };
@@ -312,11 +312,13 @@
             invariant::check(Invariant::WholeAnswer, end.bytes == bytes, || {
                 format!("sent={} received={bytes}", end.bytes)
             });
-            Poll::Ready(Some(Err(Cut::Broken("bytes are missing".to_owned()))))
+            Poll::Ready(Some(Err(BodyError::ConnectionLost("bytes are missing".to_owned()))))
+        }
+        Some(Kind::Failure(failure)) => {
+            Poll::Ready(Some(Err(BodyError::ConnectionLost(failure.message))))
         }
-        Some(Kind::Failure(failure)) => Poll::Ready(Some(Err(Cut::Broken(failure.message)))),
         Some(Kind::Head(_)) | None => {
-            Poll::Ready(Some(Err(Cut::Broken("a frame out of order".to_owned()))))
+            Poll::Ready(Some(Err(BodyError::ConnectionLost("a frame out of order".to_owned()))))
         }
     }
 }
@@ -331,7 +333,7 @@
     bytes.windows(marker.len()).any(|window| window == marker)
 }
 
-fn error_event(cut: &Cut) -> Bytes {
+fn error_event(cut: &BodyError) -> Bytes {
     let error = json!({"error": {
         "message": cut.to_string(), "type": "backend_error", "code": "backend_failed",
     }});
--- a/lib/src/daemon/request.rs
+++ b/lib/src/daemon/request.rs
@@ -18,9 +18,9 @@
 use crate::coordination::invariant;
 use crate::coordination::invariant::Invariant;
 use crate::coordination::ledger::Fingerprint;
+use crate::error::ErrorKind;
+use crate::error::Executed;
 use crate::error::Failure;
-use crate::error::Kind;
-use crate::error::Ran;
 use crate::protocol::BoxId;
 use crate::protocol::PoolId;
 use crate::protocol::RegionId;
@@ -28,7 +28,7 @@
 use crate::protocol::caller;
 use crate::protocol::caller::Completion;
 use crate::protocol::caller::Endpoint;
-use crate::protocol::caller::Wishes;
+use crate::protocol::caller::RequestOptions;
 use crate::protocol::config::Configuration;
 use crate::protocol::config::Priority;
 use crate::protocol::config::Team;
@@ -119,21 +119,20 @@
         snapshot: Arc<Snapshot>,
     ) -> Result<ValidatedRequest, Failure> {
         let configuration = Arc::clone(&snapshot.configuration);
-        let options = Wishes::parse(&incoming.headers, &configuration.limits)?;
-        let team = configuration
-            .teams
-            .get(&incoming.team)
-            .ok_or_else(|| Failure::new(Kind::Unauthorized, "the team is no longer declared"))?;
+        let options = RequestOptions::parse(&incoming.headers, &configuration.limits)?;
+        let team = configuration.teams.get(&incoming.team).ok_or_else(|| {
+            Failure::new(ErrorKind::Unauthorized, "the team is no longer declared")
+        })?;
         let target = match endpoint {
             Endpoint::Completion => resolve_model(&configuration, team, &incoming)?,
             Endpoint::Service { name, path } => {
                 resolve_service(&configuration, team, &incoming, name, path)?
             }
-            _ => return Err(Failure::new(Kind::NotFound, "nothing to run")),
+            _ => return Err(Failure::new(ErrorKind::NotFound, "nothing to run")),
         };
         if options.priority.is_some_and(|priority| priority > team.max_priority) {
             let message = format!("the team may ask for {} at most", team.max_priority.as_str());
-            return Err(Failure::new(Kind::Forbidden, message));
+            return Err(Failure::new(ErrorKind::Forbidden, message));
         }
         let allowed_regions = configuration.allowed_regions(team, target.residency.as_ref());
         Ok(ValidatedRequest {
@@ -192,12 +191,15 @@
         });
         if now >= self.deadline {
             self.undo_send();
-            return Err(Failure::new(Kind::WouldBeLate, "the deadline passed before dispatch"));
+            return Err(Failure::new(
+                ErrorKind::WouldBeLate,
+                "the deadline passed before dispatch",
+            ));
         }
         if self.send_deadline.is_some_and(|send_deadline| now >= send_deadline) {
             self.undo_send();
             let message = "the claim of the key may be over; the box was held up";
-            return Err(Failure::new(Kind::StoreUnavailable, message));
+            return Err(Failure::new(ErrorKind::StoreUnavailable, message));
         }
         Ok(())
     }
@@ -214,7 +216,7 @@
     /// Checks a failure before it is reported: it may state that the request
     /// did not run only if nothing was sent.
     pub fn check_failure(&self, failure: Failure) -> Failure {
-        let claims_not_run = failure.ran() == Ran::No;
+        let claims_not_run = failure.executed() == Executed::No;
         invariant::check(
             Invariant::RanNoIsTrue,
             !(claims_not_run && self.may_have_been_sent()),
@@ -255,10 +257,10 @@
     let model = configuration
         .models
         .get(&name)
-        .ok_or_else(|| Failure::new(Kind::UnknownModel, format!("no model \"{name}\"")))?;
+        .ok_or_else(|| Failure::new(ErrorKind::UnknownModel, format!("no model \"{name}\"")))?;
     if !team.models.contains("*") && !team.models.contains(&name) {
         let message = format!("the team may not use model \"{name}\"");
-        return Err(Failure::new(Kind::Forbidden, message));
+        return Err(Failure::new(ErrorKind::Forbidden, message));
     }
     Ok(Target {
         pool: model.pool.clone(),
@@ -279,10 +281,10 @@
     let service = configuration
         .services
         .get(name)
-        .ok_or_else(|| Failure::new(Kind::UnknownService, format!("no service \"{name}\"")))?;
+        .ok_or_else(|| Failure::new(ErrorKind::UnknownService, format!("no service \"{name}\"")))?;
     if !team.services.contains("*") && !team.services.contains(name) {
         let message = format!("the team may not use service \"{name}\"");
-        return Err(Failure::new(Kind::Forbidden, message));
+        return Err(Failure::new(ErrorKind::Forbidden, message));
     }
     Ok(Target {
         pool: name.to_owned(),
@@ -297,7 +299,7 @@
 /// the gateway itself are not.
 pub fn is_forwarded_header(name: &HeaderName) -> bool {
     let is_gateway_header =
-        name.as_str().starts_with("copperweir-") || *name == caller::IDEMPOTENCY_KEY;
+        name.as_str().starts_with("copperweir-") || *name == caller::IDEMPOTENCY_KEY_HEADER;
     let replaced = [header::AUTHORIZATION, header::HOST];
-    !is_gateway_header && !caller::is_of_connection(name) && !replaced.contains(name)
+    !is_gateway_header && !caller::is_hop_by_hop(name) && !replaced.contains(name)
 }
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -21,9 +21,9 @@
 use crate::coordination::limit::Limiter;
 use crate::protocol::Incarnation;
 use crate::protocol::settings::Settings;
-use crate::state::burn::Burn;
+use crate::state::burn::BurnTracker;
 use crate::state::counters::Counters;
-use crate::state::snapshot::Published;
+use crate::state::snapshot::SharedSnapshot;
 use crate::state::snapshot::Snapshot;
 use crate::transport::backend;
 use crate::transport::peer;
@@ -51,7 +51,7 @@
     /// Start of the process; ticket issue times are relative to it.
     pub started_at: Instant,
     /// Control state as published to the traffic threads.
-    pub snapshot: Published,
+    pub snapshot: SharedSnapshot,
     /// Stored bytes of the configuration in force, unchanged.
     pub document: ArcSwap<Bytes>,
     /// Pools of backend servers.
@@ -61,7 +61,7 @@
     /// Requests with an idempotency key.
     pub keyed_requests: idempotency::KeyedRequests,
     /// Error-budget burn of the objectives.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnTracker>,
     /// Counters of this process.
     pub counters: Arc<Counters>,
     /// Client for backend servers.
--- a/lib/src/operators/apply.rs
+++ b/lib/src/operators/apply.rs
@@ -13,7 +13,7 @@
 use crate::protocol::config::check::Files;
 use crate::protocol::config::document::Document;
 use crate::protocol::config::document::DocumentError;
-use crate::protocol::config::document::KEY;
+use crate::protocol::config::document::STORE_KEY;
 use crate::protocol::platform::Entry;
 use crate::protocol::platform::PlatformError;
 use crate::protocol::platform::Put;
@@ -50,18 +50,18 @@
 /// Applies `files` to the stored configuration and returns the new version.
 /// `id` identifies this change uniquely.
 pub async fn apply(store: &impl Store, files: &Files, id: &str) -> Result<Version, ApplyError> {
-    let entry = store.get(KEY).await.map_err(ApplyError::Platform)?;
+    let entry = store.get(STORE_KEY).await.map_err(ApplyError::Platform)?;
     let (current, revision) = decode_entry(entry)?;
     let next = current.with_files(files, id);
     next.check()?;
     let value = String::from_utf8_lossy(&next.encode()?).into_owned();
     let put = Put { value, expect: revision, lease: None, life_ms: None };
-    match store.put(KEY, put).await {
+    match store.put(STORE_KEY, put).await {
         Ok(_) => Ok(next.version),
         Err(PlatformError::Conflict(_)) => {
             resolve_uncertain_write(store, id, current.version, false).await
         }
-        Err(PlatformError::Lost(_)) => {
+        Err(PlatformError::NoResponse(_)) => {
             resolve_uncertain_write(store, id, current.version, true).await
         }
         Err(error) => Err(ApplyError::Platform(error)),
@@ -84,13 +84,13 @@
     based_on: Version,
     may_be_in_flight: bool,
 ) -> Result<Version, ApplyError> {
-    let mut last_error = PlatformError::Lost("the change is not there yet".to_owned());
+    let mut last_error = PlatformError::NoResponse("the change is not there yet".to_owned());
     for _ in 0..READ_BACK_ATTEMPTS {
-        match store.get(KEY).await {
+        match store.get(STORE_KEY).await {
             Err(error) => last_error = error,
             Ok(entry) => {
                 let (stored, _) = decode_entry(entry)?;
-                if let Some(version) = stored.version_of(id) {
+                if let Some(version) = stored.version_of_change(id) {
                     return Ok(version);
                 }
                 if stored.version > based_on || !may_be_in_flight {
--- a/lib/src/protocol/config/shape.rs
+++ b/lib/src/protocol/config/shape.rs
@@ -1,10 +1,10 @@
-//! The shape of a configuration file; also the source of its reference page.
+//! The schema of a configuration file. The reference page is generated from it.
 
 use crate::protocol::schema::Field;
 use crate::protocol::schema::Shape;
 
-const PRIORITY: Shape = Shape::Word(&["low", "normal", "high"]);
-const TEXTS: Shape = Shape::List(&Shape::Text);
+const PRIORITY: Shape = Shape::Enum(&["low", "normal", "high"]);
+const TEXTS: Shape = Shape::List(&Shape::String);
 
 const REGION: Shape = Shape::Object(&[Field::required(
     "failure_domains",
@@ -13,35 +13,43 @@
 )]);
 
 const MODEL: Shape = Shape::Object(&[
-    Field::required("pool", Shape::Text, "Pool whose backend servers run the model."),
-    Field::optional("version", Shape::Text, "Version that the engines load. Default: empty."),
-    Field::optional("residency", Shape::Text, "Residency rule for every request to the model."),
+    Field::required("pool", Shape::String, "Pool whose backend servers run the model."),
+    Field::optional("version", Shape::String, "Version that the engines load. Default: empty."),
+    Field::optional("residency", Shape::String, "Residency rule for every request to the model."),
 ]);
 
 const SERVER: Shape = Shape::Object(&[
-    Field::required("region", Shape::Text, "Region that the backend server stands in."),
-    Field::required("failure_domain", Shape::Text, "Failure domain that it stands in."),
-    Field::required("address", Shape::Text, "IP number and port, such as \"127.0.0.1:9000\"."),
-    Field::optional("slots", Shape::Whole, "Requests it runs at once. Default: 8."),
+    Field::required("region", Shape::String, "Region of the backend server."),
+    Field::required("failure_domain", Shape::String, "Failure domain of the backend server."),
+    Field::required("address", Shape::String, "IP number and port, such as \"127.0.0.1:9000\"."),
+    Field::optional(
+        "slots",
+        Shape::UnsignedInteger,
+        "Maximum number of concurrent requests. Default: 8.",
+    ),
     Field::optional(
         "checks_epochs",
-        Shape::Flag,
-        "Whether it refuses orders of an old epoch. Default: false.",
+        Shape::Boolean,
+        "Whether it rejects orders with an old epoch. Default: false.",
+    ),
+    Field::optional(
+        "leaving",
+        Shape::Boolean,
+        "Whether to take it out of service. Default: false.",
     ),
-    Field::optional("leaving", Shape::Flag, "Takes it out of service. Default: false."),
 ]);
 
 const POOL: Shape = Shape::Object(&[
     Field::required("servers", Shape::Map(&SERVER), "Backend servers by name."),
     Field::optional(
         "queue_limit",
-        Shape::Whole,
-        "Requests that may wait on one box. Default: 256.",
+        Shape::UnsignedInteger,
+        "Maximum number of queued requests on one box. Default: 256.",
     ),
     Field::optional(
         "queue_bytes",
-        Shape::Whole,
-        "Bytes of bodies that may wait on one box. Default: 33554432.",
+        Shape::UnsignedInteger,
+        "Maximum total size of queued bodies on one box, bytes. Default: 33554432.",
     ),
     Field::optional(
         "lend_share",
@@ -51,23 +59,23 @@
 ]);
 
 const ROUTE: Shape = Shape::Object(&[
-    Field::required("method", Shape::Text, "Method, or \"*\"."),
-    Field::required("path", Shape::Text, "Beginning of the path, such as \"/filings\"."),
+    Field::required("method", Shape::String, "Method, or \"*\"."),
+    Field::required("path", Shape::String, "Path prefix, such as \"/filings\"."),
 ]);
 
 const SERVICE: Shape = Shape::Object(&[
     Field::required("servers", Shape::Map(&SERVER), "Backend servers by name."),
     Field::optional(
         "queue_limit",
-        Shape::Whole,
-        "Requests that may wait on one box. Default: 256.",
+        Shape::UnsignedInteger,
+        "Maximum number of queued requests on one box. Default: 256.",
     ),
     Field::optional(
         "not_repeatable",
         Shape::List(&ROUTE),
-        "Calls that run at most once. Default: none.",
+        "Calls that must be executed at most once. Default: none.",
     ),
-    Field::optional("residency", Shape::Text, "Residency rule for every request to the service."),
+    Field::optional("residency", Shape::String, "Residency rule for every request to the service."),
 ]);
 
 const RESIDENCY: Shape =
@@ -77,59 +85,71 @@
     Field::optional("keys_sha256", TEXTS, "SHA-256 of each of the team's keys, in hex."),
     Field::optional(
         "anonymous",
-        Shape::Flag,
+        Shape::Boolean,
         "Whether requests without a key belong to this team. Default: false.",
     ),
-    Field::optional("models", TEXTS, "Models it may use; \"*\" for all. Default: none."),
-    Field::optional("services", TEXTS, "Services it may use; \"*\" for all. Default: none."),
+    Field::optional("models", TEXTS, "Models that the team may use; \"*\" for all. Default: none."),
+    Field::optional(
+        "services",
+        TEXTS,
+        "Services that the team may use; \"*\" for all. Default: none.",
+    ),
     Field::optional(
         "max_priority",
         PRIORITY,
-        "Highest priority it may ask for. Default: \"normal\".",
+        "Highest priority that the team may request. Default: \"normal\".",
     ),
     Field::optional(
         "requests_per_second",
         Shape::Number,
-        "Limit over all boxes. Default: 1000000.",
+        "Rate limit over all boxes together. Default: 1000000.",
     ),
-    Field::optional("residency", Shape::Text, "Residency rule for every request of the team."),
+    Field::optional("residency", Shape::String, "Residency rule for every request of the team."),
 ]);
 
 const LIMITS: Shape = Shape::Object(&[
-    Field::optional("body_bytes", Shape::Whole, "Largest body, bytes. Default: 1048576."),
+    Field::optional(
+        "body_bytes",
+        Shape::UnsignedInteger,
+        "Maximum body size, bytes. Default: 1048576.",
+    ),
     Field::optional(
         "default_timeout_ms",
-        Shape::Whole,
-        "Deadline where a request names none. Default: 60000.",
+        Shape::UnsignedInteger,
+        "Timeout of requests that give none. Default: 60000.",
     ),
     Field::optional(
         "max_timeout_ms",
-        Shape::Whole,
-        "Longest deadline a request may name. Default: 600000.",
+        Shape::UnsignedInteger,
+        "Maximum timeout that a request may give. Default: 600000.",
     ),
     Field::optional(
         "stream_idle_ms",
-        Shape::Whole,
-        "Longest silence of an answer. Default: 30000.",
+        Shape::UnsignedInteger,
+        "Maximum time without data in a response. Default: 30000.",
     ),
     Field::optional(
         "ticket_life_ms",
-        Shape::Whole,
-        "Life of a ticket and of the answer kept for it. Default: 900000.",
+        Shape::UnsignedInteger,
+        "Time to live of a ticket and of the response kept for it. Default: 900000.",
     ),
 ]);
 
 const OBJECTIVE: Shape = Shape::Object(&[
-    Field::required("pool", Shape::Text, "Pool or service whose requests count."),
+    Field::required("pool", Shape::String, "Pool or service whose requests are counted."),
     Field::required(
         "target",
         Shape::Number,
-        "Share of requests that should be good, such as 0.95.",
+        "Share of requests that should meet the objective, such as 0.95.",
+    ),
+    Field::required(
+        "first_byte_ms",
+        Shape::UnsignedInteger,
+        "Maximum time to the first byte of a request that meets the objective.",
     ),
-    Field::required("first_byte_ms", Shape::Whole, "Time to the first byte of a good request."),
 ]);
 
-/// The shape of a configuration file.
+/// The schema of a configuration file.
 pub const FILE: Shape = Shape::Object(&[
     Field::optional("regions", Shape::Map(&REGION), "Regions by name."),
     Field::optional("models", Shape::Map(&MODEL), "Models by the name that callers use."),
--- a/lib/src/state/burn.rs
+++ b/lib/src/state/burn.rs
@@ -1,9 +1,9 @@
-//! How fast the error budget of each objective burns.
+//! The burn rate of the error budget of each objective.
 //!
-//! A burn rate of 1 spends exactly the budget; over 1, the objective will be
-//! missed if it goes on. Two windows, so that a short burst and a slow leak
-//! both show. Counts are kept in slices of time that this box's memory holds;
-//! a replaced box starts anew, which the report says.
+//! A burn rate of 1 spends exactly the budget; with a rate over 1, the objective will be missed if
+//! the rate persists. Counts are reported for several windows, so that both short bursts and slow
+//! leaks are visible. The counts are kept in time slices in the memory of one box. A replaced box
+//! starts from zero; the report says for how long it has counted.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,29 +15,29 @@
 
 use crate::protocol::config::Configuration;
 
-/// Length of a slice.
+/// The length of a slice.
 const SLICE: Duration = Duration::from_secs(10);
-/// Windows of the report.
+/// The windows of a report.
 pub const WINDOWS: [Duration; 3] =
     [Duration::from_secs(300), Duration::from_secs(3600), Duration::from_secs(6 * 3600)];
 
-/// Requests of a slice or window.
+/// The request counts of a slice or window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Count {
-    /// All.
+pub struct RequestCounts {
+    /// All requests.
     pub total: u64,
-    /// Those that missed the objective.
+    /// Requests that missed the objective.
     pub bad: u64,
 }
 
-impl Count {
-    fn add(&mut self, other: Count) {
+impl RequestCounts {
+    fn add(&mut self, other: RequestCounts) {
         self.total += other.total;
         self.bad += other.bad;
     }
 
-    /// Burn rate for an objective with this target share.
-    pub fn burn(&self, target: f64) -> f64 {
+    /// Returns the burn rate for an objective with this target share.
+    pub fn burn_rate(&self, target: f64) -> f64 {
         if self.total == 0 {
             return 0.0;
         }
@@ -45,33 +45,33 @@
     }
 }
 
-/// One row of a report: an objective over each window.
+/// The counts of one objective over each window.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Row {
-    /// Objective.
+pub struct ObjectiveBurn {
+    /// The name of the objective.
     pub objective: String,
-    /// Pool.
+    /// The pool.
     pub pool: String,
-    /// Target share.
+    /// The target share.
     pub target: f64,
-    /// Counts in the order of [`WINDOWS`].
-    pub windows: Vec<Count>,
+    /// The counts, in the order of [`WINDOWS`].
+    pub windows: Vec<RequestCounts>,
 }
 
-/// What one box reports.
+/// The report of one box.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Report {
-    /// Box.
+pub struct BurnReport {
+    /// The name of the box.
     pub name: String,
-    /// How long it has counted, seconds.
+    /// How long the box has counted, in seconds.
     pub since_s: u64,
-    /// Rows by objective.
-    pub rows: Vec<Row>,
+    /// One row per objective.
+    pub rows: Vec<ObjectiveBurn>,
 }
 
-impl Report {
+impl BurnReport {
     /// Adds the counts of another box's report.
-    pub fn merge(&mut self, other: &Report) {
+    pub fn merge(&mut self, other: &BurnReport) {
         for row in &other.rows {
             let own = self.rows.iter_mut().find(|own| own.objective == row.objective);
             match own {
@@ -88,18 +88,19 @@
 
 /// The counts of one box.
 #[derive(Debug)]
-pub struct Burn {
+pub struct BurnTracker {
     started_at: Instant,
-    slices: BTreeMap<String, VecDeque<(Instant, Count)>>,
+    slices: BTreeMap<String, VecDeque<(Instant, RequestCounts)>>,
 }
 
-impl Burn {
-    /// Nothing counted yet.
-    pub fn new(now: Instant) -> Burn {
-        Burn { started_at: now, slices: BTreeMap::new() }
+impl BurnTracker {
+    /// Creates a tracker without counts.
+    pub fn new(now: Instant) -> BurnTracker {
+        BurnTracker { started_at: now, slices: BTreeMap::new() }
     }
 
-    /// A request of a pool ended. `first_byte` is `None` where it failed.
+    /// Records a finished request of a pool. `first_byte` is the time to the first byte, or `None`
+    /// if the request failed.
     pub fn record(
         &mut self,
         configuration: &Configuration,
@@ -112,12 +113,12 @@
                 continue;
             }
             let good = first_byte.is_some_and(|time| time <= objective.first_byte);
-            let count = Count { total: 1, bad: u64::from(!good) };
-            self.slice(name, now).add(count);
+            let count = RequestCounts { total: 1, bad: u64::from(!good) };
+            self.current_slice(name, now).add(count);
         }
     }
 
-    fn slice(&mut self, objective: &str, now: Instant) -> &mut Count {
+    fn current_slice(&mut self, objective: &str, now: Instant) -> &mut RequestCounts {
         if !self.slices.contains_key(objective) {
             self.slices.insert(objective.to_owned(), VecDeque::new());
         }
@@ -126,31 +127,35 @@
         while slices.front().is_some_and(|(at, _)| now.saturating_duration_since(*at) > longest) {
             slices.pop_front();
         }
-        let fresh = slices.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SLICE);
-        if fresh {
-            slices.push_back((now, Count::default()));
+        let starts_slice =
+            slices.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SLICE);
+        if starts_slice {
+            slices.push_back((now, RequestCounts::default()));
         }
         let last = slices.len() - 1;
         &mut slices[last].1
     }
 
-    /// The report of this box.
-    pub fn report(&self, name: &str, configuration: &Configuration, now: Instant) -> Report {
-        let rows = configuration.objectives.iter().map(|(objective, detail)| Row {
+    /// Returns the report of this box.
+    pub fn report(&self, name: &str, configuration: &Configuration, now: Instant) -> BurnReport {
+        let rows = configuration.objectives.iter().map(|(objective, detail)| ObjectiveBurn {
             objective: objective.clone(),
             pool: detail.pool.clone(),
             target: detail.target,
-            windows: WINDOWS.iter().map(|window| self.window(objective, *window, now)).collect(),
+            windows: WINDOWS
+                .iter()
+                .map(|window| self.window_counts(objective, *window, now))
+                .collect(),
         });
-        Report {
+        BurnReport {
             name: name.to_owned(),
             since_s: now.saturating_duration_since(self.started_at).as_secs(),
             rows: rows.collect(),
         }
     }
 
-    fn window(&self, objective: &str, window: Duration, now: Instant) -> Count {
-        let mut sum = Count::default();
+    fn window_counts(&self, objective: &str, window: Duration, now: Instant) -> RequestCounts {
+        let mut sum = RequestCounts::default();
         let slices = self.slices.get(objective).into_iter().flatten();
         for (at, count) in slices {
             if now.saturating_duration_since(*at) <= window {
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP: their load, and fenced orders.
+//! HTTP client for model engines: load queries and fenced orders.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,77 +17,77 @@
 use crate::coordination::lease::Epoch;
 use crate::transport::timer;
 
-/// Longest wait for a probe's answer.
+/// The longest wait for the response to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Load that an engine reports; lags.
+/// The load that an engine reports, which lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
-    /// Requests that it runs.
+pub struct EngineLoad {
+    /// The number of requests that the engine executes.
     pub running: u32,
-    /// Requests that wait in it.
+    /// The number of requests in the engine's queue.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
 /// A model and its version.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Model {
-    /// Name.
+pub struct ModelVersion {
+    /// The name.
     pub name: String,
-    /// Version.
+    /// The version.
     pub version: String,
 }
 
-/// What an engine has loaded.
+/// The models that an engine has loaded.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Loaded {
-    /// Epoch of the latest order; 0 before the first.
+pub struct LoadedModels {
+    /// The epoch of the latest order; 0 before the first order.
     pub epoch: Epoch,
-    /// Models, sorted.
-    pub models: Vec<Model>,
+    /// The models, sorted.
+    pub models: Vec<ModelVersion>,
 }
 
-/// A failed order.
+/// The reason for which an order failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum OrderError {
     /// The engine has seen a newer epoch.
     #[error("the engine has seen a newer epoch")]
     Fenced,
-    /// No usable answer.
+    /// The engine sent no usable response.
     #[error("{0}")]
     Failed(String),
 }
 
-/// What is said to a model engine besides requests.
+/// The control interface of a model engine.
 pub trait Engine: Send + Sync + 'static {
-    /// Asks for its load; `None` where it does not answer.
-    fn load(&self, address: SocketAddr) -> impl Future<Output = Option<Load>> + Send;
+    /// Queries the load; `None` if the engine does not respond.
+    fn load(&self, address: SocketAddr) -> impl Future<Output = Option<EngineLoad>> + Send;
 
-    /// Asks what it has loaded.
+    /// Queries the loaded models.
     fn loaded(
         &self,
         address: SocketAddr,
-    ) -> impl Future<Output = Result<Loaded, OrderError>> + Send;
+    ) -> impl Future<Output = Result<LoadedModels, OrderError>> + Send;
 
-    /// Orders the state wanted; it says nothing of the state before.
+    /// Sets the target state. The order does not depend on the previous state.
     fn order(
         &self,
         address: SocketAddr,
-        wanted: &Loaded,
+        target: &LoadedModels,
         timeout: Duration,
     ) -> impl Future<Output = Result<(), OrderError>> + Send;
 }
 
 impl Engine for Client {
-    async fn load(&self, address: SocketAddr) -> Option<Load> {
+    async fn load(&self, address: SocketAddr) -> Option<EngineLoad> {
         let body = call(self, address, Method::GET, "/engine/load", Bytes::new(), PROBE_TIMEOUT);
         serde_json::from_slice(&body.await.ok()?).ok()
     }
 
-    async fn loaded(&self, address: SocketAddr) -> Result<Loaded, OrderError> {
+    async fn loaded(&self, address: SocketAddr) -> Result<LoadedModels, OrderError> {
         let path = "/engine/models";
         let body = call(self, address, Method::GET, path, Bytes::new(), PROBE_TIMEOUT).await?;
         serde_json::from_slice(&body).map_err(|error| OrderError::Failed(error.to_string()))
@@ -96,11 +96,11 @@
     async fn order(
         &self,
         address: SocketAddr,
-        wanted: &Loaded,
+        target: &LoadedModels,
         timeout: Duration,
     ) -> Result<(), OrderError> {
         let body =
-            serde_json::to_vec(wanted).map_err(|error| OrderError::Failed(error.to_string()))?;
+            serde_json::to_vec(target).map_err(|error| OrderError::Failed(error.to_string()))?;
         call(self, address, Method::PUT, "/engine/models", body.into(), timeout).await.map(|_| ())
     }
 }
@@ -119,8 +119,8 @@
         .header(header::HOST, address.to_string())
         .body(Full::new(body))
         .map_err(|error| OrderError::Failed(error.to_string()))?;
-    let answer = timer::timeout(timeout, client.fetch(address, request)).await;
-    match answer {
+    let result = timer::timeout(timeout, client.fetch(address, request)).await;
+    match result {
         Err(_) => Err(OrderError::Failed("no answer in time".to_owned())),
         Ok(Err(attempt)) => Err(OrderError::Failed(attempt.to_string())),
         Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Err(OrderError::Fenced),
--- a/lib/src/transport/store.rs
+++ b/lib/src/transport/store.rs
@@ -1,5 +1,5 @@
-//! The client of a platform's store: one call, one answer. What a call looks
-//! like is the codec's matter; when to call again is the caller's.
+//! Client of the platform's store. Each call is one request and one response. The codec determines
+//! the form of a call; the caller decides when to retry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,11 +15,11 @@
 use http_body_util::Full;
 
 use super::backend;
-use super::backend::Attempt;
-use crate::protocol::adapter::Answer;
-use crate::protocol::adapter::Call;
-use crate::protocol::adapter::Codec;
+use super::backend::AttemptError;
 use crate::protocol::adapter::Operation;
+use crate::protocol::adapter::StoreCodec;
+use crate::protocol::adapter::StoreRequest;
+use crate::protocol::adapter::StoreResponse;
 use crate::protocol::platform::Era;
 use crate::protocol::platform::PlatformError;
 use crate::state::clock;
@@ -29,35 +29,35 @@
 use crate::state::latency::Timing;
 use crate::transport::timer;
 
-/// Longest wait for an answer, beyond the time that a watch itself may wait.
-/// A healthy store answers in milliseconds; a slow one in some hundreds.
+/// The longest wait for a response, in addition to the time that a watch itself may wait. A healthy
+/// store responds within milliseconds, a slow one within some hundred milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause after a failed call.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The delay after a failed call.
+pub const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The store at one address.
+/// A client of the store at one address.
 #[derive(Clone)]
 pub struct Client<C> {
     address: SocketAddr,
     codec: C,
     http: backend::Client,
-    measures: Measures,
-    eras: Eras,
+    metrics: StoreMetrics,
+    newest_era: NewestEra,
 }
 
-/// The newest era that the store, or another box, has told.
+/// The newest era that the store or another box has reported.
 #[derive(Clone, Debug, Default)]
-pub struct Eras(Arc<AtomicU64>);
+pub struct NewestEra(Arc<AtomicU64>);
 
-impl Eras {
-    /// The newest era so far; 0 if none was told.
-    pub fn newest(&self) -> Era {
+impl NewestEra {
+    /// Returns the newest era so far; 0 if none was reported.
+    pub fn get(&self) -> Era {
         self.0.load(Ordering::Acquire)
     }
 
-    /// The store, or a box, at that address has told an era.
-    pub fn hear(&self, era: Era, by: SocketAddr) {
+    /// Records an era reported by the store or the box at this address.
+    pub fn observe(&self, era: Era, by: SocketAddr) {
         let before = self.0.fetch_max(era, Ordering::AcqRel);
         if before < era {
             log::info!("event=store_era era={era} before={before} by={by}");
@@ -65,90 +65,98 @@
     }
 }
 
-/// An answer, and the history of the store that it is about.
+/// A response of the store, and the era that it belongs to.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The answer.
-    pub answer: Answer,
-    /// The store's era, if it tells one.
+pub struct ResponseWithEra {
+    /// The response.
+    pub response: StoreResponse,
+    /// The era of the store, if reported.
     pub era: Option<Era>,
 }
 
-/// Where calls are counted and timed.
+/// The metrics in which calls are recorded.
 #[derive(Clone)]
-pub struct Measures {
-    /// Counters.
+pub struct StoreMetrics {
+    /// The counters.
     pub counters: Arc<Counters>,
-    /// How long calls took.
+    /// The latency histograms.
     pub latencies: Arc<Latencies>,
 }
 
-impl<C: Codec> Client<C> {
-    /// A store; calls are counted.
-    pub fn new(address: SocketAddr, codec: C, measures: Measures, eras: Eras) -> Client<C> {
-        Client { address, codec, http: backend::Client::default(), measures, eras }
+impl<C: StoreCodec> Client<C> {
+    /// Creates a client. Calls are counted and timed.
+    pub fn new(
+        address: SocketAddr,
+        codec: C,
+        metrics: StoreMetrics,
+        newest_era: NewestEra,
+    ) -> Client<C> {
+        Client { address, codec, http: backend::Client::default(), metrics, newest_era }
     }
 
-    /// Makes a call.
-    pub async fn call(&self, operation: &Operation) -> Result<Answer, PlatformError> {
-        self.read(operation).await.map(|told| told.answer)
+    /// Executes an operation.
+    pub async fn call(&self, operation: &Operation) -> Result<StoreResponse, PlatformError> {
+        self.call_with_era(operation).await.map(|reply| reply.response)
     }
 
-    /// Makes a call whose answer counts for one history of the store only.
-    pub async fn read(&self, operation: &Operation) -> Result<Told, PlatformError> {
+    /// Executes an operation whose response is valid only within one era of the store.
+    pub async fn call_with_era(
+        &self,
+        operation: &Operation,
+    ) -> Result<ResponseWithEra, PlatformError> {
         let counter = match operation {
             Operation::Range { .. } | Operation::Watch { .. } => Counter::StoreReads,
             Operation::Renew(_) => Counter::StoreRenewals,
             _ => Counter::StoreWrites,
         };
-        let Measures { counters, latencies } = &self.measures;
-        counters.count(counter);
-        let called = clock::now();
+        let StoreMetrics { counters, latencies } = &self.metrics;
+        counters.increment(counter);
+        let started_at = clock::now();
         let result = self.send(operation).await;
         if result.is_err() {
-            counters.count(Counter::StoreFailures);
+            counters.increment(Counter::StoreFailures);
         } else if !matches!(operation, Operation::Watch { .. }) {
-            latencies.record(Timing::StoreCall, clock::since(called));
+            latencies.record(Timing::StoreCall, clock::since(started_at));
         }
         result
     }
 
-    async fn send(&self, operation: &Operation) -> Result<Told, PlatformError> {
+    async fn send(&self, operation: &Operation) -> Result<ResponseWithEra, PlatformError> {
         let call = self.codec.encode(operation);
         let timeout = match operation {
             Operation::Watch { wait, .. } => *wait + CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
         };
-        let response = fetch(&self.http, self.address, call, timeout).await?;
+        let response = fetch_response(&self.http, self.address, call, timeout).await?;
         let era = self.codec.era(response.headers());
         if let Some(era) = era {
-            self.eras.hear(era, self.address);
+            self.newest_era.observe(era, self.address);
         }
-        let (status, body) = answered(response)?;
-        Ok(Told { answer: self.codec.decode(operation, status, &body)?, era })
+        let (status, body) = check_status(response)?;
+        Ok(ResponseWithEra { response: self.codec.decode(operation, status, &body)?, era })
     }
 
-    /// The newest era that was told; 0 if none was.
-    pub fn era(&self) -> Era {
-        self.eras.newest()
+    /// Returns the newest era that was reported; 0 if none was.
+    pub fn newest_era(&self) -> Era {
+        self.newest_era.get()
     }
 }
 
-/// Makes one call to a platform and tells failures apart: those that certainly had no effect
-/// from those that may have had one.
-pub(super) async fn exchange(
+/// Sends one request to a platform. The error distinguishes calls that certainly had no effect from
+/// calls that may have had one.
+pub(super) async fn call_http(
     http: &backend::Client,
     address: SocketAddr,
-    call: Call,
+    call: StoreRequest,
     timeout: Duration,
 ) -> Result<(StatusCode, Bytes), PlatformError> {
-    answered(fetch(http, address, call, timeout).await?)
+    check_status(fetch_response(http, address, call, timeout).await?)
 }
 
-async fn fetch(
+async fn fetch_response(
     http: &backend::Client,
     address: SocketAddr,
-    call: Call,
+    call: StoreRequest,
     timeout: Duration,
 ) -> Result<Response<Bytes>, PlatformError> {
     let request = Request::builder()
@@ -159,20 +167,20 @@
         .body(Full::new(call.body))
         .map_err(|error| PlatformError::Malformed(error.to_string()))?;
     match timer::timeout(timeout, http.fetch(address, request)).await {
-        Err(_) => Err(PlatformError::Lost("no answer in time".to_owned())),
-        Ok(Err(Attempt::Lost(text))) => Err(PlatformError::Lost(text)),
+        Err(_) => Err(PlatformError::NoResponse("no answer in time".to_owned())),
+        Ok(Err(AttemptError::NoResponse(text))) => Err(PlatformError::NoResponse(text)),
         Ok(Err(unsent)) => Err(PlatformError::Unreachable(unsent.to_string())),
         Ok(Ok(response)) => Ok(response),
     }
 }
 
-fn answered(response: Response<Bytes>) -> Result<(StatusCode, Bytes), PlatformError> {
+fn check_status(response: Response<Bytes>) -> Result<(StatusCode, Bytes), PlatformError> {
     match response.status() {
-        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Limited),
+        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::RateLimited),
         StatusCode::SERVICE_UNAVAILABLE => {
             Err(PlatformError::Unreachable("the platform is out of service".to_owned()))
         }
-        status if status.is_server_error() => Err(PlatformError::Lost(status.to_string())),
+        status if status.is_server_error() => Err(PlatformError::NoResponse(status.to_string())),
         status => Ok((status, response.into_body())),
     }
 }
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use copperweir_lib::operators::apply::ApplyError;
 use copperweir_lib::operators::apply::apply;
 use copperweir_lib::protocol::Version;
-use copperweir_lib::protocol::caller::Boxes;
+use copperweir_lib::protocol::caller::BoxesResponse;
 use copperweir_lib::protocol::config::check::Files;
 use copperweir_lib::protocol::settings::Settings;
 use copperweir_lib::state::counters::Counters;
@@ -393,7 +393,7 @@
         self.list_boxes(at).ticket
     }
 
-    pub fn list_boxes(&self, at: SocketAddr) -> Boxes {
+    pub fn list_boxes(&self, at: SocketAddr) -> BoxesResponse {
         serde_json::from_slice(&self.get(at, "/v1/boxes").body).expect("boxes")
     }
 
