--- a/cli/src/commands/gateway.rs
+++ b/cli/src/commands/gateway.rs
@@ -74,7 +74,7 @@
     let _logger = start_logger(&levels)?;
     let (sender, receiver) = gateway::events();
     watch_signals(sender.clone())?;
-    let gateway = Gateway::start_with(settings, regions, Platform, (sender, receiver))?;
+    let gateway = Gateway::start_with_events(settings, regions, Platform, (sender, receiver))?;
     super::serve::ended(gateway.wait())
 }
 
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -15,11 +15,11 @@
 use http_body_util::Limited;
 
 use super::job::Job;
-use super::job::SENDS;
-use super::job::passed_on;
+use super::job::SENDS_HEADER;
+use super::job::forwarded_headers;
 use super::learning;
 use super::record;
-use super::shared::Held;
+use super::shared::Reservation;
 use super::shared::Shared;
 use super::stream::Stream;
 use crate::coordination::attempt::Event;
@@ -38,7 +38,7 @@
 use crate::transport::timer;
 
 /// Largest answer that is read whole before it is passed on, bytes.
-const WHOLE_LIMIT: usize = 8 << 20;
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 /// What a connection's announced idle time is cut by, for the way there.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
@@ -61,7 +61,7 @@
 }
 
 /// What came of one send.
-pub enum Tried<A: Adapter> {
+pub enum SendOutcome<A: Adapter> {
     /// An answer.
     Answered(Reply<A>),
     /// It did not run, and was not even sent.
@@ -69,34 +69,34 @@
     /// The other side refused it; it did not run.
     Refused(Failure),
     /// As that, and the server wants nothing from this box for a while.
-    Rests(Failure),
+    RefusedWithRest(Failure),
     /// It may have run.
-    Lost(Failure),
+    MaybeRan(Failure),
 }
 
 /// Sends to a backend server.
 pub async fn to_server<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    held: Held<A>,
+    reservation: Reservation<A>,
     last_event: Option<u64>,
-) -> Tried<A> {
-    let request = job.for_server(&shared.adapter, &held.place.server, last_event);
+) -> SendOutcome<A> {
+    let request = job.for_server(&shared.adapter, &reservation.place.server, last_event);
     shared.counters.count(Counter::Attempts);
     // A request that may run only once takes a new connection: nothing that an
     // earlier answer left behind can be taken for its own.
-    let fresh = !job.route.repeatable();
-    let address = held.place.address;
-    let server = held.place.server.clone();
+    let new_connection = !job.route.repeatable();
+    let address = reservation.place.address;
+    let server = reservation.place.server.clone();
     // What the server has said since it was chosen counts: a connection may take as long as the choice is old.
-    let admits = || held.is_still_admitted();
-    let response = send(&shared.servers, job, address, request, fresh, admits).await;
-    let mut held = Some(held);
+    let admits = || reservation.is_still_admitted();
+    let response = send(&shared.servers, job, address, request, new_connection, admits).await;
+    let mut reservation = Some(reservation);
     match response {
-        Ok(response) => receive(shared, job, response, held).await,
-        Err(sent) => {
-            learning::end(shared, job, &mut held, sent.event);
-            sent.into_tried(&server)
+        Ok(response) => receive(shared, job, response, reservation).await,
+        Err(no_response) => {
+            learning::record_end(shared, job, &mut reservation, no_response.event);
+            no_response.into_outcome(&server)
         }
     }
 }
@@ -107,39 +107,41 @@
     job: &Job,
     address: std::net::SocketAddr,
     last_event: Option<u64>,
-) -> Tried<A> {
+) -> SendOutcome<A> {
     let request = job.for_peer(&shared.adapter, last_event);
     shared.counters.count(Counter::ForwardedOut);
     match send(&shared.peers, job, address, request, false, || true).await {
-        Ok(response) => match refusal(&response) {
+        Ok(response) => match peer_failure(&response) {
             Some(failure) if failure.ran() == Ran::No && !was_sent(&response) => {
-                Tried::Unsent(failure)
+                SendOutcome::Unsent(failure)
             }
-            Some(failure) if failure.ran() == Ran::No => Tried::Refused(failure),
-            Some(failure) => Tried::Lost(failure),
+            Some(failure) if failure.ran() == Ran::No => SendOutcome::Refused(failure),
+            Some(failure) => SendOutcome::MaybeRan(failure),
             None => receive(shared, job, response, None).await,
         },
-        Err(sent) => sent.into_tried(&address.to_string()),
+        Err(no_response) => no_response.into_outcome(&address.to_string()),
     }
 }
 
 /// A send without an answer.
-struct Unanswered {
+struct NoResponse {
     event: Event,
     message: String,
 }
 
-impl Unanswered {
-    fn into_tried<A: Adapter>(self, target: &str) -> Tried<A> {
+impl NoResponse {
+    fn into_outcome<A: Adapter>(self, target: &str) -> SendOutcome<A> {
         let message = format!("{target}: {}", self.message);
         match self.event {
             Event::Unreachable | Event::Withheld => {
-                Tried::Unsent(Failure::new(Kind::NoServer, message))
+                SendOutcome::Unsent(Failure::new(Kind::NoServer, message))
             }
-            Event::Silent => {
-                Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
-            }
-            _ => Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)),
+            Event::Silent => SendOutcome::MaybeRan(
+                Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown),
+            ),
+            _ => SendOutcome::MaybeRan(
+                Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown),
+            ),
         }
     }
 }
@@ -149,32 +151,32 @@
     job: &Job,
     address: std::net::SocketAddr,
     request: Request<Full<Bytes>>,
-    fresh: bool,
+    new_connection: bool,
     admits: impl Fn() -> bool,
-) -> Result<Response<Exchange>, Unanswered> {
-    let exchange = client.exchange_if(address, request, fresh, admits);
+) -> Result<Response<Exchange>, NoResponse> {
+    let exchange = client.exchange_if(address, request, new_connection, admits);
     match timer::timeout_at(job.deadline, exchange).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(Attempt::Unsent(message))) => Err(Unanswered { event: Event::Unreachable, message }),
+        Ok(Err(Attempt::Unsent(message))) => Err(NoResponse { event: Event::Unreachable, message }),
         Ok(Err(Attempt::Withheld)) => {
             let message = "the server takes nothing by now".to_owned();
-            Err(Unanswered { event: Event::Withheld, message })
+            Err(NoResponse { event: Event::Withheld, message })
         }
-        Ok(Err(Attempt::Lost(message))) => Err(Unanswered { event: Event::BrokenOff, message }),
+        Ok(Err(Attempt::Lost(message))) => Err(NoResponse { event: Event::BrokenOff, message }),
         Err(_) => {
             let message = "no answer before the deadline".to_owned();
-            Err(Unanswered { event: Event::Silent, message })
+            Err(NoResponse { event: Event::Silent, message })
         }
     }
 }
 
 /// Whether the box that answered had sent the request to a server.
 fn was_sent(response: &Response<Exchange>) -> bool {
-    response.headers().get(SENDS).is_none_or(|sends| sends != "0")
+    response.headers().get(SENDS_HEADER).is_none_or(|sends| sends != "0")
 }
 
 /// The failure that another box answered with, unless it passes a server's answer on.
-fn refusal(response: &Response<Exchange>) -> Option<Failure> {
+fn peer_failure(response: &Response<Exchange>) -> Option<Failure> {
     let ran = response.headers().get(caller::RAN)?.to_str().map_or(Ran::Unknown, Ran::parse);
     let message = format!("the box answered {}", response.status());
     let kind = match (ran, response.status()) {
@@ -185,7 +187,7 @@
     };
     let failure = Failure::new(kind, message).with_ran(ran);
     Some(match retry_after::read(response.headers()) {
-        Some(come_back) => failure.with_retry_after(come_back),
+        Some(delay) => failure.with_retry_after(delay),
         None => failure,
     })
 }
@@ -195,67 +197,73 @@
     shared: &Arc<Shared<A>>,
     job: &Job,
     response: Response<Exchange>,
-    mut held: Option<Held<A>>,
-) -> Tried<A> {
+    mut reservation: Option<Reservation<A>>,
+) -> SendOutcome<A> {
     let (head, mut exchange) = response.into_parts();
     let verdict = shared.adapter.verdict(head.status, &head.headers);
-    let lost = |held: &mut Option<Held<A>>, event, kind, message: &str| {
-        learning::end(shared, job, held, event);
-        Tried::Lost(Failure::new(kind, message).with_ran(Ran::Unknown))
+    let maybe_ran = |reservation: &mut Option<Reservation<A>>, event, kind, message: &str| {
+        learning::record_end(shared, job, reservation, event);
+        SendOutcome::MaybeRan(Failure::new(kind, message).with_ran(Ran::Unknown))
     };
     if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
         let message = "the answer is that of another request";
-        return lost(&mut held, Event::Invalid, Kind::BackendFailed, message);
+        return maybe_ran(&mut reservation, Event::Invalid, Kind::BackendFailed, message);
     }
-    let event = event(&verdict);
-    if let Some(held) = held.as_ref().filter(|_| verdict.words.says_something()) {
-        record::server_said(job, &held.place.server, &verdict.words, head.status);
+    let event = head_event(&verdict);
+    if let Some(reservation) = reservation.as_ref().filter(|_| verdict.words.says_something()) {
+        record::server_said(job, &reservation.place.server, &verdict.words, head.status);
     }
-    learning::report(shared, job, &mut held, &Report::head(event, verdict.words));
+    learning::record_event(shared, job, &mut reservation, &Report::head(event, verdict.words));
     match event {
         Event::Replaced => {
             let message = "another instance has the address";
-            return Tried::Refused(Failure::new(Kind::NoServer, message));
+            return SendOutcome::Refused(Failure::new(Kind::NoServer, message));
         }
         Event::Refused => {
             exchange.finished_for(idle_time(verdict.keep_alive));
             let failure = Failure::new(Kind::QueueFull, "the backend server refused");
             let rests = verdict.words.rest.is_some_and(|rest| !rest.is_zero());
-            return if rests { Tried::Rests(failure) } else { Tried::Refused(failure) };
+            return if rests {
+                SendOutcome::RefusedWithRest(failure)
+            } else {
+                SendOutcome::Refused(failure)
+            };
         }
         Event::Invalid => {
             let message = "the answer has no mark of its server";
-            return Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown));
+            return SendOutcome::MaybeRan(
+                Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown),
+            );
         }
         _ => {}
     }
     let idle = idle_time(verdict.keep_alive);
-    let headers = passed_on(&head.headers);
+    let headers = forwarded_headers(&head.headers);
     if head.status.is_success() && is_event_stream(&head.headers) {
-        let stream = Stream::new(exchange, held, idle);
-        return begin(shared, job, head.status, headers, stream).await;
+        let stream = Stream::new(exchange, reservation, idle);
+        return await_first_event(shared, job, head.status, headers, stream).await;
     }
-    let body = Limited::new(exchange.body(), WHOLE_LIMIT).collect();
+    let body = Limited::new(exchange.body(), MAX_BUFFERED_BYTES).collect();
     match timer::timeout_at(job.deadline, body).await {
         Ok(Ok(body)) => {
             exchange.finished_for(idle);
-            held.iter_mut().for_each(Held::first_byte);
-            learning::end(shared, job, &mut held, whole(head.status));
+            reservation.iter_mut().for_each(Reservation::first_byte);
+            learning::record_end(shared, job, &mut reservation, body_event(head.status));
             let payload = Payload::Whole(body.to_bytes());
-            Tried::Answered(Reply { status: head.status, headers, payload })
+            SendOutcome::Answered(Reply { status: head.status, headers, payload })
         }
         Ok(Err(error)) => {
-            lost(&mut held, Event::BrokenOff, Kind::BackendFailed, &error.to_string())
+            maybe_ran(&mut reservation, Event::BrokenOff, Kind::BackendFailed, &error.to_string())
         }
         Err(_) => {
             let message = "the answer did not end in time";
-            lost(&mut held, Event::Invalid, Kind::BackendTimeout, message)
+            maybe_ran(&mut reservation, Event::Invalid, Kind::BackendTimeout, message)
         }
     }
 }
 
 /// What the head of an answer says became of the send so far.
-fn event(verdict: &Verdict) -> Event {
+fn head_event(verdict: &Verdict) -> Event {
     if verdict.other_instance {
         Event::Replaced
     } else if verdict.not_run {
@@ -268,7 +276,7 @@
 }
 
 /// What a whole answer says.
-fn whole(status: StatusCode) -> Event {
+fn body_event(status: StatusCode) -> Event {
     if status.is_success() {
         Event::Answered
     } else if status.is_server_error() {
@@ -280,26 +288,30 @@
 }
 
 /// Waits for the first event, so that a server that fails before it can still be replaced.
-async fn begin<A: Adapter>(
+async fn await_first_event<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
     status: StatusCode,
     headers: HeaderMap,
     mut stream: Stream<A>,
-) -> Tried<A> {
-    match timer::timeout_at(job.deadline, stream.begin()).await {
+) -> SendOutcome<A> {
+    match timer::timeout_at(job.deadline, stream.read_first_event()).await {
         Ok(Ok(())) => {
             let payload = Payload::Stream(Box::new(stream));
-            Tried::Answered(Reply { status, headers, payload })
+            SendOutcome::Answered(Reply { status, headers, payload })
         }
         Ok(Err(cut)) => {
-            learning::end(shared, job, stream.held(), Event::BrokenOff);
-            Tried::Lost(Failure::new(Kind::BackendFailed, cut.to_string()).with_ran(Ran::Unknown))
+            learning::record_end(shared, job, stream.reservation(), Event::BrokenOff);
+            SendOutcome::MaybeRan(
+                Failure::new(Kind::BackendFailed, cut.to_string()).with_ran(Ran::Unknown),
+            )
         }
         Err(_) => {
-            learning::end(shared, job, stream.held(), Event::Silent);
+            learning::record_end(shared, job, stream.reservation(), Event::Silent);
             let message = "no event before the deadline";
-            Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
+            SendOutcome::MaybeRan(
+                Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown),
+            )
         }
     }
 }
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -17,10 +17,10 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-use self::unreadable::Unreadable;
+use self::unreadable::UnreadableKeys;
 pub use super::event::Event;
-use super::facts::Facts;
-use super::facts::View;
+use super::facts::ClusterState;
+use super::facts::LocalContext;
 use super::lease;
 use super::quarantine;
 use super::shared::Service;
@@ -47,12 +47,12 @@
 use crate::transport::timer;
 
 /// How long a box counts as fresh: others that started with it are in the store by then.
-const FRESH: Duration = Duration::from_secs(10);
+const STARTUP_PERIOD: Duration = Duration::from_secs(10);
 /// Shortest time without the store after which entries of servers may have lapsed, from the first
 /// failed call on. One broken connection among 295 boxes kept servers that were gone for 2.2 s more.
-const OUTAGE: Duration = Duration::from_millis(500);
+const MIN_OUTAGE: Duration = Duration::from_millis(500);
 /// Time between looks at what has been missing for long enough and at a stop's progress.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a leaving box still takes new connections: callers are told of it for a while yet.
 /// After that, whoever connects is refused and goes elsewhere at once.
 const STOP_GRACE: Duration = Duration::from_millis(2500);
@@ -64,22 +64,22 @@
 pub struct Control<A: Adapter> {
     shared: Arc<Shared<A>>,
     store: store::Client<A>,
-    facts: Facts,
-    own: BoxRecord,
-    record: watch::Sender<BoxRecord>,
+    cluster_state: ClusterState,
+    own_record: BoxRecord,
+    record_sender: watch::Sender<BoxRecord>,
     drain: Drain,
     stop: watch::Sender<Stop>,
-    store_away_since: Option<Instant>,
+    store_down_since: Option<Instant>,
     /// When the store is asked next, whoever else is drawn to do so.
-    look_at: Option<Instant>,
+    next_check_at: Option<Instant>,
     /// When another box was last asked for its state.
-    asked_box_at: Option<Instant>,
+    last_peer_query_at: Option<Instant>,
     /// When this box last looked for others.
-    sought_at: Option<Instant>,
+    last_seed_query_at: Option<Instant>,
     watching: bool,
     started_at: Instant,
-    fresh: bool,
-    unreadable: Unreadable,
+    just_started: bool,
+    unreadable_keys: UnreadableKeys,
 }
 
 impl<A: Adapter> Control<A> {
@@ -87,28 +87,28 @@
     pub fn new(
         shared: Arc<Shared<A>>,
         store: store::Client<A>,
-        facts: Facts,
-        own: BoxRecord,
+        cluster_state: ClusterState,
+        own_record: BoxRecord,
         stop: watch::Sender<Stop>,
     ) -> Control<A> {
         let tuning = drain::Tuning { grace: STOP_GRACE, limit: shared.settings.stop_limit };
-        let (record, _) = watch::channel(own.clone());
+        let (record_sender, _) = watch::channel(own_record.clone());
         Control {
             shared,
             store,
-            facts,
-            own,
-            record,
+            cluster_state,
+            own_record,
+            record_sender,
             drain: Drain::new(tuning),
             stop,
-            store_away_since: None,
-            look_at: None,
-            asked_box_at: None,
-            sought_at: None,
+            store_down_since: None,
+            next_check_at: None,
+            last_peer_query_at: None,
+            last_seed_query_at: None,
             watching: false,
             started_at: clock::now(),
-            fresh: true,
-            unreadable: Unreadable::default(),
+            just_started: true,
+            unreadable_keys: UnreadableKeys::default(),
         }
     }
 
@@ -118,12 +118,13 @@
         sender: mpsc::Sender<Event>,
         mut events: mpsc::Receiver<Event>,
     ) -> Ending {
-        let keeper = lease::keep(self.store.clone(), self.record.subscribe(), sender);
-        let keeper = tokio::spawn(keeper);
-        tokio::spawn(quarantine::keep(Arc::clone(&self.shared), self.store.clone()));
-        tokio::spawn(throttle::keep(Arc::clone(&self.shared), self.store.clone()));
-        if self.begin(&mut events).await {
-            self.follow(&mut events).await;
+        let lease_task =
+            lease::maintain(self.store.clone(), self.record_sender.subscribe(), sender);
+        let lease_task = tokio::spawn(lease_task);
+        tokio::spawn(quarantine::write_verdicts(Arc::clone(&self.shared), self.store.clone()));
+        tokio::spawn(throttle::write_rates(Arc::clone(&self.shared), self.store.clone()));
+        if self.load_initial_state(&mut events).await {
+            self.run_sync(&mut events).await;
         }
         let stage = self.drain.stage();
         let in_flight = self.shared.in_flight.load(Ordering::Acquire);
@@ -137,8 +138,8 @@
         }
         // A traffic thread that has ended need not be told.
         let _ = self.stop.send(Stop::Now);
-        drop(self.record);
-        if timer::timeout(FLUSH_TIMEOUT, keeper).await.is_err() {
+        drop(self.record_sender);
+        if timer::timeout(FLUSH_TIMEOUT, lease_task).await.is_err() {
             log::info!("event=lease_not_ended error=\"no answer in time\"");
         }
         log::info!("event=stopped stage={stage:?} in_flight={in_flight}");
@@ -146,14 +147,14 @@
     }
 
     /// Obtains a first state; says whether there is one before the process ends.
-    async fn begin(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
-        while self.facts.routing.is_none() {
-            match self.read_all().await {
+    async fn load_initial_state(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
+        while self.cluster_state.routing.is_none() {
+            match self.load_full_state().await {
                 Ok(()) => return true,
                 Err(error) => {
-                    self.store_failed(&error);
-                    self.learn_from_others().await;
-                    if self.pause(events).await {
+                    self.note_store_failure(&error);
+                    self.load_state_from_seeds().await;
+                    if self.wait_before_retry(events).await {
                         return false;
                     }
                 }
@@ -163,12 +164,12 @@
     }
 
     /// Waits for the pause after a failed call; says whether the process ends.
-    async fn pause(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
+    async fn wait_before_retry(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
         let until = clock::now() + store::RETRY_PAUSE;
         while clock::now() < until {
-            let left = until.saturating_duration_since(clock::now()).min(TICK);
+            let left = until.saturating_duration_since(clock::now()).min(TICK_INTERVAL);
             tokio::select! {
-                Some(event) = events.recv() => { self.handle(event); }
+                Some(event) = events.recv() => { self.handle_event(event); }
                 () = timer::sleep(left) => {}
             }
             if self.tick() {
@@ -180,12 +181,12 @@
 
     /// Whether this box watches the store for its region. One that the store does not show yet cannot
     /// know who else there is; when all boxes start at once, the seeds watch until they are shown.
-    fn watches(&self) -> bool {
+    fn should_watch(&self) -> bool {
         let snapshot = self.shared.snapshot.load();
-        if !self.facts.is_listed(&self.own.name) {
+        if !self.cluster_state.is_listed(&self.own_record.name) {
             return self.is_seed();
         }
-        watchers::watches(&self.own, snapshot.boxes.iter())
+        watchers::watches(&self.own_record, snapshot.boxes.iter())
     }
 
     /// Whether other boxes ask this one when they start.
@@ -195,7 +196,7 @@
     }
 
     /// Notes whether this box watches, and says so in the log.
-    fn note_watching(&mut self, watching: bool) {
+    fn set_watching(&mut self, watching: bool) {
         if self.watching != watching {
             self.watching = watching;
             log::info!("event=watching watching={watching}");
@@ -213,41 +214,41 @@
     fn begin_era(&mut self, at: Instant, before: Position, position: Position) {
         log::warn!("event=store_restored position={position} before={before}");
         self.shared.counters.count(Counter::StoreRestored);
-        self.facts.store_is_restored(at);
-        self.tell_store_is_back();
+        self.cluster_state.note_store_restored(at);
+        self.publish_store_recovery();
     }
 
-    fn store_failed(&mut self, error: &PlatformError) {
-        if self.store_away_since.is_none() {
+    fn note_store_failure(&mut self, error: &PlatformError) {
+        if self.store_down_since.is_none() {
             log::warn!("event=store_lost error=\"{error}\"");
             let now = clock::now();
-            self.store_away_since = Some(now);
-            self.look_at = Some(now + store::RETRY_PAUSE);
+            self.store_down_since = Some(now);
+            self.next_check_at = Some(now + store::RETRY_PAUSE);
         }
     }
 
-    fn store_answered(&mut self) {
-        if let Some(since) = self.store_away_since.take() {
+    fn note_store_success(&mut self) {
+        if let Some(down_since) = self.store_down_since.take() {
             let now = clock::now();
-            let away = now.saturating_duration_since(since);
-            log::info!("event=store_regained away_ms={}", away.as_millis());
-            self.facts.store_is_back(now);
-            if away >= OUTAGE {
-                self.tell_store_is_back();
+            let outage = now.saturating_duration_since(down_since);
+            log::info!("event=store_regained away_ms={}", outage.as_millis());
+            self.cluster_state.note_store_recovered(now);
+            if outage >= MIN_OUTAGE {
+                self.publish_store_recovery();
             }
-            self.look_at = None;
+            self.next_check_at = None;
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Stop => self.begin_stop(),
             Event::Reload => log::info!("event=reload settings=\"count from the next start\""),
-            Event::StoreBack => self.facts.store_is_back(clock::now()),
+            Event::StoreRecovered => self.cluster_state.note_store_recovered(clock::now()),
             // Boxes that start together read the store before the others' records are in it. The later
             // one of any two finds the other by this, and the other hears it; without, two of them that
             // lost the store right after their start gave a cold server 28 requests in a second.
-            Event::RecordWritten => self.look_at = Some(clock::now()),
+            Event::RecordWritten => self.next_check_at = Some(clock::now()),
         }
     }
 
@@ -256,8 +257,8 @@
         let stage = self.drain.handle(drain::Event::Stop(clock::now()));
         if stage != before {
             log::info!("event=stop_requested stage={stage:?}");
-            self.own.leaving = true;
-            self.record.send_replace(self.own.clone());
+            self.own_record.leaving = true;
+            self.record_sender.send_replace(self.own_record.clone());
             self.publish();
         }
     }
@@ -265,12 +266,12 @@
     /// What passes with time; says whether the process ends.
     fn tick(&mut self) -> bool {
         let now = clock::now();
-        let grown = self.fresh && now >= self.started_at + FRESH;
-        let new = self.keep_heard(now);
-        let entry = |life| self.facts.departure_entry(life);
-        let back = lock(&self.shared.departures).tick(entry, now);
-        if self.facts.expire(now) || grown || new || back {
-            self.fresh &= !grown;
+        let startup_over = self.just_started && now >= self.started_at + STARTUP_PERIOD;
+        let found_box = self.update_heard_boxes(now);
+        let store_entry = |life| self.cluster_state.departure_entry(life);
+        let departures_changed = lock(&self.shared.departures).tick(store_entry, now);
+        if self.cluster_state.expire(now) || startup_over || found_box || departures_changed {
+            self.just_started &= !startup_over;
             self.publish();
         }
         let before = self.drain.stage();
@@ -292,33 +293,36 @@
 
     /// Boxes that say something count, though the store does not, or no longer, show them. Says
     /// whether one is new.
-    fn keep_heard(&mut self, now: Instant) -> bool {
+    fn update_heard_boxes(&mut self, now: Instant) -> bool {
         let unlisted = lock(&self.shared.unlisted);
-        let beside = unlisted.neighbors().filter(|other| other.region == self.own.region);
-        let beside = beside.map(|other| other.box_hash);
-        let new = self.facts.hear_boxes(lock(&self.shared.loads).senders().chain(beside), now);
+        let unlisted_in_region =
+            unlisted.neighbors().filter(|other| other.region == self.own_record.region);
+        let unlisted_in_region = unlisted_in_region.map(|other| other.box_hash);
+        let found_box = self
+            .cluster_state
+            .note_heard_boxes(lock(&self.shared.loads).senders().chain(unlisted_in_region), now);
         let presence = lock(&self.shared.presence);
-        self.facts.keep_lost(|name| presence.is_heard(name, now), now);
-        new
+        self.cluster_state.refresh_expired_boxes(|name| presence.is_heard(name, now), now);
+        found_box
     }
 
     /// Publishes what is known to traffic.
     fn publish(&mut self) {
         let settings = &self.shared.settings;
-        let view = View {
-            own: &self.own,
-            fresh: self.fresh,
+        let context = LocalContext {
+            own_record: &self.own_record,
+            just_started: self.just_started,
             cold_excess: settings.cold_excess,
             cold_slack: settings.cold_slack,
         };
-        let sharers = self.facts.sharers(&view).len();
-        let fleet = self.facts.fleet(&view);
+        let sharing_boxes = self.cluster_state.sharing_boxes(&context).len();
+        let fleet_size = self.cluster_state.fleet_size(&context);
         let now = clock::now();
         let departures = lock(&self.shared.departures);
-        self.facts.set_leaving(|life| departures.leaves(life));
+        self.cluster_state.set_leaving(|life| departures.leaves(life));
         drop(departures);
-        let mut known = self.facts.known(&view);
-        if let Some(routing) = &self.facts.routing {
+        let mut known = self.cluster_state.local_servers(&context);
+        if let Some(routing) = &self.cluster_state.routing {
             let mut services = lock(&self.shared.services);
             services.retain(|name, _| routing.services.contains_key(name));
             for (name, service) in &routing.services {
@@ -327,23 +331,26 @@
                     budget: Budget::new(settings.retries, now),
                 });
                 let servers = known.remove(name).unwrap_or_default();
-                state.placement.update(servers, sharers, service, now);
+                state.placement.update(servers, sharing_boxes, service, now);
                 // Under the lock of the services: a word that comes meanwhile is set after this.
                 let departures = lock(&self.shared.departures);
                 state.placement.set_leaving(|life| departures.leaves(life));
             }
         }
-        let (boxes, lost) = (self.facts.others(&self.own), self.facts.lost(&self.own));
-        let listed = boxes.iter().chain(&lost).chain([&self.own]);
+        let (boxes, expired_boxes) = (
+            self.cluster_state.other_boxes(&self.own_record),
+            self.cluster_state.other_expired_boxes(&self.own_record),
+        );
+        let listed = boxes.iter().chain(&expired_boxes).chain([&self.own_record]);
         let listed = listed.map(|record| presence::box_hash(&record.name)).collect();
         lock(&self.shared.unlisted).list(listed);
         self.shared.snapshot.store(Arc::new(Snapshot {
-            routing: self.facts.routing.clone(),
+            routing: self.cluster_state.routing.clone(),
             boxes,
-            lost,
-            fleet,
-            slots: self.facts.slots(),
-            servers: self.facts.located(),
+            expired_boxes,
+            fleet_size,
+            slots: self.cluster_state.slots(),
+            servers: self.cluster_state.usable_servers(),
             stage: self.drain.stage(),
         }));
     }
--- a/lib/src/gateway/control/others.rs
+++ b/lib/src/gateway/control/others.rs
@@ -9,9 +9,9 @@
 use crate::coordination::presence;
 use crate::coordination::unlisted::Neighbor;
 use crate::gateway::handover;
-use crate::gateway::handover::Gone;
-use crate::gateway::handover::State;
-use crate::gateway::handover::Wanted;
+use crate::gateway::handover::PeerState;
+use crate::gateway::handover::RemovedKeys;
+use crate::gateway::handover::StateScope;
 use crate::gateway::shared::lock;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::Change;
@@ -19,33 +19,35 @@
 
 /// How much longer than the pause between watches a box that watches may lag behind another one:
 /// some slow calls.
-const LAG: Duration = Duration::from_secs(1);
+const WATCH_LAG_ALLOWANCE: Duration = Duration::from_secs(1);
 /// Least time from one question to another box for its state to the next: while changes come close
 /// together, hundreds of boxes ask the few that watch.
-const ASK_GAP: Duration = Duration::from_millis(200);
+const MIN_QUERY_GAP: Duration = Duration::from_millis(200);
 
 /// Time between questions of a box that knows nobody: one that is asked answers boxes elsewhere only
 /// when it has heard them for a second.
-const SEEK_GAP: Duration = Duration::from_secs(1);
+const SEED_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<A: Adapter> Control<A> {
     /// A box that knows nothing yet asks others for what they had from the store.
-    pub(super) async fn learn_from_others(&mut self) {
-        if self.facts.routing.is_some() {
+    pub(super) async fn load_state_from_seeds(&mut self) {
+        if self.cluster_state.routing.is_some() {
             return;
         }
         let seeds = &self.shared.settings.seeds;
-        if let Some(state) = handover::ask_any(&self.shared.peers, seeds, &self.neighbor()).await {
-            self.take(state);
+        if let Some(state) =
+            handover::fetch_from_any(&self.shared.peers, seeds, &self.own_neighbor()).await
+        {
+            self.apply_peer_state(state);
         }
     }
 
     /// What this box is to others that the store does not show it to.
-    fn neighbor(&self) -> Neighbor {
+    fn own_neighbor(&self) -> Neighbor {
         Neighbor {
-            box_hash: presence::box_hash(&self.own.name),
-            region: self.own.region.clone(),
-            address: self.own.peers,
+            box_hash: presence::box_hash(&self.own_record.name),
+            region: self.own_record.region.clone(),
+            address: self.own_record.peers,
         }
     }
 
@@ -53,23 +55,26 @@
     /// it tells nobody of itself then, and nobody can name it. Two such boxes, the only ones of a
     /// region, gave cold servers 28 requests in a second, where 17 are allowed, and a team 356 in 8 s
     /// instead of 258, for the 12 s until the store was back.
-    pub(super) async fn seek_others(&mut self, now: Instant) {
-        let alone = {
+    pub(super) async fn discover_peers(&mut self, now: Instant) {
+        let knows_no_box = {
             let snapshot = self.shared.snapshot.load();
             let unlisted = lock(&self.shared.unlisted);
             snapshot.boxes.is_empty()
-                && snapshot.lost.is_empty()
+                && snapshot.expired_boxes.is_empty()
                 && unlisted.neighbors().next().is_none()
         };
-        let waits = self.sought_at.is_some_and(|at| now < at + SEEK_GAP);
-        if self.store_away_since.is_none() || !alone || waits {
+        let queried_recently =
+            self.last_seed_query_at.is_some_and(|at| now < at + SEED_QUERY_INTERVAL);
+        if self.store_down_since.is_none() || !knows_no_box || queried_recently {
             return;
         }
-        self.sought_at = Some(now);
+        self.last_seed_query_at = Some(now);
         let mut seeds = self.shared.settings.seeds.clone();
         seeds.retain(|seed| *seed != self.shared.settings.listen.handover);
-        if let Some(state) = handover::ask_any(&self.shared.peers, &seeds, &self.neighbor()).await {
-            self.take(state);
+        if let Some(state) =
+            handover::fetch_from_any(&self.shared.peers, &seeds, &self.own_neighbor()).await
+        {
+            self.apply_peer_state(state);
         }
     }
 
@@ -77,46 +82,47 @@
     /// whose watch has died unnoticed. Boxes that lost the store sent on to a failure domain that
     /// was evacuated 6 s before, and gave engines there that had turned cold 22 requests in a
     /// second instead of 17, on every way to lose the store that left others with it.
-    pub(super) async fn catch_up(&mut self, address: SocketAddr) {
-        self.asked_box_at = Some(clock::now());
+    pub(super) async fn fetch_state_from(&mut self, address: SocketAddr) {
+        self.last_peer_query_at = Some(clock::now());
         let peers = self.shared.peers.clone();
-        let mut wanted = Wanted::After(self.position());
+        let mut scope = StateScope::After(self.position());
         if self.is_superseded() {
-            wanted = self.whatever_differs();
+            scope = self.differing_entries();
         }
         // If what was written since does not make the same state, all that differs does.
         for _ in 0..2 {
-            let Some(state) = handover::ask(&peers, address, &wanted, None).await else {
+            let Some(state) = handover::fetch_from(&peers, address, &scope, None).await else {
                 lock(&self.shared.freshness).forget_ahead();
                 return;
             };
-            if self.take(state) {
+            if self.apply_peer_state(state) {
                 return;
             }
-            wanted = self.whatever_differs();
+            scope = self.differing_entries();
         }
     }
 
-    fn whatever_differs(&self) -> Wanted {
-        Wanted::Beside(lock(&self.shared.replica).digests().collect())
+    fn differing_entries(&self) -> StateScope {
+        StateScope::NotIn(lock(&self.shared.replica).digests().collect())
     }
 
     /// Where a box can be asked that this one is behind of: at once if it does not watch itself, else
     /// after longer than following the store explains.
-    pub(super) fn ahead(&self, now: Instant) -> Option<SocketAddr> {
-        if self.asked_box_at.is_some_and(|at| now < at + ASK_GAP) {
+    pub(super) fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
+        if self.last_peer_query_at.is_some_and(|at| now < at + MIN_QUERY_GAP) {
             return None;
         }
-        let patience = match self.store_away_since {
-            None if self.watching => self.watch_gap() + LAG,
+        let allowed_lag = match self.store_down_since {
+            None if self.watching => self.watch_gap() + WATCH_LAG_ALLOWANCE,
             _ => Duration::ZERO,
         };
-        lock(&self.shared.freshness).ahead(patience, now)
+        lock(&self.shared.freshness).ahead(allowed_lag, now)
     }
 
     /// Takes in what another box has. Says whether this box has the same state now.
-    fn take(&mut self, state: State) -> bool {
-        let State { told_by, version, age, returned, written, gone, verdicts } = state;
+    fn apply_peer_state(&mut self, state: PeerState) -> bool {
+        let PeerState { source, version, age, recovered_ago, written, removed_keys, verdicts } =
+            state;
         let mut quarantine = lock(&self.shared.quarantine);
         verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, clock::now()));
         drop(quarantine);
@@ -127,12 +133,12 @@
             lock(&self.shared.freshness).forget_ahead();
             return true;
         }
-        let removed = match &gone {
-            Gone::Keys(hashes) => lock(&self.shared.replica).keys_in(hashes),
-            Gone::AllBut(hashes) => lock(&self.shared.replica).keys_not_in(hashes),
+        let removed = match &removed_keys {
+            RemovedKeys::Listed(hashes) => lock(&self.shared.replica).keys_in(hashes),
+            RemovedKeys::AllExcept(hashes) => lock(&self.shared.replica).keys_not_in(hashes),
         };
         log::info!(
-            "event=state_taken by={told_by} position={position} before={before} age_ms={} written={} removed={}",
+            "event=state_taken by={source} position={position} before={before} age_ms={} written={} removed={}",
             age.as_millis(),
             written.len(),
             removed.len()
@@ -140,34 +146,36 @@
         let now = clock::now();
         // What that box lacks may have lapsed while the store was away for all, and be written again
         // soon. If this box has a recent state, the store was away for that box only.
-        let without = lock(&self.shared.freshness).is_aging(now);
-        if let Some(at) = returned.filter(|_| without).and_then(|ago| now.checked_sub(ago)) {
-            self.facts.store_is_back(at);
-            self.tell_store_is_back();
+        let is_aging_here = lock(&self.shared.freshness).is_aging(now);
+        if let Some(at) =
+            recovered_ago.filter(|_| is_aging_here).and_then(|ago| now.checked_sub(ago))
+        {
+            self.cluster_state.note_store_recovered(at);
+            self.publish_store_recovery();
         }
-        if position.era != before.era && self.facts.routing.is_some() {
-            let returned = returned.and_then(|ago| now.checked_sub(ago));
-            self.begin_era(returned.unwrap_or(now), before, position);
+        if position.era != before.era && self.cluster_state.routing.is_some() {
+            let recovered_ago = recovered_ago.and_then(|ago| now.checked_sub(ago));
+            self.begin_era(recovered_ago.unwrap_or(now), before, position);
         }
-        removed.into_iter().for_each(|key| self.changed(Change::Removed(key)));
-        written.into_iter().for_each(|item| self.changed(Change::Written(item)));
-        lock(&self.shared.replica).reached(position);
-        let reached = lock(&self.shared.replica).version();
-        lock(&self.shared.freshness).taken(reached, now.checked_sub(age), now);
+        removed.into_iter().for_each(|key| self.apply_change(Change::Removed(key)));
+        written.into_iter().for_each(|item| self.apply_change(Change::Written(item)));
+        lock(&self.shared.replica).advance_to(position);
+        let own_version = lock(&self.shared.replica).version();
+        lock(&self.shared.freshness).taken(own_version, now.checked_sub(age), now);
         self.publish();
-        if reached != version {
+        if own_version != version {
             log::warn!(
                 "event=state_differs position={position} digest={:x} told={:x}",
-                reached.digest,
+                own_version.digest,
                 version.digest
             );
         }
-        reached == version
+        own_version == version
     }
 
     /// Boxes that take the state from this one hear that entries may be missing which will be written
     /// again.
-    pub(super) fn tell_store_is_back(&self) {
-        *lock(&self.shared.store_back_at) = self.facts.store_back_at();
+    pub(super) fn publish_store_recovery(&self) {
+        *lock(&self.shared.store_recovered_at) = self.cluster_state.store_recovered_at();
     }
 }
--- a/lib/src/gateway/control/unreadable.rs
+++ b/lib/src/gateway/control/unreadable.rs
@@ -4,23 +4,23 @@
 use std::collections::BTreeSet;
 
 /// Most keys that are remembered; more are named each time that they are written.
-const MOST: usize = 256;
+const MAX_KEYS: usize = 256;
 
 /// Keys that were named.
 #[derive(Debug, Default)]
-pub struct Unreadable {
-    named: BTreeSet<String>,
+pub struct UnreadableKeys {
+    logged: BTreeSet<String>,
 }
 
-impl Unreadable {
+impl UnreadableKeys {
     /// A value cannot be read.
     pub fn note(&mut self, key: &str, error: &str) {
-        if self.named.contains(key) {
+        if self.logged.contains(key) {
             return;
         }
         log::error!("event=unreadable key={key:?} error={error:?}");
-        if self.named.len() < MOST {
-            self.named.insert(key.to_owned());
+        if self.logged.len() < MAX_KEYS {
+            self.logged.insert(key.to_owned());
         }
     }
 }
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -28,38 +28,38 @@
 const MAX_BOXES: usize = 64;
 /// How long callers keep an answer that names boxes of other regions only: boxes of their own are
 /// back within seconds.
-const FAR_LIFE: Duration = Duration::from_secs(1);
+const REMOTE_TTL: Duration = Duration::from_secs(1);
 /// Fewest boxes of a failure domain that are named alone: with fewer, the loss of one leaves none.
-const ENOUGH: usize = 2;
+const MIN_DOMAIN_BOXES: usize = 2;
 
 /// Answers on the port of the question whether this box takes requests.
-pub async fn ready<A: Adapter>(
+pub async fn handle_readiness<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
 ) -> Response<Passed> {
     if !shared.adapter.asks_ready(request.method(), request.uri()) {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let snapshot = shared.snapshot.load();
-    let ready = snapshot.routing.is_some() && snapshot.stage == Stage::Serving;
-    status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    let is_ready = snapshot.routing.is_some() && snapshot.stage == Stage::Serving;
+    empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
 /// Answers on the directory's port.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
-    own: Arc<BoxRecord>,
+    own_record: Arc<BoxRecord>,
     request: Request<Incoming>,
 ) -> Response<Passed> {
     let Some(question) = shared.adapter.question(request.method(), request.uri()) else {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
-    let (addresses, near) = {
+    let (addresses, is_near) = {
         let presence = lock(&shared.presence);
-        addresses(&shared.snapshot.load(), &presence, &own, &question, clock::now())
+        addresses(&shared.snapshot.load(), &presence, &own_record, &question, clock::now())
     };
-    let life = if near { shared.settings.directory_life } else { FAR_LIFE };
-    let body = shared.adapter.directory(&addresses, life);
+    let ttl = if is_near { shared.settings.directory_ttl } else { REMOTE_TTL };
+    let body = shared.adapter.directory(&addresses, ttl);
     let mut response = Response::new(Answer::whole(body));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -75,7 +75,7 @@
 pub fn addresses(
     snapshot: &Snapshot,
     presence: &Presence,
-    own: &BoxRecord,
+    own_record: &BoxRecord,
     question: &Question,
     now: Instant,
 ) -> (Vec<SocketAddr>, bool) {
@@ -85,36 +85,40 @@
     let mut accepting: Vec<&BoxRecord> =
         boxes.filter(|record| presence.accepts(record, now)).collect();
     match snapshot.stage {
-        Stage::Serving => serving.push(own),
-        Stage::Announced => accepting.push(own),
+        Stage::Serving => serving.push(own_record),
+        Stage::Announced => accepting.push(own_record),
         Stage::Closing | Stage::Done | Stage::Cut => {}
     }
-    let near = callers(&serving, |record| record.failure_domain == question.failure_domain);
-    if near.len() >= ENOUGH {
-        return (near, true);
+    let in_domain =
+        caller_addresses(&serving, |record| record.failure_domain == question.failure_domain);
+    if in_domain.len() >= MIN_DOMAIN_BOXES {
+        return (in_domain, true);
     }
-    let in_region = callers(&serving, |record| record.region == question.region);
+    let in_region = caller_addresses(&serving, |record| record.region == question.region);
     if !in_region.is_empty() {
         return (in_region, true);
     }
-    let routes = |record: &BoxRecord| {
+    let runnable_routes = |record: &BoxRecord| {
         let routing = snapshot.routing.as_ref();
         routing.map_or(0, |routing| routing.routes_of_host_in(&question.host, &record.region))
     };
-    let most = serving.iter().chain(&accepting).map(|record| routes(record)).max();
-    let named = callers(&serving, |record| Some(routes(record)) == most);
-    if !named.is_empty() {
-        return (named, false);
+    let most = serving.iter().chain(&accepting).map(|record| runnable_routes(record)).max();
+    let best_served = caller_addresses(&serving, |record| Some(runnable_routes(record)) == most);
+    if !best_served.is_empty() {
+        return (best_served, false);
     }
-    (callers(&accepting, |record| Some(routes(record)) == most), false)
+    (caller_addresses(&accepting, |record| Some(runnable_routes(record)) == most), false)
 }
 
-fn callers(serving: &[&BoxRecord], wanted: impl Fn(&BoxRecord) -> bool) -> Vec<SocketAddr> {
-    let wanted = serving.iter().filter(|record| wanted(record));
-    wanted.take(MAX_BOXES).map(|record| record.callers).collect()
+fn caller_addresses(
+    serving: &[&BoxRecord],
+    matching: impl Fn(&BoxRecord) -> bool,
+) -> Vec<SocketAddr> {
+    let matching = serving.iter().filter(|record| matching(record));
+    matching.take(MAX_BOXES).map(|record| record.callers).collect()
 }
 
-fn status(status: StatusCode) -> Response<Passed> {
+fn empty_response(status: StatusCode) -> Response<Passed> {
     let mut response = Response::new(Answer::whole(""));
     *response.status_mut() = status;
     response
--- a/lib/src/gateway/event.rs
+++ b/lib/src/gateway/event.rs
@@ -8,7 +8,7 @@
     /// The settings may have changed.
     Reload,
     /// The store answers again after it did not.
-    StoreBack,
+    StoreRecovered,
     /// This box's record is in the store.
     RecordWritten,
 }
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -34,11 +34,11 @@
 
 /// How long boxes that are gone still count among those that share a bound: they may
 /// live and only have lost the store.
-const SHARER_MEMORY: Duration = Duration::from_secs(30);
+const EXPIRED_BOX_RETENTION: Duration = Duration::from_secs(30);
 
 /// A server of any region.
 #[derive(Clone, Debug)]
-pub struct Located {
+pub struct ServerLocation {
     /// What stands for it where shared parts find their homes.
     pub hash: u64,
     /// Its region.
@@ -74,53 +74,53 @@
 
 /// Everything learned from the store.
 #[derive(Debug, Default)]
-pub struct Facts {
+pub struct ClusterState {
     /// The newest configuration.
     pub routing: Option<Arc<Routing>>,
     servers: BTreeMap<ServerId, Entry>,
     evacuated: BTreeMap<FailureDomainId, Evacuation>,
     boxes: BTreeMap<BoxId, BoxRecord>,
-    gone_boxes: BTreeMap<BoxId, (BoxRecord, Instant)>,
+    expired_boxes: BTreeMap<BoxId, (BoxRecord, Instant)>,
     /// Boxes of this region that were heard, by what stands for them in datagrams.
     heard: BTreeMap<u64, Instant>,
     /// Boxes that were ever started, by region and name.
     roster: BTreeSet<(RegionId, BoxId)>,
     /// Region of each failure domain that is known.
     regions: HashMap<FailureDomainId, RegionId>,
-    store_back_at: Option<Instant>,
+    store_recovered_at: Option<Instant>,
     restored: Restored,
 }
 
 /// What is decided from the place of one box.
-pub struct View<'a> {
+pub struct LocalContext<'a> {
     /// The box.
-    pub own: &'a BoxRecord,
+    pub own_record: &'a BoxRecord,
     /// It has only just started, and those that started with it may not be in the store yet.
-    pub fresh: bool,
+    pub just_started: bool,
     /// How often the rate of a cold server may be exceeded.
     pub cold_excess: f64,
     /// Requests to a cold server beyond that.
     pub cold_slack: f64,
 }
 
-impl Facts {
+impl ClusterState {
     /// Nothing but the regions of the failure domains.
-    pub fn new(regions: HashMap<FailureDomainId, RegionId>) -> Facts {
-        Facts { regions, ..Facts::default() }
+    pub fn new(regions: HashMap<FailureDomainId, RegionId>) -> ClusterState {
+        ClusterState { regions, ..ClusterState::default() }
     }
 
     /// The store answered again then, after it did not.
-    pub fn store_is_back(&mut self, at: Instant) {
-        self.store_back_at = self.store_back_at.max(Some(at));
+    pub fn note_store_recovered(&mut self, at: Instant) {
+        self.store_recovered_at = self.store_recovered_at.max(Some(at));
     }
 
     /// When the store last answered again after it did not.
-    pub fn store_back_at(&self) -> Option<Instant> {
-        self.store_back_at
+    pub fn store_recovered_at(&self) -> Option<Instant> {
+        self.store_recovered_at
     }
 
     /// Takes in something that was written at a revision. Says whether it is news.
-    pub fn learn(&mut self, fact: Fact, revision: Revision, now: Instant) -> bool {
+    pub fn apply(&mut self, fact: Fact, revision: Revision, now: Instant) -> bool {
         let subject = settling::subject(&fact);
         if self.is_outdated(&fact, &subject, revision, now) {
             log::info!("event=held_back subject={subject:?} revision={revision}");
@@ -130,20 +130,23 @@
         self.restored.drop_held(&subject);
         match fact {
             Fact::Routing(routing) => {
-                let known = self.routing.as_ref().map_or(0, |routing| routing.version);
-                let newer = routing.version > known;
+                let known_version = self.routing.as_ref().map_or(0, |routing| routing.version);
+                let newer = routing.version > known_version;
                 if newer {
-                    log::info!("event=configuration version={} before={known}", routing.version);
+                    log::info!(
+                        "event=configuration version={} before={known_version}",
+                        routing.version
+                    );
                     self.routing = Some(Arc::new(*routing));
-                } else if routing.version < known {
+                } else if routing.version < known_version {
                     log::warn!(
-                        "event=older_configuration version={} in_force={known}",
+                        "event=older_configuration version={} in_force={known_version}",
                         routing.version
                     );
                 }
                 newer
             }
-            Fact::Server(server) => self.learn_server(server, revision, now),
+            Fact::Server(server) => self.apply_server(server, revision, now),
             Fact::Evacuated(domain) => {
                 log::info!("event=evacuated failure_domain={domain}");
                 let evacuation = Evacuation { revision, missing_since: None };
@@ -156,9 +159,9 @@
     /// An entry that was written again is news though it says the same: a server that turns cold
     /// for the second time says "cold for 3 s" again, and a box that was without the store between
     /// has seen nothing else.
-    fn learn_server(&mut self, server: Server, revision: Revision, now: Instant) -> bool {
+    fn apply_server(&mut self, server: Server, revision: Revision, now: Instant) -> bool {
         let before = self.servers.get_mut(&server.id);
-        let known_life = before.as_ref().map(|entry| entry.life);
+        let previous_life = before.as_ref().map(|entry| entry.life);
         if let Some(entry) = &before
             && server.born < entry.server.born
         {
@@ -172,7 +175,7 @@
             return entry.missing_since.take().is_some();
         }
         let life = candidate::life_hash(&server);
-        let mut changed_at = (known_life == Some(life)).then_some(now);
+        let mut changed_at = (previous_life == Some(life)).then_some(now);
         let mut cold_until = (!server.cold_left.is_zero()).then(|| now + server.cold_left);
         if let Some(before) = self.servers.get(&server.id)
             && self.restored.is_settling(now)
@@ -208,8 +211,8 @@
     }
 
     /// Takes in another box's record.
-    pub fn learn_box(&mut self, record: BoxRecord) {
-        self.gone_boxes.remove(&record.name);
+    pub fn apply_box(&mut self, record: BoxRecord) {
+        self.expired_boxes.remove(&record.name);
         let before = self.boxes.insert(record.name.clone(), record.clone());
         if before.as_ref() != Some(&record) {
             log::info!(
@@ -228,44 +231,44 @@
     }
 
     /// A box was started at some time.
-    pub fn learn_roster(&mut self, region: &str, name: &str) {
+    pub fn apply_roster_entry(&mut self, region: &str, name: &str) {
         self.roster.insert((region.to_owned(), name.to_owned()));
     }
 
     /// Boxes of all regions that bounds are shared among.
-    pub fn fleet(&self, view: &View<'_>) -> usize {
-        let listed = if view.fresh { self.roster.len() } else { 0 };
-        (self.others(view.own).len() + 1).max(listed)
+    pub fn fleet_size(&self, context: &LocalContext<'_>) -> usize {
+        let roster_size = if context.just_started { self.roster.len() } else { 0 };
+        (self.other_boxes(context.own_record).len() + 1).max(roster_size)
     }
 
     /// Another box's record is gone.
-    pub fn forget_box(&mut self, name: &str, now: Instant) {
+    pub fn remove_box(&mut self, name: &str, now: Instant) {
         if let Some(record) = self.boxes.remove(name) {
             log::info!("event=box_gone box={name} incarnation={:x}", record.incarnation);
-            self.gone_boxes.insert(name.to_owned(), (record, now));
+            self.expired_boxes.insert(name.to_owned(), (record, now));
         }
     }
 
     /// Something that was written is gone.
-    pub fn forget(&mut self, subject: &Subject, now: Instant) {
+    pub fn remove(&mut self, subject: &Subject, now: Instant) {
         self.restored.drop_held(subject);
         match subject {
-            Subject::Server(id) => self.forget_server(id, now),
-            Subject::Evacuation(domain) => self.forget_evacuation(domain, now),
+            Subject::Server(id) => self.remove_server(id, now),
+            Subject::Evacuation(domain) => self.remove_evacuation(domain, now),
             Subject::Routing | Subject::Other => {}
         }
     }
 
     /// What is written under a server's name names no server: another writer may have put it there.
-    pub fn disown_server(&mut self, id: &str) {
+    pub fn discard_server(&mut self, id: &str) {
         if self.servers.remove(id).is_some() {
             log::info!("event=server_gone server={id} reason=\"its entry is not a server's\"");
         }
     }
 
-    fn forget_server(&mut self, id: &ServerId, now: Instant) {
-        let returned = |at: Instant| now < at + RETURN_GRACE;
-        if self.store_back_at.is_some_and(returned) {
+    fn remove_server(&mut self, id: &ServerId, now: Instant) {
+        let within_grace = |at: Instant| now < at + RETURN_GRACE;
+        if self.store_recovered_at.is_some_and(within_grace) {
             if let Some(entry) = self.servers.get_mut(id) {
                 log::info!("event=server_missing server={id} reason=\"the store was away\"");
                 entry.missing_since.get_or_insert(now);
@@ -279,7 +282,7 @@
     }
 
     /// Servers that come back from an evacuation may be cold, whatever their last word was.
-    fn cool(&mut self, domain: &str, now: Instant) {
+    fn mark_domain_cold(&mut self, domain: &str, now: Instant) {
         let Some(routing) = &self.routing else { return };
         for entry in self.servers.values_mut() {
             if entry.server.failure_domain != domain {
@@ -292,51 +295,56 @@
     }
 
     /// What a whole read of the store does not show is gone.
-    pub fn keep_only(&mut self, seen: &BTreeSet<Subject>, boxes: &BTreeSet<BoxId>, now: Instant) {
+    pub fn retain_listed(
+        &mut self,
+        seen: &BTreeSet<Subject>,
+        boxes: &BTreeSet<BoxId>,
+        now: Instant,
+    ) {
         let servers = self.servers.keys().cloned().map(Subject::Server);
         let evacuated = self.evacuated.keys().cloned().map(Subject::Evacuation);
-        let gone: Vec<Subject> =
+        let removed: Vec<Subject> =
             servers.chain(evacuated).filter(|subject| !seen.contains(subject)).collect();
-        for subject in gone {
-            self.forget(&subject, now);
+        for subject in removed {
+            self.remove(&subject, now);
         }
-        let gone: Vec<BoxId> =
+        let removed: Vec<BoxId> =
             self.boxes.keys().filter(|name| !boxes.contains(*name)).cloned().collect();
-        for name in gone {
-            self.forget_box(&name, now);
+        for name in removed {
+            self.remove_box(&name, now);
         }
     }
 
     /// Drops what has been missing for long enough. Says whether there was any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let before = self.servers.len() + self.gone_boxes.len() + self.heard.len();
+        let before = self.servers.len() + self.expired_boxes.len() + self.heard.len();
         self.servers.retain(|id, entry| {
-            let keep = entry.missing_since.is_none_or(|since| now < since + RETURN_GRACE);
-            if !keep {
+            let retained = entry.missing_since.is_none_or(|since| now < since + RETURN_GRACE);
+            if !retained {
                 log::info!(
                     "event=server_gone server={id} reason=\"missing since the store is back\""
                 );
             }
-            keep
+            retained
         });
-        self.gone_boxes.retain(|_, (_, since)| now < *since + SHARER_MEMORY);
-        self.heard.retain(|_, at| now < *at + SHARER_MEMORY);
-        let dropped = self.servers.len() + self.gone_boxes.len() + self.heard.len() != before;
+        self.expired_boxes.retain(|_, (_, since)| now < *since + EXPIRED_BOX_RETENTION);
+        self.heard.retain(|_, at| now < *at + EXPIRED_BOX_RETENTION);
+        let dropped = self.servers.len() + self.expired_boxes.len() + self.heard.len() != before;
         self.settle(now) || dropped
     }
 
     /// Boxes whose records are gone from the store for less than some seconds, or that are heard.
-    pub fn lost(&self, own: &BoxRecord) -> Vec<BoxRecord> {
-        let lost = self.gone_boxes.values().map(|(record, _)| record);
-        lost.filter(|record| record.name != own.name).cloned().collect()
+    pub fn other_expired_boxes(&self, own_record: &BoxRecord) -> Vec<BoxRecord> {
+        let records = self.expired_boxes.values().map(|(record, _)| record);
+        records.filter(|record| record.name != own_record.name).cloned().collect()
     }
 
     /// Boxes that are heard are not gone: they send to servers like any other, and need the word
     /// of others more than these do. With a lease of 4 s and shares that grew 30 s after its end,
     /// two boxes of four without the store for so long would send 20 requests in a second where 17
     /// are allowed (worked out, not run).
-    pub fn keep_lost(&mut self, is_heard: impl Fn(&str) -> bool, now: Instant) {
-        for (name, (_, since)) in &mut self.gone_boxes {
+    pub fn refresh_expired_boxes(&mut self, is_heard: impl Fn(&str) -> bool, now: Instant) {
+        for (name, (_, since)) in &mut self.expired_boxes {
             if is_heard(name) {
                 *since = now;
             }
@@ -346,7 +354,7 @@
     /// Boxes of this region are heard. One that started without the store may know of them by
     /// nothing else, and would take the whole of a bound for itself: two boxes gave a cold server 21
     /// requests in a second where 17 are allowed. Says whether any of them is new.
-    pub fn hear_boxes(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
+    pub fn note_heard_boxes(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
         let known = self.heard.len();
         self.heard.extend(senders.map(|sender| (sender, now)));
         self.heard.len() != known
@@ -366,23 +374,23 @@
     }
 
     /// Boxes that live, this one left out.
-    pub fn others(&self, own: &BoxRecord) -> Vec<BoxRecord> {
-        self.boxes.values().filter(|record| record.name != own.name).cloned().collect()
+    pub fn other_boxes(&self, own_record: &BoxRecord) -> Vec<BoxRecord> {
+        self.boxes.values().filter(|record| record.name != own_record.name).cloned().collect()
     }
 
     /// Servers of all regions that may get work, by service.
-    pub fn located(&self) -> HashMap<ServiceId, Vec<Located>> {
-        let mut located: HashMap<ServiceId, Vec<Located>> = HashMap::new();
+    pub fn usable_servers(&self) -> HashMap<ServiceId, Vec<ServerLocation>> {
+        let mut usable_servers: HashMap<ServiceId, Vec<ServerLocation>> = HashMap::new();
         for entry in self.servers.values().filter(|entry| self.is_usable(entry)) {
             let server = &entry.server;
             let Some(region) = self.regions.get(&server.failure_domain) else { continue };
-            located.entry(server.service.clone()).or_default().push(Located {
+            usable_servers.entry(server.service.clone()).or_default().push(ServerLocation {
                 hash: candidate::server_hash(&server.id),
                 region: region.clone(),
                 failure_domain: server.failure_domain.clone(),
             });
         }
-        located
+        usable_servers
     }
 
     /// Slots that may get work by service and region.
@@ -405,59 +413,60 @@
     /// Boxes that share the servers of this region, this one included, by what stands for them in
     /// datagrams. Boxes that start together do not see each other at first, so a fresh one counts
     /// all that there ever were.
-    pub fn sharers(&self, view: &View<'_>) -> BTreeSet<u64> {
-        let own = view.own;
-        let gone = self.gone_boxes.values().map(|(record, _)| record);
-        let known = self.boxes.values().chain(gone).filter(|record| record.region == own.region);
-        let mut names: Vec<&str> = known.map(|record| record.name.as_str()).collect();
-        names.push(&own.name);
-        if view.fresh {
-            let listed = self.roster.iter().filter(|(region, _)| *region == own.region);
-            names.extend(listed.map(|(_, name)| name.as_str()));
+    pub fn sharing_boxes(&self, context: &LocalContext<'_>) -> BTreeSet<u64> {
+        let own_record = context.own_record;
+        let removed = self.expired_boxes.values().map(|(record, _)| record);
+        let region_boxes =
+            self.boxes.values().chain(removed).filter(|record| record.region == own_record.region);
+        let mut names: Vec<&str> = region_boxes.map(|record| record.name.as_str()).collect();
+        names.push(&own_record.name);
+        if context.just_started {
+            let roster_size = self.roster.iter().filter(|(region, _)| *region == own_record.region);
+            names.extend(roster_size.map(|(_, name)| name.as_str()));
         }
-        let known = names.into_iter().map(presence::box_hash);
-        known.chain(self.heard.keys().copied()).collect()
+        let named_hashes = names.into_iter().map(presence::box_hash);
+        named_hashes.chain(self.heard.keys().copied()).collect()
     }
 
     /// The servers of this region by service.
-    pub fn known(&self, view: &View<'_>) -> HashMap<ServiceId, Vec<Known>> {
-        let sharers = self.sharers(view);
-        let mut known: HashMap<ServiceId, Vec<Known>> = HashMap::new();
-        let Some(routing) = &self.routing else { return known };
+    pub fn local_servers(&self, context: &LocalContext<'_>) -> HashMap<ServiceId, Vec<Known>> {
+        let sharing_boxes = self.sharing_boxes(context);
+        let mut local_servers: HashMap<ServiceId, Vec<Known>> = HashMap::new();
+        let Some(routing) = &self.routing else { return local_servers };
         for entry in self.servers.values() {
             let server = &entry.server;
-            if self.regions.get(&server.failure_domain) != Some(&view.own.region) {
+            if self.regions.get(&server.failure_domain) != Some(&context.own_record.region) {
                 continue;
             }
             let Some(service) = routing.services.get(&server.service) else { continue };
-            known.entry(server.service.clone()).or_default().push(Known {
+            local_servers.entry(server.service.clone()).or_default().push(Known {
                 server: Arc::clone(server),
                 usable: self.is_usable(entry),
                 cold_until: entry.cold_until,
-                cold_share: cold_share(view, service, server, &sharers),
-                near: server.failure_domain == view.own.failure_domain,
+                cold_share: cold_share(context, service, server, &sharing_boxes),
+                near: server.failure_domain == context.own_record.failure_domain,
             });
         }
-        known
+        local_servers
     }
 }
 
 fn cold_share(
-    view: &View<'_>,
+    context: &LocalContext<'_>,
     service: &Service,
     server: &Server,
-    sharers: &BTreeSet<u64>,
+    sharing_boxes: &BTreeSet<u64>,
 ) -> Option<u32> {
     if service.warmup_rate <= 0.0 {
         return None;
     }
     let bound = warmup::Bound {
         rate: service.warmup_rate,
-        excess: view.cold_excess,
-        slack: view.cold_slack,
+        excess: context.cold_excess,
+        slack: context.cold_slack,
     };
-    let duty = candidate::server_hash(&server.id);
-    let own = rendezvous::mix(presence::box_hash(&view.own.name), duty);
-    let ahead = |other: &&u64| rendezvous::mix(**other, duty) > own;
-    Some(bound.share(sharers.len(), sharers.iter().filter(ahead).count()))
+    let id_hash = candidate::server_hash(&server.id);
+    let own_record = rendezvous::mix(presence::box_hash(&context.own_record.name), id_hash);
+    let ranks_ahead = |other: &&u64| rendezvous::mix(**other, id_hash) > own_record;
+    Some(bound.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
 }
--- a/lib/src/gateway/facts/settling.rs
+++ b/lib/src/gateway/facts/settling.rs
@@ -3,19 +3,19 @@
 
 use std::time::Instant;
 
+use super::ClusterState;
 use super::Evacuation;
-use super::Facts;
 use crate::coordination::candidate;
 use crate::protocol::adapter::Fact;
 use crate::protocol::adapter::Subject;
 use crate::protocol::fleet::FailureDomainId;
 use crate::protocol::platform::Revision;
 
-impl Facts {
+impl ClusterState {
     /// The store came back from an older copy then.
-    pub fn store_is_restored(&mut self, at: Instant) {
+    pub fn note_store_restored(&mut self, at: Instant) {
         self.restored.begin(at);
-        self.store_is_back(at);
+        self.note_store_recovered(at);
     }
 
     /// Whether what the store lost with its return to an older copy may still be written again.
@@ -52,7 +52,7 @@
     }
 
     /// An evacuation is gone; while the store settles, it may be written again.
-    pub(super) fn forget_evacuation(&mut self, domain: &FailureDomainId, now: Instant) {
+    pub(super) fn remove_evacuation(&mut self, domain: &FailureDomainId, now: Instant) {
         if self.restored.is_settling(now) {
             if let Some(evacuation) = self.evacuated.get_mut(domain) {
                 log::info!("event=evacuation_missing failure_domain={domain}");
@@ -64,7 +64,7 @@
             log::info!("event=evacuation_over failure_domain={domain}");
             let subject = Subject::Evacuation(domain.clone());
             self.restored.note_removal(subject, evacuation.revision, now);
-            self.cool(domain, now);
+            self.mark_domain_cold(domain, now);
         }
     }
 
@@ -74,20 +74,20 @@
         if self.restored.is_settling(now) {
             return false;
         }
-        let over = |evacuation: &Evacuation| evacuation.missing_since.is_some();
-        let over: Vec<FailureDomainId> = self
+        let ended = |evacuation: &Evacuation| evacuation.missing_since.is_some();
+        let ended: Vec<FailureDomainId> = self
             .evacuated
             .iter()
-            .filter(|(_, evacuation)| over(evacuation))
+            .filter(|(_, evacuation)| ended(evacuation))
             .map(|(domain, _)| domain.clone())
             .collect();
-        for domain in &over {
-            self.forget_evacuation(domain, now);
+        for domain in &ended {
+            self.remove_evacuation(domain, now);
         }
         let released = self.restored.release(now);
-        let mut changed = !over.is_empty();
+        let mut changed = !ended.is_empty();
         for (fact, revision) in released {
-            changed |= self.learn(fact, revision, now);
+            changed |= self.apply(fact, revision, now);
         }
         changed
     }
--- a/lib/src/gateway/handover.rs
+++ b/lib/src/gateway/handover.rs
@@ -39,23 +39,23 @@
 use crate::transport::timer;
 
 /// Who asks: what stands for the box in datagrams, hex.
-const ASKER: HeaderName = HeaderName::from_static("copperweir-box");
+const REQUESTER_HASH: HeaderName = HeaderName::from_static("copperweir-box");
 /// Its region.
-const ASKER_REGION: HeaderName = HeaderName::from_static("copperweir-region");
+const REQUESTER_REGION: HeaderName = HeaderName::from_static("copperweir-region");
 /// Where datagrams reach it.
-const ASKER_ADDRESS: HeaderName = HeaderName::from_static("copperweir-address");
+const REQUESTER_ADDRESS: HeaderName = HeaderName::from_static("copperweir-address");
 /// Path of the question; the port serves nothing else.
-const PATH: &str = "/state";
+const STATE_PATH: &str = "/state";
 /// Longest question, bytes: digests of some hundred thousand keys.
-const LONGEST_QUESTION: usize = 1 << 20;
+const MAX_QUERY_BYTES: usize = 1 << 20;
 /// Longest wait for one box: a way to the farthest region and back, twice.
-const WAIT: Duration = Duration::from_millis(500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time after which another box is asked as well: longer than such a way once.
-const NEXT_SEED: Duration = Duration::from_millis(150);
+const NEXT_SEED_DELAY: Duration = Duration::from_millis(150);
 
 /// What the asker has.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Question {
+struct StateQuery {
     /// Place in the store's history that its state was read at.
     #[prost(uint64, tag = "1")]
     era: u64,
@@ -69,7 +69,7 @@
 
 /// The answer.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Reply {
+struct StateReply {
     /// Place in the store's history that the state was read at.
     #[prost(uint64, tag = "10")]
     era: u64,
@@ -115,54 +115,54 @@
 
 /// What another box has from the store.
 #[derive(Clone, Debug)]
-pub struct State {
+pub struct PeerState {
     /// The box that said so.
-    pub told_by: SocketAddr,
+    pub source: SocketAddr,
     /// Which state this is.
     pub version: Version,
     /// How long ago it was the store's.
     pub age: Duration,
     /// How long ago the store was back there, if it was away shortly before: entries may be missing
     /// that will be written again.
-    pub returned: Option<Duration>,
+    pub recovered_ago: Option<Duration>,
     /// Keys that the asker lacks.
     pub written: Vec<Item>,
     /// Keys that are gone.
-    pub gone: Gone,
+    pub removed_keys: RemovedKeys,
     /// Requests that are refused because servers end under them, if this box had nothing yet.
     pub verdicts: Vec<told::Verdict>,
 }
 
 /// What is asked of another box.
 #[derive(Clone, Debug)]
-pub enum Wanted {
+pub enum StateScope {
     /// All that it has.
     All,
     /// What was written after a place in the history that both have.
     After(Position),
     /// What differs from these digests of keys with their revisions and values.
-    Beside(HashSet<u64>),
+    NotIn(HashSet<u64>),
 }
 
 /// Which keys are gone in another box's state, by their hashes.
 #[derive(Clone, Debug)]
-pub enum Gone {
+pub enum RemovedKeys {
     /// These.
-    Keys(HashSet<u64>),
+    Listed(HashSet<u64>),
     /// All but these.
-    AllBut(HashSet<u64>),
+    AllExcept(HashSet<u64>),
 }
 
-impl Wanted {
-    fn to_question(&self) -> Question {
+impl StateScope {
+    fn to_query(&self) -> StateQuery {
         match self {
-            Wanted::All => Question::default(),
-            Wanted::After(Position { era, revision }) => {
-                Question { era: *era, revision: *revision, held: None }
+            StateScope::All => StateQuery::default(),
+            StateScope::After(Position { era, revision }) => {
+                StateQuery { era: *era, revision: *revision, held: None }
             }
-            Wanted::Beside(digests) => {
+            StateScope::NotIn(digests) => {
                 let hashes = digests.iter().copied().collect();
-                Question { held: Some(Hashes { hashes }), ..Question::default() }
+                StateQuery { held: Some(Hashes { hashes }), ..StateQuery::default() }
             }
         }
     }
@@ -173,54 +173,58 @@
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
 ) -> Response<Passed> {
-    if let Some(asker) = asker(request.headers()) {
-        lock(&shared.unlisted).hear(asker, clock::now());
+    if let Some(requester) = read_requester(request.headers()) {
+        lock(&shared.unlisted).hear(requester, clock::now());
     }
-    let Some(question) = read(request.into_body()).await else {
+    let Some(query) = read_query(request.into_body()).await else {
         let mut refusal = Response::new(Answer::whole(Bytes::new()));
         *refusal.status_mut() = StatusCode::BAD_REQUEST;
         return refusal;
     };
-    Response::new(Answer::whole(answer(&shared, question).encode_to_vec()))
+    Response::new(Answer::whole(build_reply(&shared, query).encode_to_vec()))
 }
 
 /// Reads a question; an empty one comes from a box that has nothing.
-async fn read(body: Incoming) -> Option<Question> {
-    let body = Limited::new(body, LONGEST_QUESTION).collect().await;
+async fn read_query(body: Incoming) -> Option<StateQuery> {
+    let body = Limited::new(body, MAX_QUERY_BYTES).collect().await;
     let body = body.inspect_err(|error| log::info!("event=question_broken error=\"{error}\""));
-    Question::decode(body.ok()?.to_bytes()).ok()
+    StateQuery::decode(body.ok()?.to_bytes()).ok()
 }
 
-fn answer<A: Adapter>(shared: &Shared<A>, question: Question) -> Reply {
-    let knows_nothing = question == Question::default();
+fn build_reply<A: Adapter>(shared: &Shared<A>, query: StateQuery) -> StateReply {
+    let requester_is_empty = query == StateQuery::default();
     let age_ms = u64::try_from(shared.state_age_ms()).ok();
     let replica = lock(&shared.replica);
     let to_entry = |item: Item| (item.key, Entry { value: item.value, revision: item.revision });
-    let after = Position { era: question.era, revision: question.revision };
-    let (entries, removed) = match question.held {
+    let position_held = Position { era: query.era, revision: query.revision };
+    let (entries, removed) = match query.held {
         Some(Hashes { hashes }) => {
             let held = hashes.into_iter().collect();
-            (replica.written_beside(&held).map(to_entry).collect(), None)
+            (replica.items_not_in(&held).map(to_entry).collect(), None)
         }
         None => {
-            let removed = replica.removed_after(after);
+            let removed = replica.removed_after(position_held);
             let removed = removed.map(|hashes| Hashes { hashes: hashes.collect() });
-            (replica.written_after(after).map(to_entry).collect(), removed)
+            (replica.items_written_after(position_held).map(to_entry).collect(), removed)
         }
     };
     let keys = if removed.is_some() { Vec::new() } else { replica.key_hashes().collect() };
     let version = replica.version();
     let known = lock(&shared.freshness).version();
     // Others may have said that nothing has changed for longer than the store itself has.
-    let same = known.digest == version.digest;
-    let position = if same { version.position.max(known.position) } else { version.position };
-    let returned = *lock(&shared.store_back_at);
-    let returned = returned.map(clock::since).filter(|ago| *ago < RETURN_GRACE);
-    let returned_ms = returned.map(|ago| ago.as_millis() as u64);
+    let same_digest = known.digest == version.digest;
+    let position =
+        if same_digest { version.position.max(known.position) } else { version.position };
+    let recovered_ago = *lock(&shared.store_recovered_at);
+    let recovered_ago = recovered_ago.map(clock::since).filter(|ago| *ago < RETURN_GRACE);
+    let returned_ms = recovered_ago.map(|ago| ago.as_millis() as u64);
     // Others hear of verdicts by datagram and from the store.
-    let verdicts =
-        if knows_nothing { lock(&shared.quarantine).verdicts(clock::now()) } else { Vec::new() };
-    Reply {
+    let verdicts = if requester_is_empty {
+        lock(&shared.quarantine).verdicts(clock::now())
+    } else {
+        Vec::new()
+    };
+    StateReply {
         era: position.era,
         revision: position.revision,
         digest: version.digest,
@@ -234,32 +238,34 @@
 }
 
 /// The box that asks, if it says who it is.
-fn asker(headers: &HeaderMap) -> Option<Neighbor> {
+fn read_requester(headers: &HeaderMap) -> Option<Neighbor> {
     let text = |name: &HeaderName| headers.get(name)?.to_str().ok();
     Some(Neighbor {
-        box_hash: u64::from_str_radix(text(&ASKER)?, 16).ok()?,
-        region: text(&ASKER_REGION)?.to_owned(),
-        address: text(&ASKER_ADDRESS)?.parse().ok()?,
+        box_hash: u64::from_str_radix(text(&REQUESTER_HASH)?, 16).ok()?,
+        region: text(&REQUESTER_REGION)?.to_owned(),
+        address: text(&REQUESTER_ADDRESS)?.parse().ok()?,
     })
 }
 
 /// Asks boxes in any order for all that they have until one knows something. The next one is asked
 /// when one has not answered for a while, or knows nothing. Whoever is asked hears of `own` by that.
-pub async fn ask_any(
+pub async fn fetch_from_any(
     client: &backend::Client,
     seeds: &[SocketAddr],
-    own: &Neighbor,
-) -> Option<State> {
+    requester: &Neighbor,
+) -> Option<PeerState> {
     let mut seeds = seeds.to_vec();
     seeds.shuffle(&mut rand::rng());
     let mut seeds = seeds.into_iter();
-    let mut asked = JoinSet::new();
+    let mut pending = JoinSet::new();
     loop {
         if let Some(seed) = seeds.next() {
-            let (client, own) = (client.clone(), own.clone());
-            asked.spawn(async move { ask(&client, seed, &Wanted::All, Some(&own)).await });
+            let (client, requester) = (client.clone(), requester.clone());
+            pending.spawn(async move {
+                fetch_from(&client, seed, &StateScope::All, Some(&requester)).await
+            });
         }
-        match timer::timeout(NEXT_SEED, asked.join_next()).await {
+        match timer::timeout(NEXT_SEED_DELAY, pending.join_next()).await {
             Ok(Some(Ok(Some(state)))) => return Some(state),
             Ok(Some(Err(error))) => log::error!("event=question_failed error=\"{error}\""),
             Ok(None) => return None,
@@ -269,13 +275,15 @@
 }
 
 /// Asks one box for what this one lacks; `None` if it knows nothing or does not answer.
-pub async fn ask(
+pub async fn fetch_from(
     client: &backend::Client,
     address: SocketAddr,
-    wanted: &Wanted,
-    own: Option<&Neighbor>,
-) -> Option<State> {
-    let error = match timer::timeout(WAIT, fetch(client, address, wanted, own)).await {
+    scope: &StateScope,
+    requester: Option<&Neighbor>,
+) -> Option<PeerState> {
+    let error = match timer::timeout(PEER_TIMEOUT, request_state(client, address, scope, requester))
+        .await
+    {
         Ok(Ok(state)) => return state,
         Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
@@ -284,38 +292,38 @@
     None
 }
 
-async fn fetch(
+async fn request_state(
     client: &backend::Client,
     address: SocketAddr,
-    wanted: &Wanted,
-    own: Option<&Neighbor>,
-) -> Result<Option<State>, String> {
-    let mut request = Request::post(PATH).header(http::header::HOST, address.to_string());
-    if let Some(own) = own {
+    scope: &StateScope,
+    requester: Option<&Neighbor>,
+) -> Result<Option<PeerState>, String> {
+    let mut request = Request::post(STATE_PATH).header(http::header::HOST, address.to_string());
+    if let Some(requester) = requester {
         request = request
-            .header(ASKER, format!("{:x}", own.box_hash))
-            .header(ASKER_REGION, &own.region)
-            .header(ASKER_ADDRESS, own.address.to_string());
+            .header(REQUESTER_HASH, format!("{:x}", requester.box_hash))
+            .header(REQUESTER_REGION, &requester.region)
+            .header(REQUESTER_ADDRESS, requester.address.to_string());
     }
-    let body = Bytes::from(wanted.to_question().encode_to_vec());
+    let body = Bytes::from(scope.to_query().encode_to_vec());
     let request = request.body(Full::from(body)).map_err(|error| error.to_string())?;
     let answer = client.fetch(address, request).await.map_err(|error| error.to_string())?;
-    let reply = Reply::decode(answer.into_body()).map_err(|error| error.to_string())?;
+    let reply = StateReply::decode(answer.into_body()).map_err(|error| error.to_string())?;
     let Some(age_ms) = reply.age_ms else { return Ok(None) };
-    let gone = match reply.removed {
-        Some(removed) => Gone::Keys(removed.hashes.into_iter().collect()),
-        None => Gone::AllBut(reply.keys.into_iter().collect()),
+    let removed_keys = match reply.removed {
+        Some(removed) => RemovedKeys::Listed(removed.hashes.into_iter().collect()),
+        None => RemovedKeys::AllExcept(reply.keys.into_iter().collect()),
     };
-    let item =
+    let to_item =
         |(key, entry): (String, Entry)| Item { key, value: entry.value, revision: entry.revision };
     let position = Position { era: reply.era, revision: reply.revision };
-    Ok(Some(State {
-        told_by: address,
+    Ok(Some(PeerState {
+        source: address,
         version: Version { position, digest: reply.digest },
-        returned: reply.returned_ms.map(Duration::from_millis),
+        recovered_ago: reply.returned_ms.map(Duration::from_millis),
         age: Duration::from_millis(age_ms),
-        written: reply.entries.into_iter().map(item).collect(),
-        gone,
+        written: reply.entries.into_iter().map(to_item).collect(),
+        removed_keys,
         verdicts: reply.verdicts,
     }))
 }
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -10,17 +10,17 @@
 
 use super::attempt::Payload;
 use super::attempt::Reply;
-use super::course::Course;
+use super::course::RequestHistory;
 use super::job::Job;
 use super::job::Origin;
-use super::job::SENDS;
-use super::pace::Pace;
+use super::job::SENDS_HEADER;
+use super::pace::StreamTiming;
 use super::quarantine;
 use super::quotas;
 use super::record;
 use super::relay::Relay;
 use super::run;
-use super::shared::Progress;
+use super::shared::InFlightGuard;
 use super::shared::Shared;
 use crate::coordination::drain::Stage;
 use crate::error::Failure;
@@ -40,12 +40,12 @@
     origin: Origin,
     request: Request<Incoming>,
 ) -> Response<Passed> {
-    let progress = shared.progress();
+    let in_flight_guard = shared.track_request();
     shared.counters.count(match origin {
         Origin::Caller => Counter::Requests,
         Origin::Peer => Counter::ForwardedIn,
     });
-    let mut response = answer(&shared, origin, request, progress).await;
+    let mut response = process(&shared, origin, request, in_flight_guard).await;
     if shared.snapshot.load().stage != Stage::Serving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -53,62 +53,63 @@
     response
 }
 
-async fn answer<A: Adapter>(
+async fn process<A: Adapter>(
     shared: &Arc<Shared<A>>,
     origin: Origin,
     request: Request<Incoming>,
-    progress: Progress<A>,
+    in_flight_guard: InFlightGuard<A>,
 ) -> Response<Passed> {
-    let mut course = Course::default();
+    let mut history = RequestHistory::default();
     let ask = match shared.adapter.ask(request.headers()) {
         Ok(ask) => ask,
         Err(problem) => {
             let failure = Failure::new(Kind::BadRequest, problem);
-            return failed(shared, "-", None, &course, &failure);
+            return failure_response(shared, "-", None, &history, &failure);
         }
     };
     let id = ask.id.clone();
     let job = match Job::read(shared, origin, ask, request).await {
         Ok(job) => job,
-        Err(failure) => return failed(shared, &id, None, &course, &failure),
+        Err(failure) => return failure_response(shared, &id, None, &history, &failure),
     };
     if let Err(failure) = quarantine::admit(shared, &job) {
-        return failed(shared, &id, Some(&job), &course, &failure);
+        return failure_response(shared, &id, Some(&job), &history, &failure);
     }
     let charge = match quotas::admit(shared, &job) {
         Ok(charge) => charge,
-        Err(failure) => return failed(shared, &id, Some(&job), &course, &failure),
+        Err(failure) => return failure_response(shared, &id, Some(&job), &history, &failure),
     };
-    match run::run(shared, &job, &mut course).await {
-        Ok(reply) => pass_on(shared, job, course, reply, progress),
+    match run::dispatch(shared, &job, &mut history).await {
+        Ok(reply) => reply_response(shared, job, history, reply, in_flight_guard),
         Err(failure) => {
-            if course.sends == 0 && failure.ran() == Ran::No {
+            if history.sends == 0 && failure.ran() == Ran::No {
                 quotas::give_back(shared, charge);
             }
-            failed(shared, &id, Some(&job), &course, &failure)
+            failure_response(shared, &id, Some(&job), &history, &failure)
         }
     }
 }
 
-fn pass_on<A: Adapter>(
+fn reply_response<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: Job,
-    course: Course,
+    history: RequestHistory,
     reply: Reply<A>,
-    progress: Progress<A>,
+    in_flight_guard: InFlightGuard<A>,
 ) -> Response<Passed> {
     let body = match reply.payload {
         Payload::Whole(bytes) => {
             shared.counters.count(Counter::Answered);
             shared.latencies.record(Timing::WholeAnswer, clock::since(job.arrived));
-            record::answered(&job, &course, reply.status.as_u16());
+            record::answered(&job, &history, reply.status.as_u16());
             Answer::whole(bytes)
         }
         Payload::Stream(stream) => {
-            let pace = Pace::begin(job.arrived, clock::now());
-            shared.latencies.record(Timing::FirstEvent, pace.first);
+            let stream_timing = StreamTiming::begin(job.arrived, clock::now());
+            shared.latencies.record(Timing::FirstEvent, stream_timing.first_event);
             let shared = Arc::clone(shared);
-            let relay = Relay { shared, job, stream: *stream, course, progress, pace };
+            let relay =
+                Relay { shared, job, stream: *stream, history, in_flight_guard, stream_timing };
             Answer::Channel(relay.start())
         }
     };
@@ -118,11 +119,11 @@
     response
 }
 
-fn failed<A: Adapter>(
+fn failure_response<A: Adapter>(
     shared: &Arc<Shared<A>>,
     id: &str,
     job: Option<&Job>,
-    course: &Course,
+    history: &RequestHistory,
     failure: &Failure,
 ) -> Response<Passed> {
     shared.counters.count(Counter::Failed);
@@ -137,11 +138,11 @@
             shared.latencies.record(Timing::Refusal, clock::since(job.arrived));
         }
     }
-    record::failed(id, job, course, failure);
+    record::failed(id, job, history, failure);
     let mut response = Response::new(Answer::whole(caller::failure_body(failure)));
     *response.status_mut() = failure.status();
     caller::failure_headers(failure, response.headers_mut());
-    response.headers_mut().insert(SENDS, course.arrivals().into());
+    response.headers_mut().insert(SENDS_HEADER, history.arrivals().into());
     shared.adapter.mark(response.headers_mut(), id, failure.retry_after());
     response
 }
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -43,21 +43,22 @@
 use crate::transport::timer;
 
 /// Marks a request that another box has passed on; it goes no further than this region.
-pub const PASSED_ON: HeaderName = HeaderName::from_static("copperweir-passed-on");
+pub const FORWARDED_HEADER: HeaderName = HeaderName::from_static("copperweir-passed-on");
 /// How often a box sent a request that it failed to get an answer to.
-pub const SENDS: HeaderName = HeaderName::from_static("copperweir-sends");
+pub const SENDS_HEADER: HeaderName = HeaderName::from_static("copperweir-sends");
 /// Digest of the caller's key, for another box.
-const KEY: HeaderName = HeaderName::from_static("copperweir-key");
+const KEY_HEADER: HeaderName = HeaderName::from_static("copperweir-key");
 /// Name of the caller's team, for another box.
-const TEAM: HeaderName = HeaderName::from_static("copperweir-team");
+const TEAM_HEADER: HeaderName = HeaderName::from_static("copperweir-team");
 /// Version of the configuration that the sender looked them up in.
-const VERSION: HeaderName = HeaderName::from_static("copperweir-version");
+const VERSION_HEADER: HeaderName = HeaderName::from_static("copperweir-version");
 /// What the caller's request is known by, for another box.
-const FINGERPRINT: HeaderName = HeaderName::from_static("copperweir-fingerprint");
+const FINGERPRINT_HEADER: HeaderName = HeaderName::from_static("copperweir-fingerprint");
 /// What only boxes tell each other: a caller's are ignored, and backend servers see none.
-const BETWEEN_BOXES: [HeaderName; 5] = [PASSED_ON, KEY, TEAM, VERSION, FINGERPRINT];
+const INTERNAL_HEADERS: [HeaderName; 5] =
+    [FORWARDED_HEADER, KEY_HEADER, TEAM_HEADER, VERSION_HEADER, FINGERPRINT_HEADER];
 /// How long a caller waits that does not say so.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Who sent a request here.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -107,13 +108,13 @@
         let arrived = clock::now();
         let (head, body) = request.into_parts();
         let snapshot = shared.snapshot.load_full();
-        let routing = routing(&snapshot)?;
-        let route = find(&routing, &head.headers, &head.uri)?;
-        let claim = claim(origin, &ask, &head.headers);
+        let routing = current_routing(&snapshot)?;
+        let route = find_route(&routing, &head.headers, &head.uri)?;
+        let claim = identity_claim(origin, &ask, &head.headers);
         ask.key = claim.key;
-        let team = identify(shared, &claim, &routing, &route)?;
-        let patience = ask.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
-        let deadline = arrived + patience;
+        let team = identify_team(shared, &claim, &routing, &route)?;
+        let time_limit = ask.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let deadline = arrived + time_limit;
         let body = read_body(body, routing.limits.body_bytes, deadline).await?;
         let fingerprint = fingerprint(origin, &ask, &head, &body);
         let point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
@@ -134,13 +135,13 @@
             snapshot,
             method: head.method,
             uri: head.uri,
-            headers: passed_on(&head.headers),
+            headers: forwarded_headers(&head.headers),
             body,
         })
     }
 
     /// Whether a region may run it, by its route and by its team.
-    pub fn allows(&self, region: &str) -> bool {
+    pub fn is_allowed_in(&self, region: &str) -> bool {
         self.route.allows(region) && self.team.as_ref().is_none_or(|team| team.allows(region))
     }
 
@@ -151,7 +152,7 @@
     }
 
     /// Time that is left.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
@@ -172,7 +173,7 @@
         last_event: Option<u64>,
     ) -> Request<http_body_util::Full<Bytes>> {
         let outbound = Outbound {
-            left: self.left(clock::now()),
+            left: self.time_left(clock::now()),
             instance,
             priority: self.priority(),
             last_event,
@@ -191,17 +192,17 @@
     ) -> Request<http_body_util::Full<Bytes>> {
         let mut request = self.request();
         let headers = request.headers_mut();
-        adapter.forward(headers, self.left(clock::now()));
-        headers.insert(PASSED_ON, HeaderValue::from_static("1"));
-        headers.insert(VERSION, self.version.into());
+        adapter.forward(headers, self.time_left(clock::now()));
+        headers.insert(FORWARDED_HEADER, HeaderValue::from_static("1"));
+        headers.insert(VERSION_HEADER, self.version.into());
         if let Ok(fingerprint) = HeaderValue::try_from(self.fingerprint.to_string()) {
-            headers.insert(FINGERPRINT, fingerprint);
+            headers.insert(FINGERPRINT_HEADER, fingerprint);
         }
         if let Some(Ok(key)) = self.ask.key.map(|key| HeaderValue::try_from(key.to_string())) {
-            headers.insert(KEY, key);
+            headers.insert(KEY_HEADER, key);
         }
         if let Some(Ok(team)) = self.team.as_ref().map(|team| HeaderValue::from_str(&team.name)) {
-            headers.insert(TEAM, team);
+            headers.insert(TEAM_HEADER, team);
         }
         if let Some(id) = last_event {
             headers.insert("last-event-id", id.into());
@@ -218,16 +219,16 @@
     }
 }
 
-fn routing(snapshot: &Snapshot) -> Result<Arc<Routing>, Failure> {
-    let missing = || Failure::new(Kind::NotReady, "the box has no configuration yet");
-    snapshot.routing.clone().ok_or_else(missing)
+fn current_routing(snapshot: &Snapshot) -> Result<Arc<Routing>, Failure> {
+    let not_ready = || Failure::new(Kind::NotReady, "the box has no configuration yet");
+    snapshot.routing.clone().ok_or_else(not_ready)
 }
 
-fn find(routing: &Routing, headers: &HeaderMap, uri: &Uri) -> Result<Arc<Route>, Failure> {
+fn find_route(routing: &Routing, headers: &HeaderMap, uri: &Uri) -> Result<Arc<Route>, Failure> {
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = routing.find(host, uri.path());
-    let none = || Failure::new(Kind::NotFound, format!("no route for {host}{}", uri.path()));
-    route.cloned().ok_or_else(none)
+    let no_route = || Failure::new(Kind::NotFound, format!("no route for {host}{}", uri.path()));
+    route.cloned().ok_or_else(no_route)
 }
 
 /// What the request is known by. Another box has seen its caller, and says so.
@@ -238,9 +239,10 @@
     body: &Bytes,
 ) -> Fingerprint {
     let text = |name: &HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let told = text(&FINGERPRINT).and_then(|told| told.parse().ok());
-    if let (Origin::Peer, Some(told)) = (origin, told) {
-        return told;
+    let sender_fingerprint =
+        text(&FINGERPRINT_HEADER).and_then(|sender_fingerprint| sender_fingerprint.parse().ok());
+    if let (Origin::Peer, Some(sender_fingerprint)) = (origin, sender_fingerprint) {
+        return sender_fingerprint;
     }
     let host = text(&header::HOST).unwrap_or_default();
     let address = head.extensions.get::<http1::Origin>().map(|origin| origin.0);
@@ -250,41 +252,44 @@
     }
 }
 
-async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Failure> {
-    let read = Limited::new(body, most).collect();
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Failure> {
+    let read = Limited::new(body, max_bytes).collect();
     match timer::timeout_at(deadline, read).await {
         Err(_) => Err(Failure::new(Kind::BodyTimeout, "the body did not arrive in time")),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-            Err(Failure::new(Kind::BodyTooLarge, format!("the body has over {most} bytes")))
+            Err(Failure::new(Kind::BodyTooLarge, format!("the body has over {max_bytes} bytes")))
         }
         Ok(Err(error)) => Err(Failure::new(Kind::BadRequest, format!("the body: {error}"))),
     }
 }
 
 /// What a request says of its caller; only boxes can say more than a key.
-fn claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Claim {
+fn identity_claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Claim {
     if origin == Origin::Caller {
         return Claim { key: ask.key, checked: None };
     }
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
-    let key = text(&KEY).and_then(|key| key.parse::<KeyDigest>().ok());
-    let version = text(&VERSION).and_then(|version| version.parse().ok());
-    let team = text(&TEAM).map(str::to_owned);
+    let key = text(&KEY_HEADER).and_then(|key| key.parse::<KeyDigest>().ok());
+    let version = text(&VERSION_HEADER).and_then(|version| version.parse().ok());
+    let team = text(&TEAM_HEADER).map(str::to_owned);
     Claim { key, checked: version.map(|version| Checked { team, version }) }
 }
 
-fn identify<A: Adapter>(
+fn identify_team<A: Adapter>(
     shared: &Shared<A>,
     claim: &Claim,
     routing: &Routing,
     route: &Route,
 ) -> Result<Option<Arc<Team>>, Failure> {
-    let age = lock(&shared.freshness).age(clock::now());
-    let stale = age.is_none_or(|age| age > shared.settings.follow_within);
+    let state_age = lock(&shared.freshness).age(clock::now());
+    let stale = state_age.is_none_or(|state_age| state_age > shared.settings.propagation_limit);
     let team = identity::team(claim, routing, route, stale)?;
-    let too_old = shared.settings.keys_hold.filter(|holds| age.is_none_or(|age| age > *holds));
-    if team.is_some() && too_old.is_some() {
+    let expired_max_age = shared
+        .settings
+        .max_key_age
+        .filter(|holds| state_age.is_none_or(|state_age| state_age > *holds));
+    if team.is_some() && expired_max_age.is_some() {
         let message = "the keys in force cannot be made sure of: the store is away";
         return Err(Failure::new(Kind::Behind, message));
     }
@@ -292,8 +297,8 @@
 }
 
 /// The headers that are passed along, both ways.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -302,9 +307,10 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let stays =
-            caller::is_of_connection(name) || BETWEEN_BOXES.contains(name) || named.contains(name);
-        if !stays {
+        let is_dropped = caller::is_of_connection(name)
+            || INTERNAL_HEADERS.contains(name)
+            || connection_headers.contains(name);
+        if !is_dropped {
             kept.append(name.clone(), value.clone());
         }
     }
--- a/lib/src/gateway/keys.rs
+++ b/lib/src/gateway/keys.rs
@@ -14,12 +14,12 @@
 pub const RATES: &str = "copperweir/rates/";
 
 /// The key that says that there is a box.
-pub fn listed(record: &BoxRecord) -> String {
+pub fn roster_key(record: &BoxRecord) -> String {
     format!("{ROSTER}{}/{}", record.region, record.name)
 }
 
 /// The store's key and value of a box's record.
-pub fn record(record: &BoxRecord) -> (String, Bytes) {
+pub fn box_entry(record: &BoxRecord) -> (String, Bytes) {
     let value = serde_json::to_vec(record).unwrap_or_else(|error| {
         log::error!("event=unwritable box={} error=\"{error}\"", record.name);
         Vec::new()
--- a/lib/src/gateway/learning.rs
+++ b/lib/src/gateway/learning.rs
@@ -6,7 +6,7 @@
 use super::ended;
 use super::job::Job;
 use super::record;
-use super::shared::Held;
+use super::shared::Reservation;
 use super::shared::Service;
 use super::shared::Shared;
 use super::shared::lock;
@@ -25,43 +25,43 @@
 use crate::state::counters::Counter;
 
 /// An attempt has got so far, or has ended so.
-pub fn report<A: Adapter>(
+pub fn record_event<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    held: &mut Option<Held<A>>,
+    reservation: &mut Option<Reservation<A>>,
     report: &Report,
 ) {
-    let Some(held) = held else { return };
-    held.set_outcome(report.event.outcome());
+    let Some(reservation) = reservation else { return };
+    reservation.set_outcome(report.event.outcome());
     let sent = Sent {
-        place: &held.place,
+        place: &reservation.place,
         service: throttle::service_hash(&job.service),
         request: job.fingerprint,
     };
     let now = clock::now();
     let lesson = with_learner(shared, &job.service, |learner| learner.learn(sent, report, now));
-    follow(shared, &held.place, &lesson);
+    apply_lesson(shared, &reservation.place, &lesson);
 }
 
 /// An attempt has ended so.
-pub fn end<A: Adapter>(
+pub fn record_end<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    held: &mut Option<Held<A>>,
+    reservation: &mut Option<Reservation<A>>,
     event: Event,
 ) {
-    report(shared, job, held, &Report::end(event));
+    record_event(shared, job, reservation, &Report::end(event));
 }
 
 /// Lets all tables of a service learn from one thing.
 pub fn with_learner<A: Adapter, T>(
     shared: &Shared<A>,
     service: &str,
-    learn: impl FnOnce(&mut Learner<'_>) -> T,
+    teach: impl FnOnce(&mut Learner<'_>) -> T,
 ) -> T {
     let mut services = lock(&shared.services);
     let placement = services.get_mut(service).map(|Service { placement, .. }| placement);
-    learn(&mut Learner {
+    teach(&mut Learner {
         placement,
         throttles: &mut lock(&shared.throttles),
         departures: &mut lock(&shared.departures),
@@ -71,57 +71,57 @@
 }
 
 /// Does what follows from a report on a place.
-fn follow<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Lesson) {
-    announce(shared, &place.server, lesson);
+fn apply_lesson<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Lesson) {
+    publish_lesson(shared, &place.server, lesson);
     if lesson.look {
-        tokio::spawn(look(Arc::clone(shared), place.clone()));
+        tokio::spawn(check_exit(Arc::clone(shared), place.clone()));
     }
 }
 
 /// Looks whether the server of a place still accepts connections.
-async fn look<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
-    if !ended::has_ended(place.address).await {
+async fn check_exit<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
+    if !ended::has_exited(place.address).await {
         lock(&shared.broken).lives(place.life);
         return;
     }
     // No service of its own: an end bears on the requests that the server ran.
     let lesson = with_learner(&shared, "", |learner| learner.has_ended(place.life, clock::now()));
-    announce(&shared, &place.server, &lesson);
+    publish_lesson(&shared, &place.server, &lesson);
 }
 
 /// Writes the log, and tells other boxes what they must hear at once.
-pub fn announce<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Lesson) {
+pub fn publish_lesson<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Lesson) {
     for note in &lesson.notes {
         if let Note::Ended(_) = note {
             shared.counters.count(Counter::ServersEnded);
         }
-        record::learned(server, note);
+        record::server_learned(server, note);
     }
     match lesson.tell {
         Some(Reach::Everyone) => {
-            shared.alarm.notify_one();
-            shared.news.notify_one();
+            shared.global_update.notify_one();
+            shared.region_update.notify_one();
         }
-        Some(Reach::Region) => shared.news.notify_one(),
+        Some(Reach::Region) => shared.region_update.notify_one(),
         None => {}
     }
 }
 
 /// Other boxes told of servers that leave.
-pub fn hear_leaving<A: Adapter>(shared: &Shared<A>, words: &[Word], now: Instant) {
-    if words.is_empty() {
+pub fn receive_leaving<A: Adapter>(shared: &Shared<A>, leaving_servers: &[Word], now: Instant) {
+    if leaving_servers.is_empty() {
         return;
     }
     let mut services = lock(&shared.services);
     let mut departures = lock(&shared.departures);
-    let news = departures.hear(words, now);
-    if news.is_empty() {
+    let newly_leaving = departures.hear(leaving_servers, now);
+    if newly_leaving.is_empty() {
         return;
     }
     for service in services.values_mut() {
         service.placement.set_leaving(|life| departures.leaves(life));
     }
-    for life in news {
+    for life in newly_leaving {
         log::info!("event=server_leaves life={life:x} by=box");
     }
 }
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -26,12 +26,12 @@
 use crate::transport::timer;
 
 /// Life of the lease: a box that is gone is dropped by the others within it.
-const LIFE: Duration = Duration::from_secs(4);
+const LEASE_LIFE: Duration = Duration::from_secs(4);
 /// Time between renewals: two may be lost before the lease runs out.
-const RENEWAL: Duration = Duration::from_millis(1200);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1200);
 
 /// Longest wait before a lease is taken out again that may be lost: all boxes find out at once.
-const SPREAD: Duration = Duration::from_secs(1);
+const MAX_REGRANT_DELAY: Duration = Duration::from_secs(1);
 
 /// A lease, in the history of the store that its number belongs to.
 #[derive(Clone, Copy, Debug)]
@@ -40,37 +40,37 @@
     era: Era,
     granted_at: Instant,
     /// When it was last known to be in that history.
-    held_at: Instant,
+    confirmed_at: Instant,
 }
 
 impl Lease {
     /// Whether the store may have come back from a copy that lacks this lease; its number may be another
     /// box's by now, so renewing it proves nothing.
     fn may_be_lost(&self, era: Era) -> bool {
-        let age = self.held_at.saturating_duration_since(self.granted_at);
+        let age = self.confirmed_at.saturating_duration_since(self.granted_at);
         era != self.era && age < COPY_AGE
     }
 
     /// A call with it succeeded.
     fn confirm(&mut self, era: Era) {
         if era == self.era {
-            self.held_at = clock::now();
+            self.confirmed_at = clock::now();
         }
     }
 }
 
 /// Keeps the newest record in the store until its sender is gone, then takes it out.
-pub async fn keep<A: Adapter>(
+pub async fn maintain<A: Adapter>(
     store: store::Client<A>,
     mut record: watch::Receiver<BoxRecord>,
     events: mpsc::Sender<Event>,
 ) {
     let mut lease: Option<Lease> = None;
     let mut failed_since: Option<Instant> = None;
-    let mut pause = store::RETRY_PAUSE;
+    let mut retry_pause = store::RETRY_PAUSE;
     let mut written = false;
-    let mut listed = false;
-    let mut told = false;
+    let mut in_roster = false;
+    let mut announced = false;
     loop {
         let era = store.era();
         if lease.as_ref().is_some_and(|lease| lease.may_be_lost(era)) {
@@ -78,48 +78,50 @@
                 "event=lease_lost era={era} reason=\"the store came back from an older copy\""
             );
             lease = None;
-            listed = false;
-            told = false;
-            let part = rand::rng().random::<f64>();
-            timer::sleep(SPREAD.mul_f64(part)).await;
+            in_roster = false;
+            announced = false;
+            let fraction = rand::rng().random::<f64>();
+            timer::sleep(MAX_REGRANT_DELAY.mul_f64(fraction)).await;
         }
-        let done = match lease {
+        let result = match lease {
             None => grant(&store).await.map(|granted| {
                 lease = Some(granted);
                 written = false;
             }),
             Some(Lease { id, .. }) if !written || record.has_changed().unwrap_or(false) => {
                 let newest = record.borrow_and_update().clone();
-                write(&store, &newest, id, !listed).await.map(|()| {
+                write_record(&store, &newest, id, !in_roster).await.map(|()| {
                     written = true;
-                    listed = true;
+                    in_roster = true;
                 })
             }
             Some(Lease { id, .. }) => store.call(&Operation::Renew(id)).await.map(|_| ()),
         };
-        match done {
+        match result {
             Ok(()) => {
                 let era = store.era();
                 lease.iter_mut().for_each(|lease| lease.confirm(era));
-                pause = store::RETRY_PAUSE;
-                if written && !told {
-                    told = true;
+                retry_pause = store::RETRY_PAUSE;
+                if written && !announced {
+                    announced = true;
                     if events.send(Event::RecordWritten).await.is_err() {
                         return;
                     }
                 }
-                if failed_since.take().is_some() && events.send(Event::StoreBack).await.is_err() {
+                if failed_since.take().is_some()
+                    && events.send(Event::StoreRecovered).await.is_err()
+                {
                     return;
                 }
                 if !written || lease.as_ref().is_some_and(|lease| lease.may_be_lost(era)) {
                     continue;
                 }
                 tokio::select! {
-                    () = timer::sleep(RENEWAL) => {}
+                    () = timer::sleep(RENEWAL_INTERVAL) => {}
                     changed = record.changed() => {
                         written = false;
                         if changed.is_err() {
-                            end(&store, lease).await;
+                            end_lease(&store, lease).await;
                             return;
                         }
                     }
@@ -129,8 +131,8 @@
                 log::warn!("event=lease_over");
                 lease = None;
                 written = false;
-                listed = false;
-                told = false;
+                in_roster = false;
+                announced = false;
             }
             Err(error) => {
                 if failed_since.is_none() {
@@ -139,15 +141,15 @@
                 }
                 // Each call into the dark is paid for, by every box of the fleet.
                 let jitter = 0.75 + 0.5 * rand::rng().random::<f64>();
-                timer::sleep(pause.mul_f64(jitter)).await;
-                pause = (pause * 2).min(RENEWAL);
+                timer::sleep(retry_pause.mul_f64(jitter)).await;
+                retry_pause = (retry_pause * 2).min(RENEWAL_INTERVAL);
             }
         }
     }
 }
 
 /// Takes the record out of the store, so that others need not wait for the lease's end.
-async fn end<A: Adapter>(store: &store::Client<A>, lease: Option<Lease>) {
+async fn end_lease<A: Adapter>(store: &store::Client<A>, lease: Option<Lease>) {
     let Some(lease) = lease.filter(|lease| !lease.may_be_lost(store.era())) else { return };
     if let Err(error) = store.call(&Operation::End(lease.id)).await {
         log::info!("event=lease_not_ended error=\"{error}\"");
@@ -156,24 +158,24 @@
 
 async fn grant<A: Adapter>(store: &store::Client<A>) -> Result<Lease, PlatformError> {
     let now = clock::now();
-    let told = store.read(&Operation::Grant { life: LIFE }).await?;
-    let era = told.era.unwrap_or_else(|| store.era());
-    match told.answer {
-        Answer::Lease(id) => Ok(Lease { id, era, granted_at: now, held_at: now }),
+    let announced = store.read(&Operation::Grant { life: LEASE_LIFE }).await?;
+    let era = announced.era.unwrap_or_else(|| store.era());
+    match announced.answer {
+        Answer::Lease(id) => Ok(Lease { id, era, granted_at: now, confirmed_at: now }),
         _ => Err(PlatformError::Malformed("not a lease".to_owned())),
     }
 }
 
-async fn write<A: Adapter>(
+async fn write_record<A: Adapter>(
     store: &store::Client<A>,
     record: &BoxRecord,
     lease: LeaseId,
-    list: bool,
+    add_to_roster: bool,
 ) -> Result<(), PlatformError> {
-    let (key, value) = keys::record(record);
+    let (key, value) = keys::box_entry(record);
     let mut rows = vec![Row { key, value, lease }];
-    if list {
-        rows.push(Row { key: keys::listed(record), value: Bytes::new(), lease: NO_LEASE });
+    if add_to_roster {
+        rows.push(Row { key: keys::roster_key(record), value: Bytes::new(), lease: NO_LEASE });
     }
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -23,13 +23,13 @@
     shared: Arc<Shared<A>>,
     _request: Request<Incoming>,
 ) -> Response<Passed> {
-    let mut response = Response::new(Answer::whole(page(&shared)));
+    let mut response = Response::new(Answer::whole(render(&shared)));
     let text = HeaderValue::from_static("text/plain; charset=utf-8");
     response.headers_mut().insert(header::CONTENT_TYPE, text);
     response
 }
 
-fn page<A: Adapter>(shared: &Shared<A>) -> String {
+fn render<A: Adapter>(shared: &Shared<A>) -> String {
     let mut text = String::new();
     for counter in Counter::ALL {
         let value = shared.counters.get(*counter);
@@ -40,7 +40,7 @@
     let version = snapshot.routing.as_ref().map_or(0, |routing| routing.version);
     let _ = writeln!(text, "copperweir_in_flight {}", shared.in_flight.load(Ordering::Relaxed));
     let _ = writeln!(text, "copperweir_configuration_version {version}");
-    let _ = writeln!(text, "copperweir_boxes {}", snapshot.fleet);
+    let _ = writeln!(text, "copperweir_boxes {}", snapshot.fleet_size);
     let position = lock(&shared.freshness).version().position;
     let _ = writeln!(text, "copperweir_state_era {}", position.era);
     let _ = writeln!(text, "copperweir_state_revision {}", position.revision);
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -49,7 +49,7 @@
 
 use self::control::Control;
 use self::control::Event;
-use self::facts::Facts;
+use self::facts::ClusterState;
 use self::job::Origin;
 use self::settings::Listen;
 use self::settings::Settings;
@@ -80,26 +80,26 @@
 
 /// Longest wait for a connection to a backend server: they stand in the same region, and a
 /// connection takes them milliseconds. A lost opening packet is sent again after a second.
-const SERVER_CONNECT: Duration = Duration::from_millis(400);
+const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest wait for a connection to a box of another region, some 110 ms away and back.
-const PEER_CONNECT: Duration = Duration::from_millis(600);
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Events that wait for the control thread.
-const EVENTS: usize = 64;
+const EVENT_QUEUE_LEN: usize = 64;
 /// Part of the descriptors that callers' connections may take; the rest is for what they cause.
-const CALLERS_PART: f64 = 0.45;
+const CALLER_DESCRIPTOR_SHARE: f64 = 0.45;
 /// Part for connections of other boxes.
-const PEERS_PART: f64 = 0.2;
+const PEER_DESCRIPTOR_SHARE: f64 = 0.2;
 /// Part for callers that look for a box.
-const DIRECTORY_PART: f64 = 0.1;
+const DIRECTORY_DESCRIPTOR_SHARE: f64 = 0.1;
 /// Part for boxes that ask for the state from the store: all of a region keep a connection to the few
 /// that watch.
-const HANDOVER_PART: f64 = 0.1;
+const HANDOVER_DESCRIPTOR_SHARE: f64 = 0.1;
 /// Connections of the smaller ports.
-const SMALL_PORT: usize = 64;
+const SMALL_PORT_CONNECTIONS: usize = 64;
 
 /// A channel for what a gateway is told.
 pub fn events() -> (mpsc::Sender<Event>, mpsc::Receiver<Event>) {
-    mpsc::channel(EVENTS)
+    mpsc::channel(EVENT_QUEUE_LEN)
 }
 
 /// A running gateway.
@@ -117,11 +117,11 @@
         regions: HashMap<FailureDomainId, RegionId>,
         adapter: A,
     ) -> Result<Gateway, StartError> {
-        Gateway::start_with(settings, regions, adapter, events())
+        Gateway::start_with_events(settings, regions, adapter, events())
     }
 
     /// Starts a gateway that may have been told something already.
-    pub fn start_with<A: Adapter>(
+    pub fn start_with_events<A: Adapter>(
         settings: Settings,
         regions: HashMap<FailureDomainId, RegionId>,
         adapter: A,
@@ -131,20 +131,20 @@
         let settings = Settings { listen: ports.addresses()?, ..settings };
         let listen = settings.listen;
         let counters = Arc::new(Counters::default());
-        let own = own_record(&settings);
+        let own_record = build_own_record(&settings);
         let latencies = Arc::new(Latencies::default());
         let measures =
             store::Measures { counters: Arc::clone(&counters), latencies: Arc::clone(&latencies) };
         let eras = Eras::default();
         let store = store::Client::new(settings.store, adapter.clone(), measures, eras.clone());
         let shared = Arc::new(Shared {
-            incarnation: own.incarnation,
+            incarnation: own_record.incarnation,
             adapter,
             snapshot: ArcSwap::from_pointee(Snapshot {
                 routing: None,
                 boxes: Vec::new(),
-                lost: Vec::new(),
-                fleet: 1,
+                expired_boxes: Vec::new(),
+                fleet_size: 1,
                 slots: HashMap::new(),
                 servers: HashMap::new(),
                 stage: Stage::Serving,
@@ -160,39 +160,40 @@
             unlisted: Mutex::default(),
             freshness: Mutex::default(),
             broken: Mutex::default(),
-            store_back_at: Mutex::default(),
+            store_recovered_at: Mutex::default(),
             eras,
             quarantine: Mutex::default(),
-            news: Notify::new(),
-            alarm: Notify::new(),
+            region_update: Notify::new(),
+            global_update: Notify::new(),
             verdicts: Notify::new(),
-            behind: Notify::new(),
-            servers: backend::Client::new(SERVER_CONNECT),
-            peers: backend::Client::new(PEER_CONNECT),
+            peer_ahead: Notify::new(),
+            servers: backend::Client::new(SERVER_CONNECT_TIMEOUT),
+            peers: backend::Client::new(PEER_CONNECT_TIMEOUT),
             in_flight: AtomicUsize::new(0),
             counters,
             latencies,
             settings,
         });
-        let (stop, stopping) = watch::channel(Stop::No);
+        let (stop, stop_receiver) = watch::channel(Stop::No);
         log::info!(
             "event=started box={} incarnation={:x} region={} callers={}",
-            own.name,
-            own.incarnation,
-            own.region,
-            own.callers
+            own_record.name,
+            own_record.incarnation,
+            own_record.region,
+            own_record.callers
         );
-        let facts = Facts::new(regions);
-        let control = Control::new(Arc::clone(&shared), store, facts, own.clone(), stop);
+        let cluster_state = ClusterState::new(regions);
+        let control =
+            Control::new(Arc::clone(&shared), store, cluster_state, own_record.clone(), stop);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let sender = events.clone();
         let control = std::thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || runtime.block_on(control.run(sender, receiver)))?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let traffic = std::thread::Builder::new()
-            .name("traffic".to_owned())
-            .spawn(move || runtime.block_on(serve(shared, Arc::new(own), ports, stopping)))?;
+        let traffic = std::thread::Builder::new().name("traffic".to_owned()).spawn(move || {
+            runtime.block_on(serve_traffic(shared, Arc::new(own_record), ports, stop_receiver))
+        })?;
         Ok(Gateway { control, traffic, events, listen })
     }
 
@@ -267,7 +268,7 @@
     quota::Bound { slack: settings.quota_slack, dither: rand::random() }
 }
 
-fn own_record(settings: &Settings) -> BoxRecord {
+fn build_own_record(settings: &Settings) -> BoxRecord {
     BoxRecord {
         name: settings.name.clone(),
         incarnation: draw_incarnation(),
@@ -280,73 +281,97 @@
     }
 }
 
-fn listener(listener: TcpListener) -> Option<tokio::net::TcpListener> {
+fn tokio_listener(listener: TcpListener) -> Option<tokio::net::TcpListener> {
     tokio::net::TcpListener::from_std(listener)
         .inspect_err(|error| log::error!("event=listen_failed error=\"{error}\""))
         .ok()
 }
 
 /// Carries traffic until the stop has ended.
-async fn serve<A: Adapter>(
+async fn serve_traffic<A: Adapter>(
     shared: Arc<Shared<A>>,
-    own: Arc<BoxRecord>,
+    own_record: Arc<BoxRecord>,
     ports: Ports,
     stop: watch::Receiver<Stop>,
 ) {
     let Ports { callers, ready, directory, peers, handover, metrics, reports } = ports;
     match tokio::net::UdpSocket::from_std(reports) {
         Ok(socket) => {
-            tokio::spawn(reports::exchange(Arc::clone(&shared), socket, stop.clone()));
+            tokio::spawn(reports::exchange_reports(Arc::clone(&shared), socket, stop.clone()));
         }
         Err(error) => log::error!("event=reports_off error=\"{error}\""),
     }
     tokio::spawn(timer::watch_suspensions());
-    tokio::spawn(probe::ask_servers(Arc::clone(&shared), stop.clone()));
+    tokio::spawn(probe::probe_servers(Arc::clone(&shared), stop.clone()));
     let (Some(callers), Some(ready), Some(directory), Some(peers), Some(handover), Some(metrics)) = (
-        listener(callers),
-        listener(ready),
-        listener(directory),
-        listener(peers),
-        listener(handover),
-        listener(metrics),
+        tokio_listener(callers),
+        tokio_listener(ready),
+        tokio_listener(directory),
+        tokio_listener(peers),
+        tokio_listener(handover),
+        tokio_listener(metrics),
     ) else {
         return;
     };
-    let places = |part: f64| (shared.settings.descriptors as f64 * part) as usize;
+    let max_connections = |share: f64| (shared.settings.socket_descriptors as f64 * share) as usize;
     let state = Arc::clone(&shared);
-    let bounds = move || bounds(&state);
+    let bounds = move || caller_bounds(&state);
     let state = Arc::clone(&shared);
-    let for_callers = move |request| ingress::handle(Arc::clone(&state), Origin::Caller, request);
+    let handle_caller = move |request| ingress::handle(Arc::clone(&state), Origin::Caller, request);
     let state = Arc::clone(&shared);
-    let for_peers = move |request| ingress::handle(Arc::clone(&state), Origin::Peer, request);
+    let handle_peer = move |request| ingress::handle(Arc::clone(&state), Origin::Peer, request);
     let state = Arc::clone(&shared);
-    let for_ready = move |request| directory::ready(Arc::clone(&state), request);
+    let handle_ready = move |request| directory::handle_readiness(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
-    let for_directory =
-        move |request| directory::handle(Arc::clone(&state), Arc::clone(&own), request);
+    let handle_directory =
+        move |request| directory::handle(Arc::clone(&state), Arc::clone(&own_record), request);
     let state = Arc::clone(&shared);
-    let for_metrics = move |request| metrics::handle(Arc::clone(&state), request);
+    let handle_metrics = move |request| metrics::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
-    let for_handover = move |request| handover::handle(Arc::clone(&state), request);
-    let small = || Bounds { header_bytes: 8 << 10, idle: Duration::from_secs(60) };
+    let handle_handover = move |request| handover::handle(Arc::clone(&state), request);
+    let small_port_bounds = || Bounds { header_bytes: 8 << 10, idle: Duration::from_secs(60) };
     tokio::join!(
-        http1::serve(callers, places(CALLERS_PART), bounds.clone(), for_callers, stop.clone()),
-        http1::serve(peers, places(PEERS_PART), small, for_peers, stop.clone()),
-        http1::serve(ready, SMALL_PORT, small, for_ready, stop.clone()),
-        http1::serve(directory, places(DIRECTORY_PART), small, for_directory, stop.clone()),
-        http1::serve(handover, places(HANDOVER_PART), small, for_handover, stop.clone()),
-        http1::serve(metrics, SMALL_PORT, small, for_metrics, stop),
+        http1::serve(
+            callers,
+            max_connections(CALLER_DESCRIPTOR_SHARE),
+            bounds.clone(),
+            handle_caller,
+            stop.clone()
+        ),
+        http1::serve(
+            peers,
+            max_connections(PEER_DESCRIPTOR_SHARE),
+            small_port_bounds,
+            handle_peer,
+            stop.clone()
+        ),
+        http1::serve(ready, SMALL_PORT_CONNECTIONS, small_port_bounds, handle_ready, stop.clone()),
+        http1::serve(
+            directory,
+            max_connections(DIRECTORY_DESCRIPTOR_SHARE),
+            small_port_bounds,
+            handle_directory,
+            stop.clone()
+        ),
+        http1::serve(
+            handover,
+            max_connections(HANDOVER_DESCRIPTOR_SHARE),
+            small_port_bounds,
+            handle_handover,
+            stop.clone()
+        ),
+        http1::serve(metrics, SMALL_PORT_CONNECTIONS, small_port_bounds, handle_metrics, stop),
     );
 }
 
 /// The bounds on callers' connections as the configuration has them now.
-fn bounds<A: Adapter>(shared: &Shared<A>) -> Bounds {
+fn caller_bounds<A: Adapter>(shared: &Shared<A>) -> Bounds {
     let limits = shared.snapshot.load().routing.as_ref().map(|routing| routing.limits);
     let limits = limits.unwrap_or_default();
     Bounds { header_bytes: limits.header_bytes, idle: limits.idle }
 }
 
 /// Address of a port on the same machine as another address.
-pub fn beside(address: SocketAddr, port: u16) -> SocketAddr {
+pub fn with_port(address: SocketAddr, port: u16) -> SocketAddr {
     SocketAddr::new(address.ip(), port)
 }
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -38,11 +38,11 @@
 use crate::transport::timer;
 
 /// Longest wait for an answer; a server without a free slot answers late.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A server to ask.
 #[derive(Clone, Debug)]
-struct Duty {
+struct ProbeTarget {
     service: ServiceId,
     server: ServerId,
     hash: u64,
@@ -50,102 +50,105 @@
     address: SocketAddr,
     path: String,
     /// Time between questions.
-    pause: Duration,
+    interval: Duration,
 }
 
 /// A question to a server.
-struct Question {
+struct ActiveProbe {
     task: JoinHandle<()>,
     /// When the next one is due.
-    next_at: Instant,
+    next_due_at: Instant,
 }
 
 /// Asks until told to stop.
-pub async fn ask_servers<A: Adapter>(shared: Arc<Shared<A>>, mut stop: watch::Receiver<Stop>) {
-    let mut asked: HashMap<ServerId, Question> = HashMap::new();
-    let mut asking = false;
+pub async fn probe_servers<A: Adapter>(shared: Arc<Shared<A>>, mut stop: watch::Receiver<Stop>) {
+    let mut active: HashMap<ServerId, ActiveProbe> = HashMap::new();
+    let mut probing = false;
     loop {
-        let tick = if asking { warmup::SHORTEST_PAUSE } else { warmup::LONGEST_PAUSE };
+        let tick = if probing { warmup::SHORTEST_PAUSE } else { warmup::LONGEST_PAUSE };
         tokio::select! {
             () = timer::sleep(tick) => {}
             _ = stop.wait_for(|stop| *stop != Stop::No) => return,
         }
         let now = clock::now();
         let aging = lock(&shared.freshness).is_aging(now);
-        if aging != asking {
-            asking = aging;
-            log::info!("event=asking_servers asking={asking} state_ms={}", shared.state_age_ms());
+        if aging != probing {
+            probing = aging;
+            log::info!("event=asking_servers asking={probing} state_ms={}", shared.state_age_ms());
         }
-        asked.retain(|_, question| !question.task.is_finished() || now < question.next_at);
-        if !asking {
+        active.retain(|_, probe| !probe.task.is_finished() || now < probe.next_due_at);
+        if !probing {
             continue;
         }
-        for duty in duties(&shared, now) {
-            if asked.contains_key(&duty.server) {
+        for target in probe_targets(&shared, now) {
+            if active.contains_key(&target.server) {
                 continue;
             }
             // The boxes that ask a server would do so at the same moment otherwise.
-            let next_at = now + duty.pause.mul_f64(0.5 + rand::rng().random::<f64>());
-            let server = duty.server.clone();
-            let task = tokio::spawn(ask(Arc::clone(&shared), duty));
-            asked.insert(server, Question { task, next_at });
+            let next_due_at = now + target.interval.mul_f64(0.5 + rand::rng().random::<f64>());
+            let server = target.server.clone();
+            let task = tokio::spawn(probe_server(Arc::clone(&shared), target));
+            active.insert(server, ActiveProbe { task, next_due_at });
         }
     }
 }
 
 /// The servers that this box asks.
-fn duties<A: Adapter>(shared: &Shared<A>, now: Instant) -> Vec<Duty> {
-    let mut duties = Vec::new();
+fn probe_targets<A: Adapter>(shared: &Shared<A>, now: Instant) -> Vec<ProbeTarget> {
+    let mut probe_targets = Vec::new();
     for (service, state) in lock(&shared.services).iter_mut() {
         let Some(path) = state.placement.health_path().map(str::to_owned) else { continue };
-        duties.extend(state.placement.turning_cold(now).map(|turning| Duty {
+        probe_targets.extend(state.placement.turning_cold(now).map(|turning| ProbeTarget {
             service: service.clone(),
             server: turning.server.clone(),
             hash: turning.hash,
             life: turning.life,
             address: turning.address,
             path: path.clone(),
-            pause: turning.pause,
+            interval: turning.pause,
         }));
     }
-    let own = presence::box_hash(&shared.settings.name);
+    let own_hash = presence::box_hash(&shared.settings.name);
     let freshness = lock(&shared.freshness);
-    duties.retain(|duty| freshness.asks(own, duty.hash, now));
-    duties
+    probe_targets.retain(|target| freshness.asks(own_hash, target.hash, now));
+    probe_targets
 }
 
 /// Asks one server, and tells the other boxes at once if it has turned cold.
-async fn ask<A: Adapter>(shared: Arc<Shared<A>>, duty: Duty) {
+async fn probe_server<A: Adapter>(shared: Arc<Shared<A>>, target: ProbeTarget) {
     shared.counters.count(Counter::Probes);
-    let Some(answer) = fetch(&shared, &duty).await else { return };
-    let verdict = shared.adapter.verdict(answer.status(), answer.headers());
+    let Some(response) = fetch(&shared, &target).await else { return };
+    let verdict = shared.adapter.verdict(response.status(), response.headers());
     let now = clock::now();
-    let Duty { service, server, .. } = &duty;
+    let ProbeTarget { service, server, .. } = &target;
     if verdict.instance.as_deref().is_some_and(|instance| instance != server) {
         log::info!("event=server_replaced server={server} instance={:?}", verdict.instance);
         shared.with_service(service, |state| state.placement.replaced(server));
         return;
     }
-    let speaker = Speaker { server, life: duty.life, service: throttle::service_hash(service) };
-    let refused = answer.status() != StatusCode::OK;
+    let speaker = Speaker { server, life: target.life, service: throttle::service_hash(service) };
+    let is_refusal = response.status() != StatusCode::OK;
     let lesson = learning::with_learner(&shared, service, |learner| {
-        learner.asked(speaker, &verdict.words, refused, now)
+        learner.asked(speaker, &verdict.words, is_refusal, now)
     });
-    learning::announce(&shared, server, &lesson);
+    learning::publish_lesson(&shared, server, &lesson);
 }
 
-async fn fetch<A: Adapter>(shared: &Shared<A>, duty: &Duty) -> Option<http::Response<Bytes>> {
-    let request = Request::get(&duty.path).header(header::HOST, duty.address.to_string());
+async fn fetch<A: Adapter>(
+    shared: &Shared<A>,
+    target: &ProbeTarget,
+) -> Option<http::Response<Bytes>> {
+    let request = Request::get(&target.path).header(header::HOST, target.address.to_string());
     let request = request
         .body(Full::default())
         .inspect_err(|error| log::error!("event=bad_health_path error=\"{error}\""))
         .ok()?;
-    let answer = shared.servers.fetch(duty.address, request);
-    let error = match timer::timeout(TIMEOUT, answer).await {
-        Ok(Ok(answer)) => return Some(answer),
+    let response = shared.servers.fetch(target.address, request);
+    let error = match timer::timeout(PROBE_TIMEOUT, response).await {
+        Ok(Ok(response)) => return Some(response),
         Ok(Err(error)) => error.to_string(),
         Err(_) => "no answer in time".to_owned(),
     };
-    log::debug!("event=server_does_not_say server={} error=\"{error}\"", duty.server);
+    log::debug!("event=server_does_not_say server={} error=\"{error}\"", target.server);
     None
 }
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -34,19 +34,19 @@
 use crate::transport::timer;
 
 /// Stands for all callers in a key of the store.
-const ANYONE: &str = "anyone";
+const ANY_CALLER: &str = "anyone";
 /// Boxes that write a verdict again which the store has lost.
-const WRITERS: usize = 3;
+const MAX_REWRITERS: usize = 3;
 /// Time after which the next of them does so: a write, and until it is heard of.
-const WRITE_GAP: Duration = Duration::from_secs(1);
+const REWRITE_GAP: Duration = Duration::from_secs(1);
 /// Most verdicts in one call.
-const BATCH: usize = 16;
+const MAX_BATCH: usize = 16;
 /// Longest pause between tries to write while the store is away.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 /// A verdict in the store; its lease ends it.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct Record {
+struct StoredVerdict {
     content: u64,
     /// `None`: whoever sends it.
     caller: Option<u64>,
@@ -58,12 +58,12 @@
     if quarantine.is_empty() {
         return Ok(());
     }
-    let Some(left) = quarantine.refuses(job.fingerprint, clock::now()) else { return Ok(()) };
+    let Some(remaining) = quarantine.refuses(job.fingerprint, clock::now()) else { return Ok(()) };
     drop(quarantine);
     shared.counters.count(Counter::Quarantined);
     shared.verdicts.notify_one();
     let message = format!("servers ended under request {} before", job.fingerprint);
-    Err(Failure::new(Kind::Quarantined, message).with_retry_after(left))
+    Err(Failure::new(Kind::Quarantined, message).with_retry_after(remaining))
 }
 
 /// What is known of a request that goes to a server, and of these.
@@ -97,32 +97,35 @@
         log::warn!("event=quarantined content={content:016x} caller={caller:x?}");
     }
     if !judged.is_empty() {
-        shared.alarm.notify_one();
+        shared.global_update.notify_one();
         shared.verdicts.notify_one();
     }
 }
 
 /// Takes in a key of the store.
-pub fn stored<A: Adapter>(shared: &Shared<A>, value: &[u8]) -> Result<(), serde_json::Error> {
-    let Record { content, caller } = serde_json::from_slice(value)?;
+pub fn apply_stored_verdict<A: Adapter>(
+    shared: &Shared<A>,
+    value: &[u8],
+) -> Result<(), serde_json::Error> {
+    let StoredVerdict { content, caller } = serde_json::from_slice(value)?;
     lock(&shared.quarantine).stored(Target { content, caller }, clock::now());
     Ok(())
 }
 
 /// A verdict is missing in a store that came back from an older copy: a few boxes write it again, one after
 /// the other until it is there.
-pub fn lost<A: Adapter>(shared: &Arc<Shared<A>>, key: &str) {
+pub fn rewrite_lost_verdict<A: Adapter>(shared: &Arc<Shared<A>>, key: &str) {
     let Some(target) = target(key) else { return };
-    let own = rendezvous::mix(presence::box_hash(&shared.settings.name), target.content);
+    let own_hash = rendezvous::mix(presence::box_hash(&shared.settings.name), target.content);
     let snapshot = shared.snapshot.load();
     let others = snapshot.boxes.iter().map(|other| presence::box_hash(&other.name));
-    let rank = others.filter(|other| rendezvous::mix(*other, target.content) > own).count();
-    if rank >= WRITERS {
+    let rank = others.filter(|other| rendezvous::mix(*other, target.content) > own_hash).count();
+    if rank >= MAX_REWRITERS {
         return;
     }
     let (shared, key) = (Arc::clone(shared), key.to_owned());
     tokio::spawn(async move {
-        timer::sleep(WRITE_GAP * rank as u32).await;
+        timer::sleep(REWRITE_GAP * rank as u32).await;
         if lock(&shared.replica).get(&key).is_none() {
             lock(&shared.quarantine).lost(target, clock::now());
             shared.verdicts.notify_one();
@@ -135,23 +138,23 @@
     let (content, who) = key.strip_prefix(QUARANTINE)?.split_once('/')?;
     let content = u64::from_str_radix(content, 16).ok()?;
     let caller = match who {
-        ANYONE => None,
+        ANY_CALLER => None,
         who => Some(u64::from_str_radix(who, 16).ok()?),
     };
     Some(Target { content, caller })
 }
 
 /// Writes verdicts to the store, for as long as it takes.
-pub async fn keep<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
+pub async fn write_verdicts<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
     loop {
         shared.verdicts.notified().await;
         let mut pause = store::RETRY_PAUSE;
         loop {
-            let targets = lock(&shared.quarantine).unwritten(BATCH);
+            let targets = lock(&shared.quarantine).unwritten(MAX_BATCH);
             if targets.is_empty() {
                 break;
             }
-            match write(&store, &targets).await {
+            match write_batch(&store, &targets).await {
                 Ok(()) => {
                     let now = clock::now();
                     let mut quarantine = lock(&shared.quarantine);
@@ -164,14 +167,14 @@
                     );
                     let jitter = 0.75 + 0.5 * rand::rng().random::<f64>();
                     timer::sleep(pause.mul_f64(jitter)).await;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
                 }
             }
         }
     }
 }
 
-async fn write<A: Adapter>(
+async fn write_batch<A: Adapter>(
     store: &store::Client<A>,
     targets: &[Target],
 ) -> Result<(), PlatformError> {
@@ -179,14 +182,14 @@
     let Answer::Lease(lease) = store.call(&grant).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
-    let rows = targets.iter().map(|target| row(*target, lease)).collect();
+    let rows = targets.iter().map(|target| to_row(*target, lease)).collect();
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
 
-fn row(target: Target, lease: u64) -> Row {
+fn to_row(target: Target, lease: u64) -> Row {
     let Target { content, caller } = target;
-    let who = caller.map_or_else(|| ANYONE.to_owned(), |caller| format!("{caller:016x}"));
+    let who = caller.map_or_else(|| ANY_CALLER.to_owned(), |caller| format!("{caller:016x}"));
     // Two numbers cannot fail to be written.
-    let value = serde_json::to_vec(&Record { content, caller }).unwrap_or_default();
+    let value = serde_json::to_vec(&StoredVerdict { content, caller }).unwrap_or_default();
     Row { key: format!("{QUARANTINE}{content:016x}/{who}"), value: Bytes::from(value), lease }
 }
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/record.rs
@@ -5,10 +5,10 @@
 
 use http::StatusCode;
 
-use super::course::Course;
-use super::elsewhere::Reason;
+use super::course::RequestHistory;
+use super::elsewhere::ForwardReason;
 use super::job::Job;
-use super::pace::Pace;
+use super::pace::StreamTiming;
 use crate::coordination::broken::Run;
 use crate::coordination::freshness::Standing;
 use crate::coordination::learning::Note;
@@ -23,7 +23,7 @@
 /// Lines of this target are about single requests; their number is bounded.
 pub const TARGET: &str = "request";
 
-fn age(job: &Job) -> u128 {
+fn age_ms(job: &Job) -> u128 {
     clock::now().saturating_duration_since(job.arrived).as_millis()
 }
 
@@ -32,24 +32,24 @@
 }
 
 /// What stands for the shared text of the prompt; 0 where there is none.
-fn text(job: &Job) -> u64 {
+fn text_id(job: &Job) -> u64 {
     Text::of(&job.ask.parts).map_or(0, |text| text.id())
 }
 
 /// A request under which servers have ended goes to one.
-pub fn on_trial(job: &Job, server: &str, suspicion: Suspicion, beside: bool) {
+pub fn on_trial(job: &Job, server: &str, suspicion: Suspicion, shares_server: bool) {
     let Suspicion { ends, of_caller, callers, width } = suspicion;
     log::info!(
         target: TARGET,
         "event=on_trial request={} content={} server={server} ends={ends} of_caller={of_caller} callers={callers} \
-         width={width} beside={beside}",
+         width={width} beside={shares_server}",
         job.ask.id,
         job.fingerprint,
     );
 }
 
 /// A backend server was chosen.
-pub fn placed(job: &Job, course: &Course, place: &Place, state: Standing) {
+pub fn placed(job: &Job, history: &RequestHistory, place: &Place, state: Standing) {
     log::info!(
         target: TARGET,
         "event=placed request={} route={} team={} service={} server={} send={} in_flight={} others={} unread={:.0} \
@@ -59,54 +59,54 @@
         team(job),
         job.service,
         place.server,
-        course.arrivals() + 1,
+        history.arrivals() + 1,
         place.in_flight,
         place.others,
         place.unread,
         place.candidates,
         place.at_home,
         place.cold,
-        text(job),
+        text_id(job),
         job.fingerprint,
         job.version,
-        job.snapshot.fleet,
-        job.left(clock::now()).as_millis(),
+        job.snapshot.fleet_size,
+        job.time_left(clock::now()).as_millis(),
     );
 }
 
 /// The request goes to a box of another region.
-pub fn passed_on(job: &Job, course: &Course, address: SocketAddr, reason: Reason) {
+pub fn passed_on(job: &Job, history: &RequestHistory, address: SocketAddr, reason: ForwardReason) {
     log::info!(
         target: TARGET,
         "event=passed_on request={} route={} service={} box={address} reason={reason} send={} text={:x} content={} version={} left_ms={}",
         job.ask.id,
         job.route.name,
         job.service,
-        course.arrivals() + 1,
-        text(job),
+        history.arrivals() + 1,
+        text_id(job),
         job.fingerprint,
         job.version,
-        job.left(clock::now()).as_millis(),
+        job.time_left(clock::now()).as_millis(),
     );
 }
 
 /// A send gave no answer.
-pub fn attempt_failed(job: &Job, course: &Course, failure: &Failure) {
+pub fn attempt_failed(job: &Job, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
         "event=attempt_failed request={} route={} server={} sends={} maybe_ran={} content={} age_ms={} cause=\"{failure}\"",
         job.ask.id,
         job.route.name,
-        course.tried.last().map_or("-", String::as_str),
-        course.arrivals(),
-        course.maybe_ran,
+        history.tried.last().map_or("-", String::as_str),
+        history.arrivals(),
+        history.maybe_ran,
         job.fingerprint,
-        age(job),
+        age_ms(job),
     );
 }
 
 /// The request ended with a failure of the gateway.
-pub fn failed(id: &str, job: Option<&Job>, course: &Course, failure: &Failure) {
+pub fn failed(id: &str, job: Option<&Job>, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
         "event=failed request={id} route={} team={} status={} ran={} sends={} unsent={} version={} age_ms={} cause=\"{failure}\"",
@@ -114,43 +114,43 @@
         job.map_or("-", team),
         failure.status().as_u16(),
         failure.ran().as_str(),
-        course.arrivals(),
-        course.unsent,
+        history.arrivals(),
+        history.unsent,
         job.map_or(0, |job| job.version),
-        job.map_or(0, age),
+        job.map_or(0, age_ms),
     );
 }
 
 /// The request ended with a server's answer.
-pub fn answered(job: &Job, course: &Course, status: u16) {
+pub fn answered(job: &Job, history: &RequestHistory, status: u16) {
     log::info!(
         target: TARGET,
         "event=answered request={} route={} server={} status={status} sends={} age_ms={}",
         job.ask.id,
         job.route.name,
-        course.tried.last().map_or("-", String::as_str),
-        course.arrivals(),
-        age(job),
+        history.tried.last().map_or("-", String::as_str),
+        history.arrivals(),
+        age_ms(job),
     );
 }
 
 /// A stream broke and is to go on elsewhere.
 pub fn stream_broken(
     job: &Job,
-    course: &Course,
+    history: &RequestHistory,
     server: Option<&str>,
-    last_id: Option<u64>,
+    last_event_id: Option<u64>,
     cut: &Cut,
 ) {
     log::info!(
         target: TARGET,
-        "event=stream_broken request={} route={} server={} sends={} last_event={last_id:?} content={} age_ms={} cause=\"{cut}\"",
+        "event=stream_broken request={} route={} server={} sends={} last_event={last_event_id:?} content={} age_ms={} cause=\"{cut}\"",
         job.ask.id,
         job.route.name,
         server.unwrap_or("-"),
-        course.arrivals(),
+        history.arrivals(),
         job.fingerprint,
-        age(job),
+        age_ms(job),
     );
 }
 
@@ -166,15 +166,15 @@
         words.rate.map_or("-".to_owned(), |rate| rate.to_string()),
         words.cold_left.map_or("-".to_owned(), |left| left.as_millis().to_string()),
         status.as_u16(),
-        age(job),
+        age_ms(job),
     );
 }
 
 /// Most requests that a line names.
-const NAMED: usize = 16;
+const MAX_LOGGED_REQUESTS: usize = 16;
 
 /// Something was learned of a server, or of a request that it ran.
-pub fn learned(server: &str, note: &Note) {
+pub fn server_learned(server: &str, note: &Note) {
     match note {
         Note::Leaves => log::info!("event=server_leaves server={server} by=answer"),
         Note::Rests(rest) => {
@@ -195,33 +195,34 @@
 
 /// A server that broke answers off no longer accepts connections: it has ended, under whatever ran there.
 fn server_ended(server: &str, runs: &[Run]) {
-    let named: Vec<String> = runs.iter().take(NAMED).map(|run| run.request.to_string()).collect();
+    let request_names: Vec<String> =
+        runs.iter().take(MAX_LOGGED_REQUESTS).map(|run| run.request.to_string()).collect();
     log::info!(
         "event=server_ended server={server} lost={} running={}",
         runs.len(),
-        named.join(",")
+        request_names.join(",")
     );
 }
 
 /// A stream ended, well or not.
 pub fn stream_ended(
     job: &Job,
-    course: &Course,
+    history: &RequestHistory,
     server: Option<&str>,
-    pace: &Pace,
-    ended: &Result<(), Cut>,
+    stream_timing: &StreamTiming,
+    result: &Result<(), Cut>,
 ) {
-    let cause = ended.as_ref().err().map_or(String::new(), |cut| format!(" cause=\"{cut}\""));
+    let cause = result.as_ref().err().map_or(String::new(), |cut| format!(" cause=\"{cut}\""));
     log::info!(
         target: TARGET,
         "event=stream_ended request={} route={} server={} whole={} sends={} first_ms={} pause_ms={} age_ms={}{cause}",
         job.ask.id,
         job.route.name,
         server.unwrap_or("-"),
-        ended.is_ok(),
-        course.arrivals(),
-        pace.first.as_millis(),
-        pace.longest_pause.as_millis(),
-        age(job),
+        result.is_ok(),
+        history.arrivals(),
+        stream_timing.first_event.as_millis(),
+        stream_timing.longest_pause.as_millis(),
+        age_ms(job),
     );
 }
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -5,13 +5,13 @@
 use tokio::sync::mpsc;
 
 use super::attempt::Payload;
-use super::course::Course;
+use super::course::RequestHistory;
 use super::job::Job;
 use super::learning;
-use super::pace::Pace;
+use super::pace::StreamTiming;
 use super::record;
 use super::run;
-use super::shared::Progress;
+use super::shared::InFlightGuard;
 use super::shared::Shared;
 use super::stream::Stream;
 use crate::coordination::attempt::Event;
@@ -24,7 +24,7 @@
 use crate::transport::timer;
 
 /// Events that wait for a caller who reads slowly.
-const WAITING_EVENTS: usize = 8;
+const EVENT_QUEUE_LEN: usize = 8;
 
 /// Passes a stream on; where the route allows it, it goes on elsewhere when it breaks.
 pub struct Relay<A: Adapter> {
@@ -35,30 +35,30 @@
     /// The events.
     pub stream: Stream<A>,
     /// Sends so far.
-    pub course: Course,
+    pub history: RequestHistory,
     /// Counts the request as in progress.
-    pub progress: Progress<A>,
+    pub in_flight_guard: InFlightGuard<A>,
     /// How the events came.
-    pub pace: Pace,
+    pub stream_timing: StreamTiming,
 }
 
 impl<A: Adapter> Relay<A> {
     /// Starts the task; gives what the caller's answer reads from.
     pub fn start(self) -> mpsc::Receiver<Option<Part>> {
-        let (sender, receiver) = mpsc::channel(WAITING_EVENTS);
+        let (sender, receiver) = mpsc::channel(EVENT_QUEUE_LEN);
         tokio::spawn(self.run(sender));
         receiver
     }
 
-    async fn run(mut self, caller: mpsc::Sender<Option<Part>>) {
+    async fn run(mut self, caller_sender: mpsc::Sender<Option<Part>>) {
         let deadline = self.job.deadline;
-        let ended = tokio::select! {
-            ended = self.pass_on(&caller) => ended,
-            () = caller.closed() => Err(Cut::GivenUp),
+        let result = tokio::select! {
+            result = self.forward_events(&caller_sender) => result,
+            () = caller_sender.closed() => Err(Cut::GivenUp),
             () = timer::sleep_until(deadline) => Err(Cut::Silent),
         };
         let counters = &self.shared.counters;
-        match &ended {
+        match &result {
             Ok(()) => {
                 counters.count(Counter::Answered);
                 self.shared.latencies.record(Timing::Stream, clock::since(self.job.arrived));
@@ -66,45 +66,64 @@
             Err(Cut::GivenUp) => counters.count(Counter::CallerGone),
             Err(_) => counters.count(Counter::Cut),
         }
-        record::stream_ended(&self.job, &self.course, self.stream.server(), &self.pace, &ended);
+        record::stream_ended(
+            &self.job,
+            &self.history,
+            self.stream.server(),
+            &self.stream_timing,
+            &result,
+        );
         // The caller may be gone already.
-        let _ = match ended {
-            Ok(()) => caller.send(None).await,
-            Err(cut) => caller.send(Some(Err(cut))).await,
+        let _ = match result {
+            Ok(()) => caller_sender.send(None).await,
+            Err(cut) => caller_sender.send(Some(Err(cut))).await,
         };
-        drop(self.progress);
+        drop(self.in_flight_guard);
     }
 
-    async fn pass_on(&mut self, caller: &mpsc::Sender<Option<Part>>) -> Result<(), Cut> {
-        let mut last_id = self.job.ask.last_event;
+    async fn forward_events(
+        &mut self,
+        caller_sender: &mpsc::Sender<Option<Part>>,
+    ) -> Result<(), Cut> {
+        let mut last_event_id = self.job.ask.last_event;
         loop {
             match self.stream.next().await {
                 Ok(Some(events)) => {
-                    last_id = self.stream.last_id().or(last_id);
-                    self.pace.event(clock::now());
-                    if caller.send(Some(Ok(events))).await.is_err() {
+                    last_event_id = self.stream.last_id().or(last_event_id);
+                    self.stream_timing.record_event(clock::now());
+                    if caller_sender.send(Some(Ok(events))).await.is_err() {
                         return Err(Cut::GivenUp);
                     }
                 }
                 Ok(None) => {
-                    learning::end(&self.shared, &self.job, self.stream.held(), Event::Answered);
+                    learning::record_end(
+                        &self.shared,
+                        &self.job,
+                        self.stream.reservation(),
+                        Event::Answered,
+                    );
                     return Ok(());
                 }
                 Err(cut) => {
-                    learning::end(&self.shared, &self.job, self.stream.held(), Event::BrokenOff);
-                    self.stream = self.resume(last_id, cut).await?;
+                    learning::record_end(
+                        &self.shared,
+                        &self.job,
+                        self.stream.reservation(),
+                        Event::BrokenOff,
+                    );
+                    self.stream = self.resume(last_event_id, cut).await?;
                 }
             }
         }
     }
 
     /// The rest of the stream from another server.
-    async fn resume(&mut self, last_id: Option<u64>, cut: Cut) -> Result<Stream<A>, Cut> {
+    async fn resume(&mut self, last_event_id: Option<u64>, cut: Cut) -> Result<Stream<A>, Cut> {
         if !self.job.route.resumable {
             return Err(cut);
         }
-        record::stream_broken(&self.job, &self.course, self.stream.server(), last_id, &cut);
-        match run::again(&self.shared, &self.job, &mut self.course, last_id).await {
+        record::stream_broken(&self.job, &self.history, self.stream.server(), last_event_id, &cut);
+        match run::resume_stream(&self.shared, &self.job, &mut self.history, last_event_id).await {
             Some(reply) => match reply.payload {
                 Payload::Stream(stream) if reply.status.is_success() => Ok(*stream),
                 _ => Err(cut),
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -16,7 +16,7 @@
 use crate::protocol::platform::Revision;
 
 /// Removals that are remembered: some minutes of a large fleet's.
-const REMOVALS: usize = 1024;
+const MAX_REMOVALS: usize = 1024;
 
 /// Keys, values and revisions of the store as a box last saw them.
 #[derive(Clone, Debug, Default)]
@@ -50,7 +50,7 @@
     /// Takes in a key that was written.
     pub fn insert(&mut self, item: &Item) {
         self.drop_entry(&item.key);
-        self.removals.written(key_hash(&item.key));
+        self.removals.note_written(key_hash(&item.key));
         let digest = digest(item);
         self.version.digest ^= digest;
         let entry = Entry { value: item.value.clone(), revision: item.revision, digest };
@@ -71,7 +71,7 @@
     }
 
     /// Drops all keys that a whole read does not show.
-    pub fn keep_only(&mut self, keys: &BTreeSet<String>) {
+    pub fn retain_keys(&mut self, keys: &BTreeSet<String>) {
         let gone: Vec<String> =
             self.entries.keys().filter(|key| !keys.contains(*key)).cloned().collect();
         for key in gone {
@@ -82,13 +82,13 @@
     }
 
     /// All that was written up to there is in.
-    pub fn reached(&mut self, position: Position) {
+    pub fn advance_to(&mut self, position: Position) {
         if position.era != self.version.position.era {
             // Revisions of another history say nothing of when a key was removed in this one.
             self.removals = Removals::default();
         }
         self.version.position = position;
-        self.removals.reached(position.revision);
+        self.removals.advance_to(position.revision);
     }
 
     /// Which state this is.
@@ -97,7 +97,7 @@
     }
 
     /// Keys that were written after a place in the history; all if that is another history.
-    pub fn written_after(&self, after: Position) -> impl Iterator<Item = Item> {
+    pub fn items_written_after(&self, after: Position) -> impl Iterator<Item = Item> {
         let revision = if after.era == self.version.position.era { after.revision } else { 0 };
         let written = self.entries.iter().filter(move |(_, entry)| entry.revision > revision);
         written.map(|(key, entry)| to_item(key, entry))
@@ -107,8 +107,8 @@
     /// history, or too long ago to say.
     pub fn removed_after(&self, after: Position) -> Option<impl Iterator<Item = u64>> {
         let Position { era, revision } = after;
-        let complete = |after| era == self.version.position.era && revision >= after;
-        let known = self.removals.complete_after.is_some_and(complete);
+        let is_complete_since = |after| era == self.version.position.era && revision >= after;
+        let known = self.removals.complete_after.is_some_and(is_complete_since);
         let log = self.removals.log.iter();
         known.then(|| log.filter(move |(at, _)| *at > revision).map(|(_, hash)| *hash))
     }
@@ -119,9 +119,9 @@
     }
 
     /// Keys whose digests are not among these.
-    pub fn written_beside(&self, digests: &HashSet<u64>) -> impl Iterator<Item = Item> {
-        let written = self.entries.iter().filter(|(_, entry)| !digests.contains(&entry.digest));
-        written.map(|(key, entry)| to_item(key, entry))
+    pub fn items_not_in(&self, digests: &HashSet<u64>) -> impl Iterator<Item = Item> {
+        let missing = self.entries.iter().filter(|(_, entry)| !digests.contains(&entry.digest));
+        missing.map(|(key, entry)| to_item(key, entry))
     }
 
     /// The value of a key.
@@ -148,15 +148,15 @@
 }
 
 impl Removals {
-    fn written(&mut self, hash: u64) {
+    fn note_written(&mut self, hash: u64) {
         self.pending.retain(|removed| *removed != hash);
         self.log.retain(|(_, removed)| *removed != hash);
     }
 
-    fn reached(&mut self, revision: Revision) {
+    fn advance_to(&mut self, revision: Revision) {
         self.complete_after.get_or_insert(revision);
         self.log.extend(self.pending.drain(..).map(|hash| (revision, hash)));
-        while self.log.len() > REMOVALS {
+        while self.log.len() > MAX_REMOVALS {
             self.complete_after = self.log.pop_front().map(|(at, _)| at);
         }
     }
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -13,11 +13,11 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-use super::beside;
 use super::learning;
 use super::quarantine;
 use super::shared::Shared;
 use super::shared::lock;
+use super::with_port;
 use crate::coordination::drain::Stage;
 use crate::coordination::freshness::Version;
 use crate::coordination::freshness::Word;
@@ -37,57 +37,57 @@
 use crate::transport::timer;
 
 /// Time between reports: some tenths of a short request's life.
-const PERIOD: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Most boxes that are told each time, so that the cost does not grow with the region;
 /// more are told in turn.
-const MOST: usize = 32;
+const MAX_RECIPIENTS: usize = 32;
 /// Reports in a row in which a change of the own state goes to all boxes of other regions: some
 /// datagrams are lost. After that they hear of it in turn, or from the store.
-const ANNOUNCED: u32 = 5;
+const ANNOUNCEMENT_REPORTS: u32 = 5;
 /// Number of a datagram that answers a box which has just started. It says nothing else, and comes in no
 /// order with the sender's reports.
-const UNNUMBERED: u64 = 0;
+const REPLY_NUMBER: u64 = 0;
 /// Largest datagram, bytes: some hundred servers.
-const DATAGRAM: usize = 8 << 10;
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// Reports and hears until told to stop.
-pub async fn exchange<A: Adapter>(
+pub async fn exchange_reports<A: Adapter>(
     shared: Arc<Shared<A>>,
     socket: UdpSocket,
     mut stop: watch::Receiver<Stop>,
 ) {
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next_at = clock::now();
     let mut number = 0;
-    let mut herald = Herald::default();
+    let mut announcer = LeavingAnnouncer::default();
     loop {
         tokio::select! {
             () = timer::sleep_until(next_at) => {
                 number += 1;
                 let now = clock::now();
-                next_at = now + PERIOD;
+                next_at = now + REPORT_INTERVAL;
                 lock(&shared.loads).expire(now);
                 lock(&shared.presence).expire(now);
                 lock(&shared.unlisted).expire(now);
-                lock(&shared.quotas).tick(fleet(&shared), now);
+                lock(&shared.quotas).tick(quota_fleet(&shared), now);
                 tick_throttles(&shared, now);
                 quarantine::tick(&shared, now);
-                tell(&shared, &socket, number, &mut herald);
+                send_periodic(&shared, &socket, number, &mut announcer);
             }
-            () = shared.news.notified() => {
+            () = shared.region_update.notified() => {
                 number += 1;
-                tell_beside(&shared, &socket, number);
+                send_to_region(&shared, &socket, number);
             }
-            () = shared.alarm.notified() => {
+            () = shared.global_update.notified() => {
                 number += 1;
-                tell_everyone(&shared, &socket, number);
+                send_to_all(&shared, &socket, number);
             }
             readable = socket.readable() => {
                 if let Err(error) = readable {
                     log::error!("event=reports_off error=\"{error}\"");
                     return;
                 }
-                hear(&shared, &socket, &mut buffer);
+                receive(&shared, &socket, &mut buffer);
             }
             _ = stop.wait_for(|stop| *stop != Stop::No) => return,
         }
@@ -95,28 +95,28 @@
 }
 
 /// Takes in all datagrams that have arrived.
-fn hear<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, buffer: &mut [u8]) {
+fn receive<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, buffer: &mut [u8]) {
     let now = clock::now();
     while let Ok((length, from)) = socket.try_recv_from(buffer) {
         match Report::decode(&buffer[..length]) {
-            Ok(report) if report.number == UNNUMBERED => {
-                learning::hear_leaving(shared, &report.leaving_servers, now);
-                let news = report.throttle.unwrap_or_default();
-                lock(&shared.throttles).hear_words(&news.words, now);
+            Ok(report) if report.number == REPLY_NUMBER => {
+                learning::receive_leaving(shared, &report.leaving_servers, now);
+                let rates = report.throttle.unwrap_or_default();
+                lock(&shared.throttles).hear_words(&rates.words, now);
             }
             Ok(report) => {
-                hear_presence(shared, &report, now);
-                hear_state(shared, &report, from, now);
-                hear_unlisted(shared, &report, from, now);
-                hear_quarantine(shared, &report, now);
+                apply_presence(shared, &report, now);
+                apply_state_version(shared, &report, from, now);
+                apply_unlisted_boxes(shared, &report, from, now);
+                apply_quarantine(shared, &report, now);
                 if report.region == shared.settings.region {
                     lock(&shared.loads).hear(&report, now);
-                    hear_servers(shared, &report, now);
-                    learning::hear_leaving(shared, &report.leaving_servers, now);
-                    hear_counts(shared, &report, now);
-                    hear_throttle(shared, socket, &report, from, now);
+                    apply_cold_answers(shared, &report, now);
+                    learning::receive_leaving(shared, &report.leaving_servers, now);
+                    apply_quota_counts(shared, &report, now);
+                    apply_rates(shared, socket, &report, from, now);
                 } else {
-                    hear_region(shared, report, now);
+                    apply_region_load(shared, report, now);
                 }
             }
             Err(error) => log::warn!("event=unreadable_report from={from} error=\"{error}\""),
@@ -124,7 +124,7 @@
     }
 }
 
-fn hear_presence<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_presence<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let Report { sender, incarnation, .. } = *report;
     let mut presence = lock(&shared.presence);
     presence.heard(sender, now);
@@ -134,7 +134,12 @@
     }
 }
 
-fn hear_state<A: Adapter>(shared: &Shared<A>, report: &Report, from: SocketAddr, now: Instant) {
+fn apply_state_version<A: Adapter>(
+    shared: &Shared<A>,
+    report: &Report,
+    from: SocketAddr,
+    now: Instant,
+) {
     let same_region = report.region == shared.settings.region;
     let age = match report.state_age_ms {
         Some(age_ms) => Duration::from_millis(age_ms),
@@ -147,7 +152,7 @@
     let version = Version { position, digest: report.state_digest };
     let word = Word {
         sender: report.sender,
-        address: beside(from, port),
+        address: with_port(from, port),
         version,
         age,
         beside: same_region,
@@ -156,14 +161,19 @@
     let mut freshness = lock(&shared.freshness);
     freshness.hear_era(shared.eras.newest());
     if freshness.hear(&word, now) {
-        shared.behind.notify_one();
+        shared.peer_ahead.notify_one();
     }
 }
 
 /// Takes in that a box is heard, and which others the sender has heard, that the store does not
 /// show. Two boxes that each took themselves for alone in their region gave a cold server 28
 /// requests in a second, where 17 are allowed.
-fn hear_unlisted<A: Adapter>(shared: &Shared<A>, report: &Report, from: SocketAddr, now: Instant) {
+fn apply_unlisted_boxes<A: Adapter>(
+    shared: &Shared<A>,
+    report: &Report,
+    from: SocketAddr,
+    now: Instant,
+) {
     let mut unlisted = lock(&shared.unlisted);
     let region = report.region.clone();
     unlisted.hear(Neighbor { box_hash: report.sender, region, address: from }, now);
@@ -179,7 +189,7 @@
     }
 }
 
-fn hear_quarantine<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_quarantine<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let mut quarantine = lock(&shared.quarantine);
     if quarantine.is_empty() && report.ends.is_empty() && report.verdicts.is_empty() {
         return;
@@ -191,20 +201,20 @@
     report.verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, now));
 }
 
-fn hear_servers<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_cold_answers<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let said = report.cold_ms.iter().zip(&report.asked_ms);
     for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(said) {
-        let left = Duration::from_millis(u64::from(*cold_ms));
+        let remaining_reports = Duration::from_millis(u64::from(*cold_ms));
         let Some(at) = now.checked_sub(Duration::from_millis(u64::from(*asked_ms))) else {
             continue;
         };
         for service in lock(&shared.services).values_mut() {
-            service.placement.said_elsewhere(*server, left, at);
+            service.placement.said_elsewhere(*server, remaining_reports, at);
         }
     }
 }
 
-fn hear_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_quota_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let Report { sender, incarnation, number, .. } = *report;
     let teller = Teller { sender, incarnation, number };
     lock(&shared.quotas).hear_box(teller, &report.counts, now);
@@ -212,7 +222,7 @@
 
 /// Takes in what another box knows of rates; one that has just started is told at once what this
 /// one knows.
-fn hear_throttle<A: Adapter>(
+fn apply_rates<A: Adapter>(
     shared: &Shared<A>,
     socket: &UdpSocket,
     report: &Report,
@@ -221,15 +231,15 @@
 ) {
     let Report { sender, incarnation, number, .. } = *report;
     let teller = Teller { sender, incarnation, number };
-    let news = report.throttle.clone().unwrap_or_default();
+    let rates = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
-    let is_new = throttles.hear(teller, &news, now);
+    let is_new_sender = throttles.hear(teller, &rates, now);
     let leaving_servers = lock(&shared.departures).all_words(now);
-    if !is_new || (throttles.is_empty() && leaving_servers.is_empty()) {
+    if !is_new_sender || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
     }
     let mut answer = Report {
-        number: UNNUMBERED,
+        number: REPLY_NUMBER,
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
         region: shared.settings.region.clone(),
@@ -241,12 +251,12 @@
     send(socket, &encode(&mut answer), std::iter::once(&from));
 }
 
-fn hear_region<A: Adapter>(shared: &Shared<A>, report: Report, now: Instant) {
+fn apply_region_load<A: Adapter>(shared: &Shared<A>, report: Report, now: Instant) {
     lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
     regions.hear_closed(report.region.clone(), report.closed.clone(), now);
-    let told = report.region_in_flight.iter().zip(&report.region_slots);
-    for (service, (in_flight, slots)) in report.services.iter().zip(told) {
+    let recipients = report.region_in_flight.iter().zip(&report.region_slots);
+    for (service, (in_flight, slots)) in report.services.iter().zip(recipients) {
         let fullness = Fullness { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
         regions.hear(*service, report.region.clone(), fullness, now);
     }
@@ -254,67 +264,72 @@
 
 /// Follows the own state, and says when all must hear of it.
 #[derive(Default)]
-struct Herald {
+struct LeavingAnnouncer {
     leaving: Option<bool>,
-    left: u32,
+    remaining_reports: u32,
 }
 
-impl Herald {
+impl LeavingAnnouncer {
     /// Whether this report goes to all boxes.
-    fn follow(&mut self, leaving: Option<bool>) -> bool {
+    fn should_announce(&mut self, leaving: Option<bool>) -> bool {
         if self.leaving != leaving {
             self.leaving = leaving;
-            self.left = ANNOUNCED;
+            self.remaining_reports = ANNOUNCEMENT_REPORTS;
         }
-        let announce = leaving.is_some() && self.left > 0;
-        self.left = self.left.saturating_sub(1);
+        let announce = leaving.is_some() && self.remaining_reports > 0;
+        self.remaining_reports = self.remaining_reports.saturating_sub(1);
         announce
     }
 }
 
 /// Tells all boxes of the region at once: what is new must not wait for their turn.
-fn tell_beside<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
-    let datagram = encode(&mut report(shared, number));
-    send(socket, &datagram, beside_addresses(shared).iter());
+fn send_to_region<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
+    let datagram = encode(&mut build_report(shared, number));
+    send(socket, &datagram, region_addresses(shared).iter());
 }
 
 /// Tells all boxes of all regions at once.
-fn tell_everyone<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
-    let mut report = report(shared, number);
-    send(socket, &encode(&mut report), beside_addresses(shared).iter());
-    for_elsewhere(shared, &mut report);
-    send(socket, &encode(&mut report), elsewhere(shared).iter());
+fn send_to_all<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
+    let mut report = build_report(shared, number);
+    send(socket, &encode(&mut report), region_addresses(shared).iter());
+    reduce_for_other_regions(shared, &mut report);
+    send(socket, &encode(&mut report), other_region_boxes(shared).iter());
 }
 
 /// Tells some boxes of the region in turn, and one of another region.
-fn tell<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64, herald: &mut Herald) {
-    let mut report = report(shared, number);
+fn send_periodic<A: Adapter>(
+    shared: &Shared<A>,
+    socket: &UdpSocket,
+    number: u64,
+    announcer: &mut LeavingAnnouncer,
+) {
+    let mut report = build_report(shared, number);
     let datagram = encode(&mut report);
-    let others = beside_addresses(shared);
-    let turn = number as usize * MOST % others.len().max(1);
-    let told = others.iter().cycle().skip(turn).take(MOST.min(others.len()));
-    send(socket, &datagram, told);
-    for_elsewhere(shared, &mut report);
-    let far = elsewhere(shared);
+    let others = region_addresses(shared);
+    let turn = number as usize * MAX_RECIPIENTS % others.len().max(1);
+    let recipients = others.iter().cycle().skip(turn).take(MAX_RECIPIENTS.min(others.len()));
+    send(socket, &datagram, recipients);
+    reduce_for_other_regions(shared, &mut report);
+    let remote_boxes = other_region_boxes(shared);
     let datagram = encode(&mut report);
-    if herald.follow(report.leaving) {
-        send(socket, &datagram, far.iter());
+    if announcer.should_announce(report.leaving) {
+        send(socket, &datagram, remote_boxes.iter());
     } else {
-        send(socket, &datagram, far.iter().choose(&mut rand::rng()).into_iter());
+        send(socket, &datagram, remote_boxes.iter().choose(&mut rand::rng()).into_iter());
     }
     // A box of another region that the store does not show hears of its like from here, and whom to
     // ask for newer state. It gets no word for long whenever it is not heard, so none vouches
     // for the state that it has, and it asks servers whether they are cold.
     report.state_age_ms = None;
     let now = clock::now();
-    let since = now.checked_sub(PERIOD).unwrap_or(now);
-    let away = lock(&shared.unlisted).heard_after(since, &shared.settings.region, now);
-    send(socket, &encode(&mut report), away.iter().take(MOST));
+    let since = now.checked_sub(REPORT_INTERVAL).unwrap_or(now);
+    let remote_unlisted = lock(&shared.unlisted).heard_after(since, &shared.settings.region, now);
+    send(socket, &encode(&mut report), remote_unlisted.iter().take(MAX_RECIPIENTS));
 }
 
 /// Makes a report one for boxes of other regions: they hear how full this region is, not of the
 /// single servers here, and only of ends that are suspicious.
-fn for_elsewhere<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn reduce_for_other_regions<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
     let now = clock::now();
     report.servers.clear();
     report.in_flight.clear();
@@ -327,15 +342,15 @@
     report.leaving_servers.clear();
     report.flows = lock(&shared.quotas).flows(now);
     report.ends = lock(&shared.quarantine).told_ends(Reach::Everyone, now);
-    describe_region(shared, report);
+    add_region_load(shared, report);
 }
 
 /// The boxes of other regions.
-fn elsewhere<A: Adapter>(shared: &Shared<A>) -> Vec<SocketAddr> {
+fn other_region_boxes<A: Adapter>(shared: &Shared<A>) -> Vec<SocketAddr> {
     let snapshot = shared.snapshot.load();
-    let boxes = snapshot.boxes.iter().chain(&snapshot.lost);
-    let elsewhere = boxes.filter(|other| other.region != shared.settings.region);
-    elsewhere.map(|other| other.peers).collect()
+    let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
+    let other_boxes = boxes.filter(|other| other.region != shared.settings.region);
+    other_boxes.map(|other| other.peers).collect()
 }
 
 /// Tells the accounts of servers that name a rate which boxes send to them.
@@ -344,7 +359,7 @@
     let mut others: HashSet<u64> = HashSet::new();
     {
         let presence = lock(&shared.presence);
-        let boxes = snapshot.boxes.iter().chain(&snapshot.lost);
+        let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
         let region = boxes.filter(|other| other.region == shared.settings.region);
         // A box that has left no longer sends, once it is silent.
         let sends =
@@ -355,20 +370,23 @@
     let region = unlisted.neighbors().filter(|other| other.region == shared.settings.region);
     others.extend(region.map(|other| other.box_hash));
     drop(unlisted);
-    let rounds = others.len().div_ceil(MOST) as u32;
+    let rounds = others.len().div_ceil(MAX_RECIPIENTS) as u32;
     lock(&shared.throttles).tick(&others, rounds, now);
     lock(&shared.departures).set_rounds(rounds);
 }
 
 /// How many boxes there are, and in how many reports those of this region are told.
-fn fleet<A: Adapter>(shared: &Shared<A>) -> Fleet {
-    let others = beside_addresses(shared).len();
-    Fleet { boxes: shared.snapshot.load().fleet, rounds: others.div_ceil(MOST) as u32 }
+fn quota_fleet<A: Adapter>(shared: &Shared<A>) -> Fleet {
+    let others = region_addresses(shared).len();
+    Fleet {
+        boxes: shared.snapshot.load().fleet_size,
+        rounds: others.div_ceil(MAX_RECIPIENTS) as u32,
+    }
 }
 
 /// A report as it goes out.
 fn encode(report: &mut Report) -> Vec<u8> {
-    report.fit(DATAGRAM);
+    report.fit(MAX_DATAGRAM_BYTES);
     report.encode_to_vec()
 }
 
@@ -381,7 +399,7 @@
     }
 }
 
-fn describe_region<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn add_region_load<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
     let now = clock::now();
     for (name, service) in lock(&shared.services).iter_mut() {
         let (loads, throttles) = (lock(&shared.loads), lock(&shared.throttles));
@@ -397,9 +415,9 @@
 
 /// The other boxes of this region, those that have lost their record among them: a box that has lost
 /// the store hears from the others what it does not hear from there.
-fn beside_addresses<A: Adapter>(shared: &Shared<A>) -> Vec<SocketAddr> {
+fn region_addresses<A: Adapter>(shared: &Shared<A>) -> Vec<SocketAddr> {
     let snapshot = shared.snapshot.load();
-    let boxes = snapshot.boxes.iter().chain(&snapshot.lost);
+    let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
     let region = boxes.filter(|other| other.region == shared.settings.region);
     let unlisted = lock(&shared.unlisted);
     let unlisted = unlisted.neighbors().filter(|other| other.region == shared.settings.region);
@@ -407,7 +425,7 @@
     region.map(|other| other.peers).chain(unlisted).collect()
 }
 
-fn report<A: Adapter>(shared: &Shared<A>, number: u64) -> Report {
+fn build_report<A: Adapter>(shared: &Shared<A>, number: u64) -> Report {
     let now = clock::now();
     let version = lock(&shared.freshness).version();
     let snapshot = shared.snapshot.load();
@@ -424,7 +442,7 @@
         handover_port: u32::from(shared.settings.listen.handover.port()),
         unlisted: lock(&shared.unlisted).named(now),
         counts: lock(&shared.quotas).counts(now),
-        throttle: Some(lock(&shared.throttles).news(now)).filter(|news| !news.is_empty()),
+        throttle: Some(lock(&shared.throttles).news(now)).filter(|rates| !rates.is_empty()),
         leaving_servers: lock(&shared.departures).news(now),
         ..Report::default()
     };
@@ -441,9 +459,9 @@
             report.in_flight.push(load.in_flight);
             report.unread.push(load.unread);
         }
-        for (server, left, at) in service.placement.words(now) {
+        for (server, remaining_reports, at) in service.placement.words(now) {
             report.asked.push(server);
-            report.cold_ms.push(left.as_millis() as u32);
+            report.cold_ms.push(remaining_reports.as_millis() as u32);
             report.asked_ms.push(now.saturating_duration_since(at).as_millis() as u32);
         }
     }
