--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/run.rs
@@ -11,16 +11,16 @@
 use super::attempt;
 use super::attempt::Payload;
 use super::attempt::Reply;
-use super::attempt::Tried;
-use super::course::Course;
+use super::attempt::SendOutcome;
+use super::course::RequestHistory;
 use super::elsewhere;
-use super::elsewhere::Reason;
+use super::elsewhere::ForwardReason;
 use super::job::Job;
 use super::job::Origin;
 use super::quarantine;
 use super::quarantine::Trial;
 use super::record;
-use super::shared::Held;
+use super::shared::Reservation;
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
@@ -36,153 +36,154 @@
 use crate::state::counters::Counter;
 
 /// Most servers that a request is offered to in vain; each may take as long as a connection.
-const MAX_OFFERS: usize = 4;
+const MAX_FAILED_OFFERS: usize = 4;
 /// Part of the latency objective after which a refused caller is asked to come back.
-const COME_BACK: u32 = 2;
+const RETRY_AFTER_DIVISOR: u32 = 2;
 /// Time after which a caller comes back who finds only servers that leave: one that takes their place needs longer to
 /// start.
-const REPLACED_AFTER: Duration = Duration::from_secs(1);
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
 /// Least time that is worth a send.
-const MIN_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Where a request goes next.
 enum Target<A> {
-    Server(Box<Held<A>>),
-    Peer(std::net::SocketAddr, Reason),
+    Server(Box<Reservation<A>>),
+    Peer(std::net::SocketAddr, ForwardReason),
 }
 
 /// Runs a request to an answer or a failure.
-pub async fn run<A: Adapter>(
+pub async fn dispatch<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    course: &mut Course,
+    history: &mut RequestHistory,
 ) -> Result<Reply<A>, Failure> {
-    let after = job.ask.last_event;
-    count_first(shared, job);
+    let after_event = job.ask.last_event;
+    count_first_send(shared, job);
     // An answer by which a server says that it failed, kept while another one is tried.
-    let mut failed: Option<Reply<A>> = None;
+    let mut failed_reply: Option<Reply<A>> = None;
     loop {
-        let failure = match step(shared, job, course, after).await {
-            Ok(reply) if may_improve(&reply, job) && may_repeat(shared, job, course) => {
-                failed = Some(reply);
+        let failure = match send_once(shared, job, history, after_event).await {
+            Ok(reply) if is_retryable_failure(&reply, job) && take_retry(shared, job, history) => {
+                failed_reply = Some(reply);
                 continue;
             }
             Ok(reply) => return Ok(reply),
-            Err(Step::Stop(failure)) => failure,
-            Err(Step::Again(failure)) => {
-                if may_go_on(shared, job, course) {
+            Err(StepError::Final(failure)) => failure,
+            Err(StepError::Retry(failure)) => {
+                if may_continue(shared, job, history) {
                     continue;
                 }
                 failure
             }
         };
-        return match failed {
+        return match failed_reply {
             Some(reply) => Ok(reply),
-            None => Err(truthful(course, failure)),
+            None => Err(mark_possible_run(history, failure)),
         };
     }
 }
 
 /// Sends a stream that broke off once more, to go on after an event.
-pub async fn again<A: Adapter>(
+pub async fn resume_stream<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    course: &mut Course,
-    after: Option<u64>,
+    history: &mut RequestHistory,
+    after_event: Option<u64>,
 ) -> Option<Reply<A>> {
-    course.maybe_ran = true;
-    while may_repeat(shared, job, course) {
-        match step(shared, job, course, after).await {
+    history.maybe_ran = true;
+    while take_retry(shared, job, history) {
+        match send_once(shared, job, history, after_event).await {
             Ok(reply) => return Some(reply),
-            Err(Step::Again(_)) => {}
-            Err(Step::Stop(_)) => return None,
+            Err(StepError::Retry(_)) => {}
+            Err(StepError::Final(_)) => return None,
         }
     }
     None
 }
 
 /// Why a step gave no answer.
-enum Step {
+enum StepError {
     /// Another may.
-    Again(Failure),
+    Retry(Failure),
     /// No other will.
-    Stop(Failure),
+    Final(Failure),
 }
 
 /// One place and one send.
-async fn step<A: Adapter>(
+async fn send_once<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    course: &mut Course,
-    after: Option<u64>,
-) -> Result<Reply<A>, Step> {
-    if job.left(clock::now()) < MIN_LEFT {
+    history: &mut RequestHistory,
+    after_event: Option<u64>,
+) -> Result<Reply<A>, StepError> {
+    if job.time_left(clock::now()) < MIN_TIME_LEFT {
         let failure = Failure::new(Kind::WouldBeLate, "no time is left");
-        return Err(Step::Stop(failure));
+        return Err(StepError::Final(failure));
     }
     // Between two sends, other boxes may have seen what this request does.
-    quarantine::admit(shared, job).map_err(Step::Stop)?;
-    let tried = match target(shared, job, course).map_err(Step::Stop)? {
-        Target::Server(held) => {
-            course.tried.push(held.place.server.clone());
+    quarantine::admit(shared, job).map_err(StepError::Final)?;
+    let outcome = match choose_target(shared, job, history).map_err(StepError::Final)? {
+        Target::Server(reservation) => {
+            history.tried.push(reservation.place.server.clone());
             let state = lock(&shared.freshness).standing(clock::now());
-            record::placed(job, course, &held.place, state);
-            attempt::to_server(shared, job, *held, after).await
+            record::placed(job, history, &reservation.place, state);
+            attempt::to_server(shared, job, *reservation, after_event).await
         }
         Target::Peer(address, reason) => {
-            course.boxes.push(address);
-            record::passed_on(job, course, address, reason);
-            attempt::to_peer(shared, job, address, after).await
+            history.boxes.push(address);
+            record::passed_on(job, history, address, reason);
+            attempt::to_peer(shared, job, address, after_event).await
         }
     };
-    let failure = match tried {
-        Tried::Answered(reply) => {
-            course.sends += 1;
+    let failure = match outcome {
+        SendOutcome::Answered(reply) => {
+            history.sends += 1;
             return Ok(reply);
         }
-        Tried::Unsent(failure) => {
-            course.unsent += 1;
-            record::attempt_failed(job, course, &failure);
-            return Err(Step::Again(failure));
+        SendOutcome::Unsent(failure) => {
+            history.unsent += 1;
+            record::attempt_failed(job, history, &failure);
+            return Err(StepError::Retry(failure));
         }
-        Tried::Refused(failure) => {
-            course.refused += 1;
+        SendOutcome::Refused(failure) => {
+            history.refused += 1;
             failure
         }
-        Tried::Rests(failure) => {
-            course.refused += 1;
-            course.rests += 1;
+        SendOutcome::RefusedWithRest(failure) => {
+            history.refused += 1;
+            history.rest_refusals += 1;
             failure
         }
-        Tried::Lost(failure) => {
-            course.sends += 1;
-            course.maybe_ran = true;
+        SendOutcome::MaybeRan(failure) => {
+            history.sends += 1;
+            history.maybe_ran = true;
             failure
         }
     };
-    record::attempt_failed(job, course, &failure);
+    record::attempt_failed(job, history, &failure);
     // A box with a newer configuration than this one says that the key is no longer held by anyone.
-    let taken_away = failure.kind == Kind::Unauthorized;
-    if taken_away || (course.maybe_ran && !job.route.repeatable()) {
-        return Err(Step::Stop(failure));
+    let key_rejected = failure.kind == Kind::Unauthorized;
+    if key_rejected || (history.maybe_ran && !job.route.repeatable()) {
+        return Err(StepError::Final(failure));
     }
-    Err(Step::Again(failure))
+    Err(StepError::Retry(failure))
 }
 
-fn target<A: Adapter>(
+fn choose_target<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    course: &Course,
+    history: &RequestHistory,
 ) -> Result<Target<A>, Failure> {
-    if let Some(address) = elsewhere::home(shared, job, course) {
-        return Ok(Target::Peer(address, Reason::Home));
+    if let Some(address) = elsewhere::home_box(shared, job, history) {
+        return Ok(Target::Peer(address, ForwardReason::Home));
     }
-    if let Some((address, reason)) = elsewhere::overflow(shared, job, course, clock::now()) {
+    if let Some((address, reason)) = elsewhere::overflow_target(shared, job, history, clock::now())
+    {
         return Ok(Target::Peer(address, reason));
     }
     lock(&shared.throttles).asked(throttle::service_hash(&job.service), clock::now());
-    let blocked = match place(shared, job, course, Among::Sound) {
-        Ok(held) => return Ok(Target::Server(held)),
+    let blocked = match reserve_server(shared, job, history, Among::Sound) {
+        Ok(reservation) => return Ok(Target::Server(reservation)),
         Err(blocked) => blocked,
     };
     if job.origin == Origin::Peer {
@@ -190,30 +191,30 @@
     }
     // A sound server in another region comes before one here that failed lately: offering requests
     // to ten servers that had gone silent cost 400 ms each, up to four times a request.
-    if let Some(address) = elsewhere::choose(shared, job, &course.boxes) {
-        return Ok(Target::Peer(address, Reason::NoPlace));
+    if let Some(address) = elsewhere::fallback_target(shared, job, &history.boxes) {
+        return Ok(Target::Peer(address, ForwardReason::NoPlace));
     }
     if blocked == Blocked::Failing
-        && let Ok(held) = place(shared, job, course, Among::Any)
+        && let Ok(reservation) = reserve_server(shared, job, history, Among::Any)
     {
-        return Ok(Target::Server(held));
+        return Ok(Target::Server(reservation));
     }
     Err(refusal(shared, job, blocked))
 }
 
 /// A place on a server of this region.
-fn place<A: Adapter>(
+fn reserve_server<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
-    course: &Course,
+    history: &RequestHistory,
     among: Among,
-) -> Result<Box<Held<A>>, Blocked> {
-    if !job.allows(&shared.settings.region) {
+) -> Result<Box<Reservation<A>>, Blocked> {
+    if !job.is_allowed_in(&shared.settings.region) {
         return Err(Blocked::NoServer);
     }
     let now = clock::now();
     let stale = lock(&shared.freshness).is_stale(now);
-    let choose = |tried: &[ServerId]| {
+    let fallback_target = |tried: &[ServerId]| {
         let chosen = shared.with_service(&job.service, |service| {
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
@@ -226,74 +227,75 @@
         chosen.unwrap_or(Err(Blocked::NoServer))
     };
     let Trial { suspicion, occupied, reserved } = quarantine::trial(shared, job, now);
-    let but = |servers: &[ServerId]| choose(&[&course.tried[..], servers].concat());
-    let place = match but(&occupied) {
+    let choose_except =
+        |servers: &[ServerId]| fallback_target(&[&history.tried[..], servers].concat());
+    let place = match choose_except(&occupied) {
         // Beside another suspect rather than not at all: at times all servers run one.
-        Err(_) if reserved.len() < occupied.len() => but(&reserved)?,
-        apart => apart?,
+        Err(_) if reserved.len() < occupied.len() => choose_except(&reserved)?,
+        separate => separate?,
     };
     if let Some(suspicion) = suspicion {
-        let beside = occupied.contains(&place.server);
-        record::on_trial(job, &place.server, suspicion, beside);
+        let shares_server = occupied.contains(&place.server);
+        record::on_trial(job, &place.server, suspicion, shares_server);
     }
-    Ok(Box::new(Held::new(shared, &job.service, place, job.fingerprint)))
+    Ok(Box::new(Reservation::new(shared, &job.service, place, job.fingerprint)))
 }
 
 fn refusal<A: Adapter>(shared: &Shared<A>, job: &Job, blocked: Blocked) -> Failure {
-    let come_back = job.route.objective / COME_BACK;
+    let retry_after = job.route.objective / RETRY_AFTER_DIVISOR;
     match blocked {
         Blocked::Throttled => return throttle::refuse(shared, job),
         Blocked::NoServer => {
             Failure::new(Kind::NoServer, "no backend server may run the request now")
         }
-        Blocked::Resting { until } => return rest_refusal(shared, job, until),
+        Blocked::Resting { until } => return resting_refusal(shared, job, until),
         Blocked::Leaving => {
             let message = "the backend servers leave";
-            return Failure::new(Kind::NoServer, message).with_retry_after(REPLACED_AFTER);
+            return Failure::new(Kind::NoServer, message).with_retry_after(REPLACEMENT_DELAY);
         }
         Blocked::Full => Failure::new(Kind::QueueFull, "all backend servers are full"),
         Blocked::Failing => Failure::new(Kind::NoServer, "all backend servers failed lately"),
     }
-    .with_retry_after(come_back)
+    .with_retry_after(retry_after)
 }
 
 /// Refuses a request for which only servers are left that want nothing before some moment.
-fn rest_refusal<A: Adapter>(shared: &Shared<A>, job: &Job, until: Instant) -> Failure {
+fn resting_refusal<A: Adapter>(shared: &Shared<A>, job: &Job, until: Instant) -> Failure {
     let message = "the backend servers want no requests for a while";
     let failure = Failure::new(Kind::QueueFull, message);
     let now = clock::now();
-    let come_back =
+    let retry_after =
         shared.with_service(&job.service, |service| service.placement.come_back(until, now));
-    match come_back {
-        Some(come_back) => failure.with_retry_after(come_back),
+    match retry_after {
+        Some(retry_after) => failure.with_retry_after(retry_after),
         None => failure,
     }
 }
 
 /// A server's own failure of work that may be repeated; another server may do better.
-fn may_improve<A: Adapter>(reply: &Reply<A>, job: &Job) -> bool {
-    let whole = matches!(reply.payload, Payload::Whole(_));
-    whole && reply.status.is_server_error() && job.route.repeatable()
+fn is_retryable_failure<A: Adapter>(reply: &Reply<A>, job: &Job) -> bool {
+    let is_whole = matches!(reply.payload, Payload::Whole(_));
+    is_whole && reply.status.is_server_error() && job.route.repeatable()
 }
 
 /// Whether a request that got no answer goes on. An attempt is a send that may have run: what was
 /// refused or never sent uses none up, but what arrived somewhere is paid for from the budget. With
 /// refusals counted as attempts, requests that may run once were refused at the first server that
 /// was full or had been replaced, 2,325 of them in 8 s while 22 of 128 servers came back under new names.
-fn may_go_on<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, course: &Course) -> bool {
-    if course.in_vain() >= MAX_OFFERS {
+fn may_continue<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
+    if history.repeatable_failures() >= MAX_FAILED_OFFERS {
         return false;
     }
-    course.arrivals() == 0 || may_repeat(shared, job, course)
+    history.arrivals() == 0 || take_retry(shared, job, history)
 }
 
 /// Takes a further send from the budget, if the route and the time left allow one.
-fn may_repeat<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, course: &Course) -> bool {
+fn take_retry<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
     let now = clock::now();
-    if course.sends >= job.max_attempts() || job.left(now) < MIN_LEFT {
+    if history.sends >= job.max_attempts() || job.time_left(now) < MIN_TIME_LEFT {
         return false;
     }
-    let boxes = job.snapshot.fleet;
+    let boxes = job.snapshot.fleet_size;
     let admitted = shared.with_service(&job.service, |service| service.budget.repeat(boxes, now));
     let admitted = admitted.unwrap_or(false);
     shared.counters.count(if admitted { Counter::Retries } else { Counter::RetriesDenied });
@@ -301,15 +303,15 @@
 }
 
 /// Counts the request for the budget, at the box that its caller asked.
-fn count_first<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
+fn count_first_send<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
     if job.origin == Origin::Caller {
         shared.with_service(&job.service, |service| service.budget.first(clock::now()));
     }
 }
 
 /// A request of which a send may have run is never called "not run".
-fn truthful(course: &Course, failure: Failure) -> Failure {
-    if !course.maybe_ran || failure.ran() != Ran::No {
+fn mark_possible_run(history: &RequestHistory, failure: Failure) -> Failure {
+    if !history.maybe_ran || failure.ran() != Ran::No {
         return failure;
     }
     let message = format!("an earlier send may have run, and then: {}", failure.message);
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -43,7 +43,7 @@
     /// What the box can bear, against others: its processor share.
     pub weight: f64,
     /// Descriptors that sockets may take.
-    pub descriptors: usize,
+    pub socket_descriptors: usize,
     /// Bound on sends beyond the first.
     pub retries: retries::Bound,
     /// How often the rate of a cold server may be exceeded, as a factor.
@@ -53,14 +53,14 @@
     /// Time between the request to stop and the end by force.
     pub stop_limit: Duration,
     /// How old the state from the store may be for keys to be taken; `None` for as old as it gets.
-    pub keys_hold: Option<Duration>,
+    pub max_key_age: Option<Duration>,
     /// Units that a team's requests may be over its limit within the window that it is measured by.
     pub quota_slack: f64,
     /// Longest time until a change in the store must count here: the least of the bounds on
     /// configuration, leaving servers and evacuated failure domains.
-    pub follow_within: Duration,
+    pub propagation_limit: Duration,
     /// Reading calls a second that the store allows all boxes together.
     pub store_reads: f64,
     /// How long callers keep an answer of the directory at most.
-    pub directory_life: Duration,
+    pub directory_ttl: Duration,
 }
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
-use super::facts::Located;
+use super::facts::ServerLocation;
 use super::replica::Replica;
 use super::settings::Settings;
 use crate::coordination::broken::Broken;
@@ -52,13 +52,13 @@
     /// Other boxes that live.
     pub boxes: Vec<BoxRecord>,
     /// Boxes whose records are gone from the store, and that may only have lost it.
-    pub lost: Vec<BoxRecord>,
+    pub expired_boxes: Vec<BoxRecord>,
     /// Boxes of all regions that bounds are shared among, this one included.
-    pub fleet: usize,
+    pub fleet_size: usize,
     /// Slots that may get work by service and region.
     pub slots: HashMap<ServiceId, HashMap<RegionId, u32>>,
     /// Servers of all regions that may get work, by service.
-    pub servers: HashMap<ServiceId, Vec<Located>>,
+    pub servers: HashMap<ServiceId, Vec<ServerLocation>>,
     /// How far a stop is.
     pub stage: Stage,
 }
@@ -106,17 +106,17 @@
     /// Requests that end servers.
     pub quarantine: Mutex<Quarantine>,
     /// When the store answered this box again after it did not.
-    pub store_back_at: Mutex<Option<Instant>>,
+    pub store_recovered_at: Mutex<Option<Instant>>,
     /// Eras that the store has told this box.
     pub eras: Eras,
     /// There is something that the other boxes of the region must hear at once.
-    pub news: Notify,
+    pub region_update: Notify,
     /// There is something that all boxes must hear at once.
-    pub alarm: Notify,
+    pub global_update: Notify,
     /// There may be verdicts that the store lacks.
     pub verdicts: Notify,
     /// Another box has a newer state from the store than this one.
-    pub behind: Notify,
+    pub peer_ahead: Notify,
     /// Connections to backend servers.
     pub servers: backend::Client,
     /// Connections to other boxes.
@@ -134,9 +134,9 @@
     pub fn with_service<T>(
         &self,
         service: &str,
-        work: impl FnOnce(&mut Service) -> T,
+        access: impl FnOnce(&mut Service) -> T,
     ) -> Option<T> {
-        lock(&self.services).get_mut(service).map(work)
+        lock(&self.services).get_mut(service).map(access)
     }
 
     /// Age of the state from the store, milliseconds; -1 before there is any.
@@ -146,25 +146,25 @@
     }
 
     /// Counts a request as in progress until the guard is dropped.
-    pub fn progress(self: &Arc<Self>) -> Progress<A> {
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard<A> {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        Progress { shared: Arc::clone(self) }
+        InFlightGuard { shared: Arc::clone(self) }
     }
 }
 
 /// A request in progress.
-pub struct Progress<A> {
+pub struct InFlightGuard<A> {
     shared: Arc<Shared<A>>,
 }
 
-impl<A> Drop for Progress<A> {
+impl<A> Drop for InFlightGuard<A> {
     fn drop(&mut self) {
         self.shared.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// A place on a server, given back when it is dropped.
-pub struct Held<A> {
+pub struct Reservation<A> {
     shared: Arc<Shared<A>>,
     service: ServiceId,
     /// The place.
@@ -173,24 +173,24 @@
     request: Fingerprint,
 }
 
-impl<A> Held<A> {
+impl<A> Reservation<A> {
     /// Holds a place that was just taken for a request.
     pub fn new(
         shared: &Arc<Shared<A>>,
         service: &str,
         place: Place,
         request: Fingerprint,
-    ) -> Held<A> {
+    ) -> Reservation<A> {
         let shared = Arc::clone(shared);
         let mut quarantine = lock(&shared.quarantine);
         quarantine.begin_trial(place.server.clone(), request);
         let suspicious = quarantine.is_suspicious(request);
         drop(quarantine);
         if suspicious {
-            shared.news.notify_one();
+            shared.region_update.notify_one();
         }
         let outcome = Outcome::Abandoned;
-        Held { shared, service: service.to_owned(), place, outcome, request }
+        Reservation { shared, service: service.to_owned(), place, outcome, request }
     }
 
     /// Whether the server would still get it.
@@ -212,7 +212,7 @@
     }
 }
 
-impl<A> Drop for Held<A> {
+impl<A> Drop for Reservation<A> {
     fn drop(&mut self) {
         let (place, outcome) = (&mut self.place, self.outcome);
         let now = clock::now();
@@ -223,7 +223,7 @@
         quarantine.finish_trial(&self.place.server, self.request);
         drop(quarantine);
         if suspicious {
-            self.shared.news.notify_one();
+            self.shared.region_update.notify_one();
         }
     }
 }
--- a/lib/src/gateway/stream.rs
+++ b/lib/src/gateway/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 
-use super::shared::Held;
+use super::shared::Reservation;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::events::Splitter;
 use crate::transport::backend::Exchange;
@@ -14,32 +14,42 @@
 /// Events as they come.
 pub struct Stream<A: Adapter> {
     exchange: Exchange,
-    held: Option<Held<A>>,
+    reservation: Option<Reservation<A>>,
     splitter: Splitter,
     /// Events that were read to see that the stream has begun.
-    first: Option<Bytes>,
-    idle: Duration,
+    buffered_events: Option<Bytes>,
+    idle_time: Duration,
 }
 
 impl<A: Adapter> Stream<A> {
     /// A stream whose connection may rest for `idle` afterwards.
-    pub fn new(exchange: Exchange, held: Option<Held<A>>, idle: Duration) -> Stream<A> {
-        Stream { exchange, held, splitter: Splitter::default(), first: None, idle }
+    pub fn new(
+        exchange: Exchange,
+        reservation: Option<Reservation<A>>,
+        idle_time: Duration,
+    ) -> Stream<A> {
+        Stream {
+            exchange,
+            reservation,
+            splitter: Splitter::default(),
+            buffered_events: None,
+            idle_time,
+        }
     }
 
     /// Waits for the first event.
-    pub async fn begin(&mut self) -> Result<(), Cut> {
-        self.first = self.read().await?;
-        if let Some(held) = &mut self.held {
-            held.first_byte();
+    pub async fn read_first_event(&mut self) -> Result<(), Cut> {
+        self.buffered_events = self.read().await?;
+        if let Some(reservation) = &mut self.reservation {
+            reservation.first_byte();
         }
         Ok(())
     }
 
     /// The next whole events; `None` at the proper end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
-        match self.first.take() {
-            Some(first) => Ok(Some(first)),
+        match self.buffered_events.take() {
+            Some(events) => Ok(Some(events)),
             None => self.read().await,
         }
     }
@@ -50,13 +60,13 @@
     }
 
     /// The place on a backend server, if it is one of this region, to say what came of it.
-    pub fn held(&mut self) -> &mut Option<Held<A>> {
-        &mut self.held
+    pub fn reservation(&mut self) -> &mut Option<Reservation<A>> {
+        &mut self.reservation
     }
 
     /// Name of the backend server, if it is one of this region.
     pub fn server(&self) -> Option<&str> {
-        self.held.as_ref().map(|held| held.place.server.as_str())
+        self.reservation.as_ref().map(|reservation| reservation.place.server.as_str())
     }
 
     async fn read(&mut self) -> Result<Option<Bytes>, Cut> {
@@ -71,7 +81,7 @@
         if !self.splitter.is_whole() {
             return Err(Cut::Unfinished);
         }
-        self.exchange.finished_for(self.idle);
+        self.exchange.finished_for(self.idle_time);
         Ok(None)
     }
 }
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -28,9 +28,9 @@
 use crate::transport::timer;
 
 /// How long the store keeps a word; one that still holds then is written again.
-const STORED_LIFE: Duration = Duration::from_secs(600);
+const RATE_LEASE_LIFE: Duration = Duration::from_secs(600);
 /// Time between looks whether there is something to write.
-const LOOK: Duration = Duration::from_millis(500);
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What stands for a service among boxes.
 pub fn service_hash(service: &str) -> ServiceHash {
@@ -40,68 +40,72 @@
 /// Refuses a request for which only servers are left that get as much as they take.
 pub fn refuse<A: Adapter>(shared: &Shared<A>, job: &Job) -> Failure {
     shared.counters.count(Counter::Throttled);
-    let come_back = shared.with_service(&job.service, |Service { placement, .. }| {
+    let retry_after = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
         lock(&shared.throttles).come_back(service, placement.lives(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
     let failure = Failure::new(Kind::Throttled, message);
-    match come_back {
-        Some(come_back) => failure.with_retry_after(come_back),
+    match retry_after {
+        Some(retry_after) => failure.with_retry_after(retry_after),
         None => failure,
     }
 }
 
 /// Takes in a key of the store.
-pub fn stored<A: Adapter>(shared: &Shared<A>, value: &[u8]) -> Result<(), serde_json::Error> {
-    let word = serde_json::from_slice(value)?;
-    lock(&shared.throttles).stored(word, clock::now());
+pub fn apply_stored_rate<A: Adapter>(
+    shared: &Shared<A>,
+    value: &[u8],
+) -> Result<(), serde_json::Error> {
+    let stored_rate = serde_json::from_slice(value)?;
+    lock(&shared.throttles).stored(stored_rate, clock::now());
     Ok(())
 }
 
 /// A key of the store is gone.
-pub fn forgotten<A: Adapter>(shared: &Shared<A>, key: &str) {
+pub fn remove_stored_rate<A: Adapter>(shared: &Shared<A>, key: &str) {
     let server = key.strip_prefix(RATES).and_then(|life| ServerLife::from_str_radix(life, 16).ok());
     if let Some(server) = server {
-        let word = Stored { server, service: 0, rate: None };
-        lock(&shared.throttles).stored(word, clock::now());
+        let stored_rate = Stored { server, service: 0, rate: None };
+        lock(&shared.throttles).stored(stored_rate, clock::now());
     }
 }
 
 /// Writes words to the store, for as long as the box runs.
-pub async fn keep<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
-    let own = presence::box_hash(&shared.settings.name);
+pub async fn write_rates<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
+    let own_hash = presence::box_hash(&shared.settings.name);
     loop {
-        timer::sleep(LOOK).await;
-        let words = lock(&shared.throttles).unwritten(own, clock::now());
-        if words.is_empty() {
+        timer::sleep(WRITE_INTERVAL).await;
+        let rates = lock(&shared.throttles).unwritten(own_hash, clock::now());
+        if rates.is_empty() {
             continue;
         }
-        match write(&store, &words).await {
+        match write_batch(&store, &rates).await {
             Ok(()) => {
                 let mut throttles = lock(&shared.throttles);
-                words.iter().for_each(|word| throttles.stored(*word, clock::now()));
+                rates.iter().for_each(|stored_rate| throttles.stored(*stored_rate, clock::now()));
             }
             Err(error) => {
-                log::warn!("event=rates_not_written count={} error=\"{error}\"", words.len());
+                log::warn!("event=rates_not_written count={} error=\"{error}\"", rates.len());
             }
         }
     }
 }
 
-async fn write<A: Adapter>(
+async fn write_batch<A: Adapter>(
     store: &store::Client<A>,
-    words: &[Stored],
+    rates: &[Stored],
 ) -> Result<(), PlatformError> {
-    let Answer::Lease(lease) = store.call(&Operation::Grant { life: STORED_LIFE }).await? else {
+    let Answer::Lease(lease) = store.call(&Operation::Grant { life: RATE_LEASE_LIFE }).await?
+    else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
-    let row = |word: &Stored| Row {
-        key: format!("{RATES}{:016x}", word.server),
+    let row = |stored_rate: &Stored| Row {
+        key: format!("{RATES}{:016x}", stored_rate.server),
         // Numbers cannot fail to be written.
-        value: Bytes::from(serde_json::to_vec(word).unwrap_or_default()),
+        value: Bytes::from(serde_json::to_vec(stored_rate).unwrap_or_default()),
         lease,
     };
-    let rows = words.iter().map(row).collect();
+    let rows = rates.iter().map(row).collect();
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
--- a/lib/tests/common/news.rs
+++ b/lib/tests/common/news.rs
@@ -114,7 +114,7 @@
         old.insert(&item(b"serves", 3));
         // What the copy lacks is another key.
         old.insert(&Item { key: "other".to_owned(), ..item(b"", 9) });
-        old.reached(Position { era: 1, revision: 9 });
+        old.advance_to(Position { era: 1, revision: 9 });
         let mut boxes: Vec<Box> = (0..setting.boxes)
             .map(|number| Box {
                 record: BoxRecord {
@@ -148,7 +148,7 @@
         if setting.restored {
             store = Replica::default();
             store.insert(&item(b"serves", 3));
-            store.reached(Position { era: 2, revision: 7 });
+            store.advance_to(Position { era: 2, revision: 7 });
         }
         let rng = SmallRng::seed_from_u64(seed);
         let (queue, versions) = (BinaryHeap::new(), Vec::new());
@@ -215,7 +215,7 @@
     fn change(&mut self) {
         let Position { era, revision } = self.store.version().position;
         self.store.insert(&item(b"leaves", revision + 1));
-        self.store.reached(Position { era, revision: revision + 1 });
+        self.store.advance_to(Position { era, revision: revision + 1 });
         if self.setting.dead_watches {
             return;
         }
@@ -332,9 +332,9 @@
     for key in one.replica.keys_not_in(&ahead.key_hashes().collect()) {
         one.replica.remove(&key);
     }
-    let written: Vec<Item> = ahead.written_beside(&held).collect();
+    let written: Vec<Item> = ahead.items_not_in(&held).collect();
     written.iter().for_each(|item| one.replica.insert(item));
-    one.replica.reached(ahead.version().position);
+    one.replica.advance_to(ahead.version().position);
     one.freshness.taken(one.replica.version(), at, now);
     if one.replica.get(KEY).is_some_and(|value| value == "leaves") {
         one.knows_at.get_or_insert(now);
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -54,16 +54,16 @@
 }
 
 fn snapshot(boxes: Vec<BoxRecord>, homes: &[&str]) -> Snapshot {
-    with_routes(boxes, vec![route("/", homes)])
+    snapshot_with_routes(boxes, vec![route("/", homes)])
 }
 
-fn with_routes(boxes: Vec<BoxRecord>, routes: Vec<Route>) -> Snapshot {
+fn snapshot_with_routes(boxes: Vec<BoxRecord>, routes: Vec<Route>) -> Snapshot {
     let routing = Routing::new(1, routes, BTreeMap::new(), Limits::default());
     Snapshot {
         routing: Some(Arc::new(routing)),
-        fleet: boxes.len() + 1,
+        fleet_size: boxes.len() + 1,
         boxes,
-        lost: Vec::new(),
+        expired_boxes: Vec::new(),
         slots: HashMap::new(),
         servers: HashMap::new(),
         stage: Stage::Serving,
@@ -117,7 +117,7 @@
         route("/south/", &["south"]),
         route("/both/", &["north", "south"]),
     ];
-    let snapshot = with_routes(boxes, routes);
+    let snapshot = snapshot_with_routes(boxes, routes);
     let named = addresses(&snapshot, &record(1, "west", false), &question("north"));
     assert_eq!(named, (vec![address(3)], false));
 }
--- a/lib/tests/test_facts.rs
+++ b/lib/tests/test_facts.rs
@@ -8,8 +8,8 @@
 use std::time::SystemTime;
 
 use copperweir_lib::coordination::presence::box_hash;
-use copperweir_lib::gateway::facts::Facts;
-use copperweir_lib::gateway::facts::View;
+use copperweir_lib::gateway::facts::ClusterState;
+use copperweir_lib::gateway::facts::LocalContext;
 use copperweir_lib::protocol::adapter::Fact;
 use copperweir_lib::protocol::adapter::Subject;
 use copperweir_lib::protocol::fleet::BoxRecord;
@@ -18,8 +18,8 @@
 use copperweir_lib::protocol::routing::Routing;
 use copperweir_lib::protocol::routing::Service;
 
-fn facts() -> Facts {
-    let mut facts = Facts::new(HashMap::from([("z".to_owned(), "r".to_owned())]));
+fn cluster_state() -> ClusterState {
+    let mut cluster_state = ClusterState::new(HashMap::from([("z".to_owned(), "r".to_owned())]));
     let service = Service {
         max_connections: 10,
         health_path: None,
@@ -29,8 +29,8 @@
     };
     let services = BTreeMap::from([("s".to_owned(), service)]);
     let routing = Routing::new(1, Vec::new(), services, Limits::default());
-    facts.learn(Fact::Routing(Box::new(routing)), 1, Instant::now());
-    facts
+    cluster_state.apply(Fact::Routing(Box::new(routing)), 1, Instant::now());
+    cluster_state
 }
 
 fn server(cold_left: Duration) -> Server {
@@ -59,138 +59,156 @@
     }
 }
 
-fn view(own: &BoxRecord, fresh: bool) -> View<'_> {
-    View { own, fresh, cold_excess: 1.5, cold_slack: 3.0 }
+fn context(own_record: &BoxRecord, just_started: bool) -> LocalContext<'_> {
+    LocalContext { own_record, just_started, cold_excess: 1.5, cold_slack: 3.0 }
 }
 
-fn cold_share(facts: &Facts, own: &BoxRecord, fresh: bool) -> u32 {
-    facts.known(&view(own, fresh))["s"][0].cold_share.expect("it may turn cold")
+fn cold_share(cluster_state: &ClusterState, own_record: &BoxRecord, just_started: bool) -> u32 {
+    cluster_state.local_servers(&context(own_record, just_started))["s"][0]
+        .cold_share
+        .expect("it may turn cold")
 }
 
 #[test]
 fn boxes_that_start_together_share_a_cold_server_from_the_first_moment() {
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
-    let own = record("b1");
-    facts.learn_box(own.clone());
-    let alone = cold_share(&facts, &own, true);
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
+    let own_record = record("b1");
+    cluster_state.apply_box(own_record.clone());
+    let alone = cold_share(&cluster_state, &own_record, true);
     for name in ["b1", "b2", "b3"] {
-        facts.learn_roster("r", name);
+        cluster_state.apply_roster_entry("r", name);
     }
-    facts.learn_roster("other", "b4");
-    assert_eq!(cold_share(&facts, &own, true), alone / 3, "others are not in the store yet");
-    assert_eq!(cold_share(&facts, &own, false), alone, "after a while those that live count");
-    assert_eq!(facts.fleet(&view(&own, true)), 4);
+    cluster_state.apply_roster_entry("other", "b4");
+    assert_eq!(
+        cold_share(&cluster_state, &own_record, true),
+        alone / 3,
+        "others are not in the store yet"
+    );
+    assert_eq!(
+        cold_share(&cluster_state, &own_record, false),
+        alone,
+        "after a while those that live count"
+    );
+    assert_eq!(cluster_state.fleet_size(&context(&own_record, true)), 4);
 }
 
 #[test]
 fn a_box_that_is_gone_still_counts_for_a_while() {
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
-    let own = record("b1");
-    facts.learn_box(record("b2"));
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
+    let own_record = record("b1");
+    cluster_state.apply_box(record("b2"));
     let now = Instant::now();
-    let shared = cold_share(&facts, &own, false);
-    facts.forget_box("b2", now);
-    assert_eq!(cold_share(&facts, &own, false), shared);
-    assert!(facts.expire(now + Duration::from_secs(60)));
-    assert!(cold_share(&facts, &own, false) > shared);
+    let shared = cold_share(&cluster_state, &own_record, false);
+    cluster_state.remove_box("b2", now);
+    assert_eq!(cold_share(&cluster_state, &own_record, false), shared);
+    assert!(cluster_state.expire(now + Duration::from_secs(60)));
+    assert!(cold_share(&cluster_state, &own_record, false) > shared);
 }
 
 #[test]
 fn a_box_that_the_store_never_showed_counts_once_it_is_heard() {
     let now = Instant::now();
-    let own = record("b1");
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(Duration::from_secs(3))), 1, now);
-    assert_eq!(cold_share(&facts, &own, false), 14);
-    assert!(facts.hear_boxes([box_hash("b2")].into_iter(), now));
-    assert!(!facts.hear_boxes([box_hash("b2")].into_iter(), now));
-    assert_eq!(cold_share(&facts, &own, false), 7);
-    facts.learn_box(record("b2"));
-    assert_eq!(cold_share(&facts, &own, false), 7, "it is the same box");
-    facts.forget_box("b2", now);
-    facts.expire(now + Duration::from_secs(31));
-    assert_eq!(cold_share(&facts, &own, false), 14);
+    let own_record = record("b1");
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, now);
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 14);
+    assert!(cluster_state.note_heard_boxes([box_hash("b2")].into_iter(), now));
+    assert!(!cluster_state.note_heard_boxes([box_hash("b2")].into_iter(), now));
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 7);
+    cluster_state.apply_box(record("b2"));
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 7, "it is the same box");
+    cluster_state.remove_box("b2", now);
+    cluster_state.expire(now + Duration::from_secs(31));
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 14);
 }
 
 #[test]
 fn a_box_that_is_gone_from_the_store_and_still_heard_goes_on_counting() {
     let mut now = Instant::now();
-    let own = record("b1");
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(Duration::from_secs(3))), 1, now);
-    facts.learn_box(record("b2"));
-    facts.forget_box("b2", now);
+    let own_record = record("b1");
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, now);
+    cluster_state.apply_box(record("b2"));
+    cluster_state.remove_box("b2", now);
     for _ in 0..100 {
         now += Duration::from_secs(1);
-        facts.keep_lost(|name| name == "b2", now);
-        facts.expire(now);
+        cluster_state.refresh_expired_boxes(|name| name == "b2", now);
+        cluster_state.expire(now);
     }
-    assert_eq!(cold_share(&facts, &own, false), 7);
-    assert_eq!(facts.lost(&own), [record("b2")]);
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 7);
+    assert_eq!(cluster_state.other_expired_boxes(&own_record), [record("b2")]);
     now += Duration::from_secs(31);
-    facts.keep_lost(|_| false, now);
-    facts.expire(now);
-    assert_eq!(cold_share(&facts, &own, false), 14);
-    assert!(facts.lost(&own).is_empty());
+    cluster_state.refresh_expired_boxes(|_| false, now);
+    cluster_state.expire(now);
+    assert_eq!(cold_share(&cluster_state, &own_record, false), 14);
+    assert!(cluster_state.other_expired_boxes(&own_record).is_empty());
 }
 
 #[test]
 fn entries_that_lapsed_while_the_store_was_away_get_two_seconds() {
-    let mut facts = facts();
+    let mut cluster_state = cluster_state();
     let now = Instant::now();
-    facts.learn(Fact::Server(server(Duration::ZERO)), 1, now);
-    facts.store_is_back(now);
-    facts.keep_only(&BTreeSet::new(), &BTreeSet::new(), now);
-    assert_eq!(facts.slots()["s"]["r"], 4, "it may be back in a moment");
-    assert!(!facts.expire(now + Duration::from_millis(1900)));
-    assert!(facts.expire(now + Duration::from_millis(2500)));
-    assert!(facts.slots().is_empty());
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
+    cluster_state.note_store_recovered(now);
+    cluster_state.retain_listed(&BTreeSet::new(), &BTreeSet::new(), now);
+    assert_eq!(cluster_state.slots()["s"]["r"], 4, "it may be back in a moment");
+    assert!(!cluster_state.expire(now + Duration::from_millis(1900)));
+    assert!(cluster_state.expire(now + Duration::from_millis(2500)));
+    assert!(cluster_state.slots().is_empty());
 }
 
 #[test]
 fn an_entry_that_goes_while_the_store_is_well_is_gone() {
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(Duration::ZERO)), 1, Instant::now());
-    facts.forget(&Subject::Server("i-1".to_owned()), Instant::now());
-    assert!(facts.slots().is_empty());
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, Instant::now());
+    cluster_state.remove(&Subject::Server("i-1".to_owned()), Instant::now());
+    assert!(cluster_state.slots().is_empty());
 }
 
 #[test]
 fn servers_come_cold_out_of_an_evacuation() {
-    let mut facts = facts();
+    let mut cluster_state = cluster_state();
     let now = Instant::now();
-    facts.learn(Fact::Server(server(Duration::ZERO)), 1, now);
-    facts.learn(Fact::Evacuated("z".to_owned()), 1, now);
-    let own = record("b1");
-    let known = |facts: &Facts| facts.known(&view(&own, false))["s"][0].clone();
-    assert!(!known(&facts).usable);
-    facts.forget(&Subject::Evacuation("z".to_owned()), now);
-    assert!(known(&facts).usable);
-    assert!(known(&facts).cold_until >= Some(now + Duration::from_secs(3)));
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
+    cluster_state.apply(Fact::Evacuated("z".to_owned()), 1, now);
+    let own_record = record("b1");
+    let local_servers = |cluster_state: &ClusterState| {
+        cluster_state.local_servers(&context(&own_record, false))["s"][0].clone()
+    };
+    assert!(!local_servers(&cluster_state).usable);
+    cluster_state.remove(&Subject::Evacuation("z".to_owned()), now);
+    assert!(local_servers(&cluster_state).usable);
+    assert!(local_servers(&cluster_state).cold_until >= Some(now + Duration::from_secs(3)));
 }
 
 #[test]
 fn a_server_that_turns_cold_again_in_the_same_words_is_cold_again() {
     let now = Instant::now();
-    let own = record("b1");
+    let own_record = record("b1");
     let cold_left = Duration::from_secs(3);
-    let mut facts = facts();
-    facts.learn(Fact::Server(server(cold_left)), 5, now);
+    let mut cluster_state = cluster_state();
+    cluster_state.apply(Fact::Server(server(cold_left)), 5, now);
     let later = now + Duration::from_secs(60);
-    facts.learn(Fact::Server(server(cold_left)), 5, later);
-    assert_eq!(facts.known(&view(&own, false))["s"][0].cold_until, Some(now + cold_left));
-    facts.learn(Fact::Server(server(cold_left)), 9, later);
-    assert_eq!(facts.known(&view(&own, false))["s"][0].cold_until, Some(later + cold_left));
+    cluster_state.apply(Fact::Server(server(cold_left)), 5, later);
+    assert_eq!(
+        cluster_state.local_servers(&context(&own_record, false))["s"][0].cold_until,
+        Some(now + cold_left)
+    );
+    cluster_state.apply(Fact::Server(server(cold_left)), 9, later);
+    assert_eq!(
+        cluster_state.local_servers(&context(&own_record, false))["s"][0].cold_until,
+        Some(later + cold_left)
+    );
 }
 
 #[test]
 fn an_older_configuration_is_not_taken() {
-    let mut facts = facts();
+    let mut cluster_state = cluster_state();
     let older = Routing::new(0, Vec::new(), BTreeMap::new(), Limits::default());
-    assert!(!facts.learn(Fact::Routing(Box::new(older)), 1, Instant::now()));
-    assert_eq!(facts.routing.as_ref().map(|routing| routing.version), Some(1));
+    assert!(!cluster_state.apply(Fact::Routing(Box::new(older)), 1, Instant::now()));
+    assert_eq!(cluster_state.routing.as_ref().map(|routing| routing.version), Some(1));
 }
 
 fn born_at(seconds: u64) -> Server {
@@ -200,78 +218,86 @@
 
 #[test]
 fn an_earlier_life_of_a_server_never_replaces_a_later_one() {
-    let (mut facts, now, own) = (facts(), Instant::now(), record("b1"));
+    let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let leaving = Server { leaving: true, ..born_at(10) };
-    assert!(facts.learn(Fact::Server(leaving.clone()), 5, now));
-    assert!(facts.learn(Fact::Server(born_at(20)), 6, now), "a new life leaves no more");
-    assert!(!facts.learn(Fact::Server(leaving), 7, now), "a late write of the earlier one");
-    assert!(!facts.learn(Fact::Server(server(Duration::ZERO)), 8, now), "of whom nothing is known");
-    let known = facts.known(&view(&own, false));
-    assert!(known["s"][0].usable && known["s"][0].server.born == born_at(20).born);
+    assert!(cluster_state.apply(Fact::Server(leaving.clone()), 5, now));
+    assert!(cluster_state.apply(Fact::Server(born_at(20)), 6, now), "a new life leaves no more");
+    assert!(!cluster_state.apply(Fact::Server(leaving), 7, now), "a late write of the earlier one");
+    assert!(
+        !cluster_state.apply(Fact::Server(server(Duration::ZERO)), 8, now),
+        "of whom nothing is known"
+    );
+    let local_servers = cluster_state.local_servers(&context(&own_record, false));
+    assert!(local_servers["s"][0].usable && local_servers["s"][0].server.born == born_at(20).born);
 }
 
 #[test]
 fn what_another_writer_put_under_a_servers_name_is_no_server() {
-    let (mut facts, own) = (facts(), record("b1"));
-    facts.learn(Fact::Server(born_at(10)), 5, Instant::now());
-    facts.disown_server("i-1");
-    assert!(facts.known(&view(&own, false)).is_empty());
+    let (mut cluster_state, own_record) = (cluster_state(), record("b1"));
+    cluster_state.apply(Fact::Server(born_at(10)), 5, Instant::now());
+    cluster_state.discard_server("i-1");
+    assert!(cluster_state.local_servers(&context(&own_record, false)).is_empty());
 }
 
 #[test]
 fn a_server_that_leaves_is_held_back_from_serving_until_a_restored_store_has_settled() {
-    let (mut facts, now, own) = (facts(), Instant::now(), record("b1"));
+    let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let leaving = Server { leaving: true, ..server(Duration::ZERO) };
-    facts.learn(Fact::Server(leaving.clone()), 9, now);
-    facts.store_is_restored(now);
-    let usable = |facts: &Facts| facts.known(&view(&own, false))["s"][0].usable;
-    assert!(!facts.learn(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
-    assert!(!usable(&facts));
+    cluster_state.apply(Fact::Server(leaving.clone()), 9, now);
+    cluster_state.note_store_restored(now);
+    let usable = |cluster_state: &ClusterState| {
+        cluster_state.local_servers(&context(&own_record, false))["s"][0].usable
+    };
+    assert!(!cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
+    assert!(!usable(&cluster_state));
     let settled = now + Duration::from_millis(2500);
-    assert!(facts.expire(settled), "nobody has written otherwise");
-    assert!(usable(&facts));
-    facts.store_is_restored(settled);
-    facts.learn(Fact::Server(server(Duration::ZERO)), 5, settled);
-    facts.learn(Fact::Server(leaving), 6, settled);
-    facts.expire(settled + Duration::from_secs(3));
-    assert!(!usable(&facts), "the server has said so again");
+    assert!(cluster_state.expire(settled), "nobody has written otherwise");
+    assert!(usable(&cluster_state));
+    cluster_state.note_store_restored(settled);
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, settled);
+    cluster_state.apply(Fact::Server(leaving), 6, settled);
+    cluster_state.expire(settled + Duration::from_secs(3));
+    assert!(!usable(&cluster_state), "the server has said so again");
 }
 
 #[test]
 fn what_was_removed_comes_back_with_a_restored_store_only_if_it_stays_there() {
-    let (mut facts, now) = (facts(), Instant::now());
+    let (mut cluster_state, now) = (cluster_state(), Instant::now());
     let subject = Subject::Server("i-1".to_owned());
-    facts.learn(Fact::Server(server(Duration::ZERO)), 5, now);
-    facts.forget(&subject, now);
-    facts.store_is_restored(now);
-    assert!(!facts.learn(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
-    facts.forget(&subject, now);
-    facts.expire(now + Duration::from_secs(3));
-    assert!(facts.slots().is_empty(), "removed again");
-    facts.store_is_restored(now);
-    assert!(facts.learn(Fact::Server(server(Duration::ZERO)), 6, now), "written since");
-    assert_eq!(facts.slots()["s"]["r"], 4);
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now);
+    cluster_state.remove(&subject, now);
+    cluster_state.note_store_restored(now);
+    assert!(!cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
+    cluster_state.remove(&subject, now);
+    cluster_state.expire(now + Duration::from_secs(3));
+    assert!(cluster_state.slots().is_empty(), "removed again");
+    cluster_state.note_store_restored(now);
+    assert!(cluster_state.apply(Fact::Server(server(Duration::ZERO)), 6, now), "written since");
+    assert_eq!(cluster_state.slots()["s"]["r"], 4);
 }
 
 #[test]
 fn an_evacuation_that_ended_does_not_come_back_with_a_restored_store() {
-    let (mut facts, now) = (facts(), Instant::now());
-    facts.learn(Fact::Server(server(Duration::ZERO)), 1, now);
-    facts.learn(Fact::Evacuated("z".to_owned()), 2, now);
-    facts.forget(&Subject::Evacuation("z".to_owned()), now);
-    facts.store_is_restored(now);
-    facts.learn(Fact::Evacuated("z".to_owned()), 2, now);
-    assert_eq!(facts.slots()["s"]["r"], 4);
-    facts.expire(now + Duration::from_secs(3));
-    assert!(facts.slots().is_empty(), "the operator has left it there");
+    let (mut cluster_state, now) = (cluster_state(), Instant::now());
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
+    cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
+    cluster_state.remove(&Subject::Evacuation("z".to_owned()), now);
+    cluster_state.note_store_restored(now);
+    cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
+    assert_eq!(cluster_state.slots()["s"]["r"], 4);
+    cluster_state.expire(now + Duration::from_secs(3));
+    assert!(cluster_state.slots().is_empty(), "the operator has left it there");
 }
 
 #[test]
 fn a_server_that_turned_cold_after_the_copy_stays_cold() {
-    let (mut facts, now, own) = (facts(), Instant::now(), record("b1"));
+    let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let cold_left = Duration::from_secs(5);
-    facts.learn(Fact::Server(server(cold_left)), 9, now);
-    facts.store_is_restored(now);
-    facts.learn(Fact::Server(server(Duration::ZERO)), 5, now);
-    assert_eq!(facts.known(&view(&own, false))["s"][0].cold_until, Some(now + cold_left));
+    cluster_state.apply(Fact::Server(server(cold_left)), 9, now);
+    cluster_state.note_store_restored(now);
+    cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now);
+    assert_eq!(
+        cluster_state.local_servers(&context(&own_record, false))["s"][0].cold_until,
+        Some(now + cold_left)
+    );
 }
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -132,13 +132,13 @@
     one.insert(&item("b", 2));
     one.insert(&item("a", 3));
     one.remove("b");
-    one.reached(at(4));
+    one.advance_to(at(4));
     let mut other = Replica::default();
     other.insert(&item("gone", 1));
     other.insert(&item("a", 3));
-    other.keep_only(&BTreeSet::from(["a".to_owned()]));
+    other.retain_keys(&BTreeSet::from(["a".to_owned()]));
     // The store's revision may grow without a change of a key.
-    other.reached(at(6));
+    other.advance_to(at(6));
     assert_eq!(one.version().digest, other.version().digest);
     assert!(!other.version().is_ahead_of(&one.version()));
     other.insert(&item("b", 6));
@@ -153,18 +153,18 @@
     for replica in [&mut one, &mut other] {
         replica.insert(&item("a", 1));
         replica.insert(&item("b", 2));
-        replica.reached(at(2));
+        replica.advance_to(at(2));
     }
     other.remove("a");
     other.insert(&item("c", 4));
-    other.reached(at(4));
+    other.advance_to(at(4));
     for key in one.keys_not_in(&other.key_hashes().collect()) {
         one.remove(&key);
     }
-    let written: Vec<Item> = other.written_after(one.version().position).collect();
+    let written: Vec<Item> = other.items_written_after(one.version().position).collect();
     assert_eq!(written, [item("c", 4)]);
     written.iter().for_each(|item| one.insert(item));
-    one.reached(at(4));
+    one.advance_to(at(4));
     assert_eq!(one.version(), other.version());
 }
 
@@ -175,8 +175,8 @@
     for key in behind.keys_in(&removed) {
         behind.remove(&key);
     }
-    ahead.written_after(after).for_each(|item| behind.insert(&item));
-    behind.reached(ahead.version().position);
+    ahead.items_written_after(after).for_each(|item| behind.insert(&item));
+    behind.advance_to(ahead.version().position);
 }
 
 proptest! {
@@ -185,8 +185,8 @@
         changes in prop::collection::vec((0..6u8, any::<bool>(), any::<bool>(), any::<bool>()), 0..60)
     ) {
         let (mut ahead, mut behind) = (Replica::default(), Replica::default());
-        ahead.reached(at(1));
-        behind.reached(at(1));
+        ahead.advance_to(at(1));
+        behind.advance_to(at(1));
         let mut revision = 1;
         for (key, written, end_of_batch, asks) in changes {
             revision += 1;
@@ -197,14 +197,14 @@
                 ahead.remove(&key);
             }
             if end_of_batch {
-                ahead.reached(at(revision));
+                ahead.advance_to(at(revision));
                 if asks {
                     catch_up(&mut behind, &ahead);
                     prop_assert_eq!(behind.version(), ahead.version());
                 }
             }
         }
-        ahead.reached(at(revision));
+        ahead.advance_to(at(revision));
         catch_up(&mut behind, &ahead);
         prop_assert_eq!(behind.version(), ahead.version());
     }
@@ -215,9 +215,9 @@
 fn a_removal_is_told_alone() {
     let mut replica = Replica::default();
     (0..3000).for_each(|number| replica.insert(&item(&format!("k{number}"), 1)));
-    replica.reached(at(1));
+    replica.advance_to(at(1));
     replica.remove("k7");
-    replica.reached(at(2));
+    replica.advance_to(at(2));
     let told = |after| replica.removed_after(at(after)).map(|removed| removed.count());
     assert_eq!([told(0), told(1), told(2)], [None, Some(1), Some(0)]);
 }
@@ -225,17 +225,17 @@
 #[test]
 fn a_replica_says_so_when_it_no_longer_knows_what_was_removed() {
     let mut replica = Replica::default();
-    replica.reached(at(1));
+    replica.advance_to(at(1));
     for number in 0..2000 {
         replica.insert(&item(&format!("k{number}"), 2));
         replica.remove(&format!("k{number}"));
-        replica.reached(at(3 + number));
+        replica.advance_to(at(3 + number));
     }
     assert!(replica.removed_after(at(1)).is_none());
     assert_eq!(replica.removed_after(at(2001)).map(|removed| removed.count()), Some(1));
     // Nor does it after a whole read.
-    replica.keep_only(&BTreeSet::new());
-    replica.reached(at(3000));
+    replica.retain_keys(&BTreeSet::new());
+    replica.advance_to(at(3000));
     assert!(replica.removed_after(at(2999)).is_none());
 }
 
@@ -319,19 +319,19 @@
     other.insert(&Item { value: Bytes::from_static(b"other"), ..item("a", 3) });
     assert_ne!(one.version().digest, other.version().digest);
     let held = one.digests().collect();
-    assert_eq!(other.written_beside(&held).count(), 1);
-    assert_eq!(one.written_beside(&held).count(), 0);
+    assert_eq!(other.items_not_in(&held).count(), 1);
+    assert_eq!(one.items_not_in(&held).count(), 0);
 }
 
 #[test]
 fn a_replica_of_another_history_is_told_all_keys() {
     let mut replica = Replica::default();
     replica.insert(&item("a", 3));
-    replica.reached(Position { era: 1, revision: 5 });
+    replica.advance_to(Position { era: 1, revision: 5 });
     replica.remove("a");
     replica.insert(&item("b", 4));
-    replica.reached(Position { era: 2, revision: 4 });
-    assert_eq!(replica.written_after(Position { era: 1, revision: 5 }).count(), 1);
+    replica.advance_to(Position { era: 2, revision: 4 });
+    assert_eq!(replica.items_written_after(Position { era: 1, revision: 5 }).count(), 1);
     assert!(replica.removed_after(Position { era: 1, revision: 5 }).is_none());
     assert!(replica.removed_after(Position { era: 2, revision: 4 }).is_some());
 }
