--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -1,5 +1,4 @@
-//! One send of a request, to a backend server or to a box of another region,
-//! and what came of it.
+//! A single send of a request to a backend server or to a box of another region, and its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,44 +36,45 @@
 use crate::transport::backend::Exchange;
 use crate::transport::timer;
 
-/// Largest answer that is read whole before it is passed on, bytes.
+/// Maximum size in bytes of an answer that is buffered before it is forwarded.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
-/// What a connection's announced idle time is cut by, for the way there.
+/// Safety margin subtracted from the announced idle time of a connection, for the time that
+/// requests take to the server.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// An answer to pass on.
+/// An answer to forward to the caller.
 pub struct Reply<A: Adapter> {
-    /// Status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// The headers to forward.
     pub headers: HeaderMap,
-    /// Body.
+    /// The body.
     pub payload: Payload<A>,
 }
 
-/// The body of an answer to pass on.
+/// The body of an answer.
 pub enum Payload<A: Adapter> {
-    /// Read whole.
+    /// A complete body.
     Whole(Bytes),
-    /// A stream of events that has begun.
+    /// A stream of events whose first event has been read.
     Stream(Box<Stream<A>>),
 }
 
-/// What came of one send.
+/// The outcome of one send.
 pub enum SendOutcome<A: Adapter> {
-    /// An answer.
+    /// There is an answer.
     Answered(Reply<A>),
-    /// It did not run, and was not even sent.
+    /// The request was not sent, so it did not run.
     Unsent(Failure),
-    /// The other side refused it; it did not run.
+    /// The receiver refused the request; it did not run.
     Refused(Failure),
-    /// As that, and the server wants nothing from this box for a while.
+    /// The server refused the request and asked to get none from this box for a while.
     RefusedWithRest(Failure),
-    /// It may have run.
+    /// The request may have run.
     MaybeRan(Failure),
 }
 
-/// Sends to a backend server.
+/// Sends the request to a backend server.
 pub async fn to_server<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -83,12 +83,13 @@
 ) -> SendOutcome<A> {
     let request = job.for_server(&shared.adapter, &reservation.place.server, last_event);
     shared.counters.count(Counter::Attempts);
-    // A request that may run only once takes a new connection: nothing that an
-    // earlier answer left behind can be taken for its own.
+    // A request that may run only once uses a new connection. On a reused one, remains of an
+    // earlier answer could be taken for its answer.
     let new_connection = !job.route.repeatable();
     let address = reservation.place.address;
     let server = reservation.place.server.clone();
-    // What the server has said since it was chosen counts: a connection may take as long as the choice is old.
+    // Takes into account what the server has reported since it was chosen, as connecting may take
+    // long.
     let admits = || reservation.is_still_admitted();
     let response = send(&shared.servers, job, address, request, new_connection, admits).await;
     let mut reservation = Some(reservation);
@@ -101,7 +102,7 @@
     }
 }
 
-/// Sends to a box of another region.
+/// Sends the request to a box of another region.
 pub async fn to_peer<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -123,7 +124,7 @@
     }
 }
 
-/// A send without an answer.
+/// A send that got no answer.
 struct NoResponse {
     event: Event,
     message: String,
@@ -175,7 +176,7 @@
     response.headers().get(SENDS_HEADER).is_none_or(|sends| sends != "0")
 }
 
-/// The failure that another box answered with, unless it passes a server's answer on.
+/// The failure that another box answered with. `None` if it forwards a server's answer.
 fn peer_failure(response: &Response<Exchange>) -> Option<Failure> {
     let ran = response.headers().get(caller::RAN)?.to_str().map_or(Ran::Unknown, Ran::parse);
     let message = format!("the box answered {}", response.status());
@@ -192,7 +193,7 @@
     })
 }
 
-/// Reads an answer as far as it is needed to decide what becomes of it.
+/// Reads an answer as far as needed to decide the outcome.
 async fn receive<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -262,7 +263,7 @@
     }
 }
 
-/// What the head of an answer says became of the send so far.
+/// The event that the head of an answer stands for.
 fn head_event(verdict: &Verdict) -> Event {
     if verdict.other_instance {
         Event::Replaced
@@ -275,12 +276,12 @@
     }
 }
 
-/// What a whole answer says.
+/// The event that a complete answer stands for.
 fn body_event(status: StatusCode) -> Event {
     if status.is_success() {
         Event::Answered
     } else if status.is_server_error() {
-        // A server's own failure does not show that the request is sound.
+        // A server error doesn't show that the request is harmless.
         Event::Failed
     } else {
         Event::Rejected
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -1,9 +1,9 @@
-//! The control thread: it keeps this box's record in the store, follows what
-//! is written there, and publishes what follows from it.
+//! The control thread. It maintains this box's record in the store, applies changes from the store,
+//! and publishes snapshots for the traffic thread.
 //!
-//! The store may be away for as long as it likes: what was known stays in
-//! force, is made up from boxes that know more, and is read afresh once the
-//! store answers again.
+//! The store may be unavailable for any length of time. The last known state stays in force
+//! meanwhile, is updated from boxes that have a newer one, and is read again once the store
+//! answers.
 
 mod follow;
 mod others;
@@ -46,21 +46,23 @@
 use crate::transport::store;
 use crate::transport::timer;
 
-/// How long a box counts as fresh: others that started with it are in the store by then.
+/// How long a box counts as just started. Boxes that started at the same time have their records in
+/// the store by then.
 const STARTUP_PERIOD: Duration = Duration::from_secs(10);
-/// Shortest time without the store after which entries of servers may have lapsed, from the first
-/// failed call on. One broken connection among 295 boxes kept servers that were gone for 2.2 s more.
+/// Minimum outage, measured from the first failed call, after which server entries in the store may
+/// have expired. Without a minimum, one broken connection among 295 boxes made them keep servers
+/// that were gone for 2.2 s more.
 const MIN_OUTAGE: Duration = Duration::from_millis(500);
-/// Time between looks at what has been missing for long enough and at a stop's progress.
+/// Interval of the checks for expired entries and for the progress of a shutdown.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a leaving box still takes new connections: callers are told of it for a while yet.
-/// After that, whoever connects is refused and goes elsewhere at once.
+/// How long a leaving box still accepts new connections, because callers may still be directed to
+/// it for a while. After that, connections are refused and callers go to another box at once.
 const STOP_GRACE: Duration = Duration::from_millis(2500);
 
-/// Longest wait at the end for answers that are already written.
+/// Maximum time at shutdown to flush answers that are already written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The control state of a gateway.
+/// State of the control thread.
 pub struct Control<A: Adapter> {
     shared: Arc<Shared<A>>,
     store: store::Client<A>,
@@ -70,11 +72,11 @@
     drain: Drain,
     stop: watch::Sender<Stop>,
     store_down_since: Option<Instant>,
-    /// When the store is asked next, whoever else is drawn to do so.
+    /// When to poll the store regardless of the random draw.
     next_check_at: Option<Instant>,
-    /// When another box was last asked for its state.
+    /// When another box was last queried for its state.
     last_peer_query_at: Option<Instant>,
-    /// When this box last looked for others.
+    /// When the seeds were last queried to discover other boxes.
     last_seed_query_at: Option<Instant>,
     watching: bool,
     started_at: Instant,
@@ -83,7 +85,7 @@
 }
 
 impl<A: Adapter> Control<A> {
-    /// The control state of a fresh gateway.
+    /// Creates the control state of a gateway that has just started.
     pub fn new(
         shared: Arc<Shared<A>>,
         store: store::Client<A>,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Runs until a stop has ended; gives how.
+    /// Runs until the shutdown is complete and returns how it ended.
     pub async fn run(
         mut self,
         sender: mpsc::Sender<Event>,
@@ -136,7 +138,7 @@
         {
             log::warn!("event=connections_cut reason=\"answers were not read in time\"");
         }
-        // A traffic thread that has ended need not be told.
+        // The send fails if the traffic thread has already ended.
         let _ = self.stop.send(Stop::Now);
         drop(self.record_sender);
         if timer::timeout(FLUSH_TIMEOUT, lease_task).await.is_err() {
@@ -146,7 +148,8 @@
         ending
     }
 
-    /// Obtains a first state; says whether there is one before the process ends.
+    /// Loads an initial state from the store or from other boxes. Returns whether there is one
+    /// before the process ends.
     async fn load_initial_state(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
         while self.cluster_state.routing.is_none() {
             match self.load_full_state().await {
@@ -163,7 +166,7 @@
         true
     }
 
-    /// Waits for the pause after a failed call; says whether the process ends.
+    /// Waits before the next attempt after a failed call. Returns whether the process ends.
     async fn wait_before_retry(&mut self, events: &mut mpsc::Receiver<Event>) -> bool {
         let until = clock::now() + store::RETRY_PAUSE;
         while clock::now() < until {
@@ -179,8 +182,9 @@
         false
     }
 
-    /// Whether this box watches the store for its region. One that the store does not show yet cannot
-    /// know who else there is; when all boxes start at once, the seeds watch until they are shown.
+    /// Whether this box should watch the store on behalf of its region. A box that is not listed in
+    /// the store yet doesn't know which other boxes exist. When all boxes start at once, the seeds
+    /// watch until they are listed.
     fn should_watch(&self) -> bool {
         let snapshot = self.shared.snapshot.load();
         if !self.cluster_state.is_listed(&self.own_record.name) {
@@ -189,13 +193,13 @@
         watchers::watches(&self.own_record, snapshot.boxes.iter())
     }
 
-    /// Whether other boxes ask this one when they start.
+    /// Whether other boxes query this one when they start.
     fn is_seed(&self) -> bool {
         let settings = &self.shared.settings;
         settings.seeds.is_empty() || settings.seeds.contains(&settings.listen.handover)
     }
 
-    /// Notes whether this box watches, and says so in the log.
+    /// Sets whether this box watches the store, and logs changes.
     fn set_watching(&mut self, watching: bool) {
         if self.watching != watching {
             self.watching = watching;
@@ -203,14 +207,14 @@
         }
     }
 
-    /// Place in the store's history of what is known from there; other boxes may have said that nothing
-    /// has changed since the last call.
+    /// Position in the store's history that the known state corresponds to. It may be newer than
+    /// the last call to the store, if other boxes reported that nothing has changed since.
     fn position(&self) -> Position {
         lock(&self.shared.freshness).version().position
     }
 
-    /// The store came back from an older copy then: what is known, up to `before`, is of a history that it no
-    /// longer has.
+    /// Handles a store that was restored from an older copy at `at`. The known state, up to
+    /// `before`, belongs to a history that the store no longer has.
     fn begin_era(&mut self, at: Instant, before: Position, position: Position) {
         log::warn!("event=store_restored position={position} before={before}");
         self.shared.counters.count(Counter::StoreRestored);
@@ -245,9 +249,10 @@
             Event::Stop => self.begin_stop(),
             Event::Reload => log::info!("event=reload settings=\"count from the next start\""),
             Event::StoreRecovered => self.cluster_state.note_store_recovered(clock::now()),
-            // Boxes that start together read the store before the others' records are in it. The later
-            // one of any two finds the other by this, and the other hears it; without, two of them that
-            // lost the store right after their start gave a cold server 28 requests in a second.
+            // Boxes that start together read the store before the others' records are in it. Of any
+            // two, the one that writes later finds the other by polling again now, and the other
+            // receives its reports. Without this, two of them that lost the store right after their
+            // start sent 28 requests in a second to a cold server.
             Event::RecordWritten => self.next_check_at = Some(clock::now()),
         }
     }
@@ -263,7 +268,7 @@
         }
     }
 
-    /// What passes with time; says whether the process ends.
+    /// Handles everything that depends on time. Returns whether the process ends.
     fn tick(&mut self) -> bool {
         let now = clock::now();
         let startup_over = self.just_started && now >= self.started_at + STARTUP_PERIOD;
@@ -283,7 +288,7 @@
         if stage != before {
             log::info!("event=stop_stage stage={stage:?} in_flight={in_flight}");
             if stage == Stage::Closing {
-                // A traffic thread that has ended need not be told.
+                // The send fails if the traffic thread has already ended.
                 let _ = self.stop.send(Stop::Gently);
             }
             self.publish();
@@ -291,8 +296,8 @@
         stage.ended()
     }
 
-    /// Boxes that say something count, though the store does not, or no longer, show them. Says
-    /// whether one is new.
+    /// Counts boxes that send reports though the store doesn't list them, or no longer does.
+    /// Returns whether one of them is new.
     fn update_heard_boxes(&mut self, now: Instant) -> bool {
         let unlisted = lock(&self.shared.unlisted);
         let unlisted_in_region =
@@ -306,7 +311,7 @@
         found_box
     }
 
-    /// Publishes what is known to traffic.
+    /// Publishes a snapshot of the known state to the traffic thread.
     fn publish(&mut self) {
         let settings = &self.shared.settings;
         let context = LocalContext {
@@ -321,7 +326,7 @@
         let departures = lock(&self.shared.departures);
         self.cluster_state.set_leaving(|life| departures.leaves(life));
         drop(departures);
-        let mut known = self.cluster_state.local_servers(&context);
+        let mut local_servers = self.cluster_state.local_servers(&context);
         if let Some(routing) = &self.cluster_state.routing {
             let mut services = lock(&self.shared.services);
             services.retain(|name, _| routing.services.contains_key(name));
@@ -330,9 +335,10 @@
                     placement: Placement::new(self.started_at),
                     budget: Budget::new(settings.retries, now),
                 });
-                let servers = known.remove(name).unwrap_or_default();
+                let servers = local_servers.remove(name).unwrap_or_default();
                 state.placement.update(servers, sharing_boxes, service, now);
-                // Under the lock of the services: a word that comes meanwhile is set after this.
+                // Locked while `services` is locked, so a report that arrives meanwhile is applied
+                // after this.
                 let departures = lock(&self.shared.departures);
                 state.placement.set_leaving(|life| departures.leaves(life));
             }
--- a/lib/src/gateway/control/follow.rs
+++ b/lib/src/gateway/control/follow.rs
@@ -1,4 +1,4 @@
-//! Reads the store and follows its changes.
+//! Reads the state from the store and keeps it current by watches and polls.
 
 use std::collections::BTreeSet;
 use std::pin::Pin;
@@ -35,69 +35,70 @@
 use crate::transport::store::Told;
 use crate::transport::timer;
 
-/// All keys are followed by one watch: each change wakes a box once.
+/// Prefix of all keys. One watch covers them all, so that each change wakes a box once.
 const ALL_KEYS: &str = "";
-/// Longest wait of a watch. Each return costs a call. One whose connection died unnoticed is given
-/// up earlier: when another box is ahead, or when no box has a word of the store.
+/// Maximum wait of a watch call; each return costs another call. A watch whose connection died
+/// unnoticed is abandoned earlier: when another box has a newer state, or when no box has recent
+/// information from the store.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Part of the store's reading calls that watches of all boxes may take while changes come close
-/// together; those within the pause that follows from it cost one call.
+/// Share of the store's read rate that the watches of all boxes may use while changes are frequent.
+/// Changes that fall into the resulting gap between two watches cost one call.
 const WATCH_READ_SHARE: f64 = 0.01;
-/// Longest such pause, as a part of the time within which changes must count: a lost call leaves
-/// time for another.
+/// Maximum of that gap as a share of the propagation limit. After a lost call there is time for
+/// another one.
 const MAX_WATCH_GAP_SHARE: f64 = 0.3;
 
-/// Shortest such pause. Changes that come together, as when boxes are restarted one after the other,
-/// cost one call of each box that watches.
+/// Minimum of that gap. Changes in quick succession, as in a rolling restart of the boxes, cost
+/// each watching box one call.
 const MIN_WATCH_GAP: Duration = Duration::from_millis(200);
 
-/// A call to the store that follows its changes.
+/// A call to the store for the changes since the known position.
 type ChangesCall = Pin<Box<dyn Future<Output = Result<Told, PlatformError>>>>;
 
-/// Calls to the store that read all that it holds.
+/// A series of calls that reads the complete contents of the store.
 type FullReadCall = Pin<Box<dyn Future<Output = Result<FullState, PlatformError>>>>;
 
-/// What the store has told.
+/// An answer from the store.
 enum StoreAnswer {
-    /// Changes.
+    /// The changes since the known position.
     Incremental(Told),
-    /// All that it holds.
+    /// The complete contents.
     Full(FullState),
 }
 
-/// What came of an answer.
+/// The effect of an answer on the known state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AnswerEffect {
-    /// Nothing new.
+    /// Nothing was new.
     Unchanged,
-    /// Changes, or all that there is.
+    /// Changes or the complete contents were applied.
     Changed,
-    /// The changes since what is known can't be told: all is to be read.
+    /// The store can't tell the changes since the known position. A full read is needed.
     Superseded,
 }
 
-/// What a box waits for from the store.
+/// The call to the store that this box is waiting for.
 enum PendingCall {
-    /// Nothing: other boxes tell it, or the next call is not due.
+    /// None: other boxes provide the state, or the next call is not due.
     Idle,
-    /// Changes, as they come.
+    /// Waits for changes.
     Watch(ChangesCall),
-    /// Changes that there are already.
+    /// Asks whether there are changes, without waiting.
     Poll(ChangesCall),
-    /// All that there is.
+    /// Reads the complete contents.
     FullRead(FullReadCall),
 }
 
-/// All that the store holds.
+/// The complete contents of the store.
 struct FullState {
     items: Vec<Item>,
-    /// Place in the history from which on changes are to be watched for.
+    /// Position in the history from which on to watch for changes.
     position: Position,
 }
 
-/// Reads all that the store holds, in the newest era that is known. Never a stale read, which would cost a
-/// tenth: while the store forgets its history these are seconds old, and a box that starts would send to a
-/// failure domain that was evacuated longer ago than it may.
+/// Reads the complete contents of the store, in the newest known era. It never uses stale reads,
+/// though they cost a tenth: while the store compacts its history they lag by seconds, and a box
+/// that starts would send to a failure domain for longer after its evacuation than is allowed.
 async fn read_full_state<A: Adapter>(
     store: store::Client<A>,
     known_era: Era,
@@ -107,17 +108,17 @@
     let mut all_items = Vec::new();
     loop {
         let prefix = ALL_KEYS.to_owned();
-        let told = store.read(&Operation::Range { prefix, after }).await?;
-        let Answer::Page { items, more, revision } = told.answer else {
+        let page = store.read(&Operation::Range { prefix, after }).await?;
+        let Answer::Page { items, more, revision } = page.answer else {
             return Err(PlatformError::Malformed("not a page".to_owned()));
         };
-        let era = told.era.unwrap_or(known_era);
+        let era = page.era.unwrap_or(known_era);
         if era < store.era() || oldest.is_some_and(|oldest| oldest.era != era) {
             return Err(PlatformError::Lost("the store went back meanwhile".to_owned()));
         }
         let position = Position { era, revision };
         after = items.last().map(|item| item.key.clone());
-        // Pages are no snapshot: changes since the oldest one are watched for.
+        // The pages are no consistent snapshot, so changes are watched for from the oldest page on.
         let position = oldest.map_or(position, |oldest| oldest.min(position));
         oldest = Some(position);
         all_items.extend(items);
@@ -128,7 +129,7 @@
 }
 
 impl<A: Adapter> Control<A> {
-    /// Reads all that the store holds, and waits for it.
+    /// Reads the complete contents of the store and applies them.
     pub(super) async fn load_full_state(&mut self) -> Result<(), PlatformError> {
         let full_state = read_full_state(self.store.clone(), self.position().era).await?;
         self.apply_full_state(full_state);
@@ -143,7 +144,8 @@
         self.shared.region_update.notify_one();
     }
 
-    /// Takes in the whole state at a place in the history; what it does not show is gone.
+    /// Replaces the known state by the complete contents at a position. Keys that are not among
+    /// them are removed.
     fn replace_state(&mut self, items: Vec<Item>, position: Position) {
         let before = self.position();
         if before.era != position.era && self.cluster_state.routing.is_some() {
@@ -170,7 +172,7 @@
         log::info!("event=state_read position={position} before={before} keys={}", keys.len());
     }
 
-    /// Follows changes, as the store or other boxes tell them, until the process ends.
+    /// Applies changes from the store or from other boxes until the process ends.
     pub(super) async fn run_sync(&mut self, events: &mut mpsc::Receiver<Event>) {
         let mut pending = PendingCall::Idle;
         let mut last_change_at: Option<Instant> = None;
@@ -178,7 +180,7 @@
         loop {
             let now = clock::now();
             if let Some(address) = self.newer_peer(now) {
-                // A watch that has not told by now has died.
+                // A watch that has not returned these changes by now has died.
                 pending = PendingCall::Idle;
                 self.fetch_state_from(address).await;
             }
@@ -203,7 +205,7 @@
                     self.start_watch()
                 }
                 PendingCall::Watch(_) if !watching => PendingCall::Idle,
-                as_before => as_before,
+                unchanged => unchanged,
             };
             let tick = if watching { self.watch_gap().min(LOOK_AGAIN) } else { LOOK_AGAIN };
             let answer = tokio::select! {
@@ -229,20 +231,21 @@
         }
     }
 
-    /// Whether a call for changes would be one for those of a history that the store no longer has. It
-    /// need not fail: the new history may have passed the revision that is known of the old one.
+    /// Whether the known position belongs to a history that the store no longer has. A call for
+    /// changes since that position need not fail, because the new history may already have passed
+    /// its revision.
     pub(super) fn is_superseded(&self) -> bool {
         let mut freshness = lock(&self.shared.freshness);
         freshness.hear_era(self.store.era());
         freshness.is_superseded()
     }
 
-    /// A call that tells changes as they come.
+    /// Starts a call that returns changes as soon as there are any.
     fn start_watch(&self) -> PendingCall {
         PendingCall::Watch(self.call_for_changes(WATCH_TIMEOUT))
     }
 
-    /// A call that tells at once whether there are changes.
+    /// Starts a call that returns at once, with or without changes.
     fn start_poll(&self) -> PendingCall {
         PendingCall::Poll(self.call_for_changes(Duration::ZERO))
     }
@@ -254,21 +257,21 @@
         Box::pin(async move { store.read(&operation).await })
     }
 
-    /// A call, or several, that tells all that the store holds.
+    /// Starts a read of the complete contents, in one call or several.
     fn start_full_read(&self) -> PendingCall {
         PendingCall::FullRead(Box::pin(read_full_state(self.store.clone(), self.position().era)))
     }
 
-    /// Takes in what the store answered; says what came of it.
+    /// Applies an answer of the store and returns its effect.
     fn apply_answer(&mut self, answer: Result<StoreAnswer, PlatformError>) -> AnswerEffect {
-        let known = self.position();
+        let known_position = self.position();
         match answer {
             Ok(StoreAnswer::Full(full_state)) => {
                 self.apply_full_state(full_state);
                 AnswerEffect::Changed
             }
             Ok(StoreAnswer::Incremental(Told { era, .. }))
-                if era.is_some_and(|era| era != known.era) =>
+                if era.is_some_and(|era| era != known_position.era) =>
             {
                 AnswerEffect::Superseded
             }
@@ -279,7 +282,7 @@
                 self.note_store_success();
                 let has_changes = !changes.is_empty();
                 changes.into_iter().for_each(|change| self.apply_change(change));
-                lock(&self.shared.replica).advance_to(Position { revision, ..known });
+                lock(&self.shared.replica).advance_to(Position { revision, ..known_position });
                 self.mark_current();
                 if !has_changes {
                     return AnswerEffect::Unchanged;
@@ -289,7 +292,7 @@
                 AnswerEffect::Changed
             }
             Ok(StoreAnswer::Incremental(_)) | Err(PlatformError::HistoryGone) => {
-                log::warn!("event=history_gone after={known}");
+                log::warn!("event=history_gone after={known_position}");
                 AnswerEffect::Superseded
             }
             Err(error) => {
@@ -299,17 +302,17 @@
         }
     }
 
-    /// The state is the store's now.
+    /// Records that the known state is now that of the store.
     fn mark_current(&self) {
         let version = lock(&self.shared.replica).version();
         let now = clock::now();
         lock(&self.shared.freshness).taken(version, Some(now), now);
     }
 
-    /// Whether this box should look for changes: a watch that waits may have died unnoticed, and no
-    /// box has said of late that there are none. Watches that had died at all boxes at once hid an
-    /// evacuation for 11 s. It costs four calls a second of all boxes together: 206 became 381 on a
-    /// calm day of nine boxes, 1,350 became 1,571 on one of 69.
+    /// Draws whether this box polls the store: a waiting watch may have died unnoticed, and no box
+    /// has reported lately that nothing changed. Without this, watches that died at all boxes at
+    /// once hid an evacuation for 11 s. It costs four calls a second over all boxes: 206 calls
+    /// became 381 on a calm day with nine boxes, and 1,350 became 1,571 on one with 69.
     fn draw_poll(&self) -> bool {
         let fleet_size = self.shared.snapshot.load().fleet_size;
         let freshness = lock(&self.shared.freshness);
@@ -320,14 +323,15 @@
         rand::rng().random::<f64>() < probability
     }
 
-    /// Whether the store is to be asked now: this box has just written its record, or a call failed a
-    /// short while ago for the first time. A broken connection is no outage, and a box that watches
-    /// would be away until it is drawn, 7 s on average among 295.
+    /// Whether to poll the store now, because this box has just written its record or because a
+    /// call failed for the first time a short while ago. A broken connection is not an outage, and
+    /// without this poll a watching box would do without the store until it is drawn, 7 s on
+    /// average among 295 boxes.
     fn take_due_check(&mut self, now: Instant) -> bool {
         self.next_check_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// Least time from one watch to the next.
+    /// Minimum time from one watch to the next.
     pub(super) fn watch_gap(&self) -> Duration {
         let settings = &self.shared.settings;
         let watching = watchers::most(&self.shared.snapshot.load().boxes) as f64;
@@ -336,7 +340,7 @@
         Duration::from_secs_f64(rate_gap).max(MIN_WATCH_GAP).min(max_gap)
     }
 
-    /// Takes in a change of a key.
+    /// Applies the change of a key.
     pub(super) fn apply_change(&mut self, change: Change) {
         let now = clock::now();
         match change {
@@ -367,7 +371,8 @@
         key
     }
 
-    /// Writes this box's record again if a store that came back from an older copy shows an earlier one.
+    /// Writes this box's record again if a store that was restored from an older copy has an
+    /// outdated one.
     fn rewrite_outdated_record(&mut self, record: &BoxRecord) {
         if record.name == self.own_record.name
             && *record != self.own_record
@@ -378,7 +383,7 @@
         }
     }
 
-    /// Takes in a key that was written.
+    /// Applies a key that was written.
     fn apply_item(&mut self, item: Item) {
         lock(&self.shared.replica).insert(&item);
         if let Some((region, name)) =
@@ -429,7 +434,7 @@
 }
 
 impl PendingCall {
-    /// The store's answer; never one if there is no call.
+    /// Waits for the store's answer. Never returns if there is no call.
     async fn answer(&mut self) -> Result<StoreAnswer, PlatformError> {
         match self {
             PendingCall::Idle => std::future::pending().await,
--- a/lib/src/gateway/control/others.rs
+++ b/lib/src/gateway/control/others.rs
@@ -1,5 +1,5 @@
-//! Takes the state of the store from other boxes: of those that watch it, or of
-//! any that knows more than this one.
+//! Takes the store's state from other boxes: from those that watch the store, or from any that has
+//! a newer state than this one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::protocol::adapter::Change;
 use crate::state::clock;
 
-/// How much longer than the pause between watches a box that watches may lag behind another one:
-/// some slow calls.
+/// How far a watching box may lag behind another one beyond the gap between two watches: the time
+/// of a few slow calls.
 const WATCH_LAG_ALLOWANCE: Duration = Duration::from_secs(1);
-/// Least time from one question to another box for its state to the next: while changes come close
-/// together, hundreds of boxes ask the few that watch.
+/// Minimum time between two state queries to other boxes. While changes are frequent, hundreds of
+/// boxes query the few that watch.
 const MIN_QUERY_GAP: Duration = Duration::from_millis(200);
 
-/// Time between questions of a box that knows nobody: one that is asked answers boxes elsewhere only
-/// when it has heard them for a second.
+/// Interval at which a box that knows no other one queries the seeds. A queried box sends to boxes
+/// of other regions only once it has known them for a second without finding them in the store.
 const SEED_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<A: Adapter> Control<A> {
-    /// A box that knows nothing yet asks others for what they had from the store.
+    /// Queries the seeds for their state from the store, if this box has none yet.
     pub(super) async fn load_state_from_seeds(&mut self) {
         if self.cluster_state.routing.is_some() {
             return;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What this box is to others that the store does not show it to.
+    /// The entry by which boxes that don't find this one in the store know it.
     fn own_neighbor(&self) -> Neighbor {
         Neighbor {
             box_hash: presence::box_hash(&self.own_record.name),
@@ -51,10 +51,11 @@
         }
     }
 
-    /// Asks the seeds, and is heard by them, if this box lost the store before it could know anybody:
-    /// it tells nobody of itself then, and nobody can name it. Two such boxes, the only ones of a
-    /// region, gave cold servers 28 requests in a second, where 17 are allowed, and a team 356 in 8 s
-    /// instead of 258, for the 12 s until the store was back.
+    /// Queries the seeds if this box lost the store before it knew any other box; the queries make
+    /// it known to them. Otherwise it would send reports to nobody, and no box could pass its
+    /// address on. Two such boxes, the only ones of a region, sent cold servers 28 requests in a
+    /// second where 17 are allowed, and let a team send 356 requests in 8 s instead of 258, for the
+    /// 12 s until the store was back.
     pub(super) async fn discover_peers(&mut self, now: Instant) {
         let knows_no_box = {
             let snapshot = self.shared.snapshot.load();
@@ -78,10 +79,11 @@
         }
     }
 
-    /// Takes the state of a box that knows more than this one, which the store does not tell, or
-    /// whose watch has died unnoticed. Boxes that lost the store sent on to a failure domain that
-    /// was evacuated 6 s before, and gave engines there that had turned cold 22 requests in a
-    /// second instead of 17, on every way to lose the store that left others with it.
+    /// Takes the state of a box that has a newer one, because this box can't reach the store or its
+    /// watch has died unnoticed. Without this, boxes that lost the store sent to a failure domain
+    /// that had been evacuated 6 s before, and sent 22 requests in a second instead of 17 to
+    /// engines there that had turned cold. It happened with every kind of store outage that left
+    /// other boxes connected.
     pub(super) async fn fetch_state_from(&mut self, address: SocketAddr) {
         self.last_peer_query_at = Some(clock::now());
         let peers = self.shared.peers.clone();
@@ -89,7 +91,8 @@
         if self.is_superseded() {
             scope = self.differing_entries();
         }
-        // If what was written since does not make the same state, all that differs does.
+        // If the writes since the known position don't lead to the same state, the second round
+        // requests everything that differs.
         for _ in 0..2 {
             let Some(state) = handover::fetch_from(&peers, address, &scope, None).await else {
                 lock(&self.shared.freshness).forget_ahead();
@@ -106,8 +109,9 @@
         StateScope::NotIn(lock(&self.shared.replica).digests().collect())
     }
 
-    /// Where a box can be asked that this one is behind of: at once if it does not watch itself, else
-    /// after longer than following the store explains.
+    /// Address of a box whose state is newer than that of this one. A box that doesn't watch the
+    /// store gets it at once, and a watching one only after a lag that following the store doesn't
+    /// explain.
     pub(super) fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
         if self.last_peer_query_at.is_some_and(|at| now < at + MIN_QUERY_GAP) {
             return None;
@@ -119,7 +123,7 @@
         lock(&self.shared.freshness).ahead(allowed_lag, now)
     }
 
-    /// Takes in what another box has. Says whether this box has the same state now.
+    /// Applies the state of another box. Returns whether this box then has the same state.
     fn apply_peer_state(&mut self, state: PeerState) -> bool {
         let PeerState { source, version, age, recovered_ago, written, removed_keys, verdicts } =
             state;
@@ -129,7 +133,7 @@
         let position = version.position;
         let before = self.position();
         if position < before {
-            // The box has started anew since, and knows less.
+            // The other box has restarted since, and has an older state now.
             lock(&self.shared.freshness).forget_ahead();
             return true;
         }
@@ -144,8 +148,9 @@
             removed.len()
         );
         let now = clock::now();
-        // What that box lacks may have lapsed while the store was away for all, and be written again
-        // soon. If this box has a recent state, the store was away for that box only.
+        // Entries that the other box lacks may have expired while the store was unavailable to all
+        // boxes, and may be written again soon. If this box has a recent state, only the other box
+        // had lost the store.
         let is_aging_here = lock(&self.shared.freshness).is_aging(now);
         if let Some(at) =
             recovered_ago.filter(|_| is_aging_here).and_then(|ago| now.checked_sub(ago))
@@ -154,8 +159,8 @@
             self.publish_store_recovery();
         }
         if position.era != before.era && self.cluster_state.routing.is_some() {
-            let recovered_ago = recovered_ago.and_then(|ago| now.checked_sub(ago));
-            self.begin_era(recovered_ago.unwrap_or(now), before, position);
+            let recovered_at = recovered_ago.and_then(|ago| now.checked_sub(ago));
+            self.begin_era(recovered_at.unwrap_or(now), before, position);
         }
         removed.into_iter().for_each(|key| self.apply_change(Change::Removed(key)));
         written.into_iter().for_each(|item| self.apply_change(Change::Written(item)));
@@ -173,8 +178,8 @@
         own_version == version
     }
 
-    /// Boxes that take the state from this one hear that entries may be missing which will be written
-    /// again.
+    /// Publishes when the store recovered, so that boxes which take the state from this one know
+    /// that entries may be missing which will be written again.
     pub(super) fn publish_store_recovery(&self) {
         *lock(&self.shared.store_recovered_at) = self.cluster_state.store_recovered_at();
     }
--- a/lib/src/gateway/control/unreadable.rs
+++ b/lib/src/gateway/control/unreadable.rs
@@ -1,19 +1,19 @@
-//! Names keys of the store whose values cannot be read, each once: whoever writes
-//! them may do so several times a second.
+//! Logs each key of the store whose value can't be read only once, because its writer may write it
+//! several times a second.
 
 use std::collections::BTreeSet;
 
-/// Most keys that are remembered; more are named each time that they are written.
+/// Maximum number of keys to remember. Further keys are logged each time they are written.
 const MAX_KEYS: usize = 256;
 
-/// Keys that were named.
+/// The keys that have been logged.
 #[derive(Debug, Default)]
 pub struct UnreadableKeys {
     logged: BTreeSet<String>,
 }
 
 impl UnreadableKeys {
-    /// A value cannot be read.
+    /// Logs that the value of `key` can't be read.
     pub fn note(&mut self, key: &str, error: &str) {
         if self.logged.contains(key) {
             return;
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Which boxes a caller should use, and whether this one takes requests.
+//! The directory, which tells callers which boxes to use, and the readiness check of this box.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +24,16 @@
 use crate::transport::body::Answer;
 use crate::transport::body::Passed;
 
-/// Most boxes in one answer.
+/// Maximum number of boxes in one answer.
 const MAX_BOXES: usize = 64;
-/// How long callers keep an answer that names boxes of other regions only: boxes of their own are
-/// back within seconds.
+/// How long callers cache an answer that contains only boxes of other regions. The boxes of their
+/// own region are back within seconds.
 const REMOTE_TTL: Duration = Duration::from_secs(1);
-/// Fewest boxes of a failure domain that are named alone: with fewer, the loss of one leaves none.
+/// Minimum number of boxes for an answer from a single failure domain. With fewer, the loss of one
+/// box would leave none.
 const MIN_DOMAIN_BOXES: usize = 2;
 
-/// Answers on the port of the question whether this box takes requests.
+/// Answers a request on the readiness port.
 pub async fn handle_readiness<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
@@ -45,7 +46,7 @@
     empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// Answers on the directory's port.
+/// Answers a request on the directory's port.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     own_record: Arc<BoxRecord>,
@@ -66,12 +67,15 @@
     response
 }
 
-/// The boxes for a caller, and whether they stand in its region: those of its failure domain,
-/// else of its region, else of the regions where most of what it may ask for can run. Routes of a
-/// host may have different homes, so that no region may run them all: naming every box then led 71
-/// of 804 requests with homes to a region that was none (40 are allowed), replayed by the seed in
-/// docs/findings.md. For the same reason boxes there that have only just said that they leave come
-/// before serving ones elsewhere.
+/// The boxes for a caller, and whether they are in its region. They are chosen from the caller's
+/// failure domain, else from its region, else from the regions that may run most routes of the
+/// host.
+///
+/// The routes of a host may have different homes, so that no region may run all of them. Naming
+/// every box in that case led 71 of 804 requests with homes to a region that was none of theirs,
+/// where 40 are allowed (the seed in docs/findings.md replays it). For the same reason, boxes of
+/// those regions that have only just announced that they leave are preferred to serving boxes of
+/// others.
 pub fn addresses(
     snapshot: &Snapshot,
     presence: &Presence,
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/elsewhere.rs
@@ -1,5 +1,6 @@
-//! Which box of another region gets a request: one that cannot run here, one whose text has its
-//! home there, or one that finds room there while this region is busy.
+//! Chooses boxes of other regions to forward requests to: because no server here may or can run a
+//! request, because its shared text has its home there, or because that region has room while this
+//! one is busy.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,22 +21,23 @@
 use crate::protocol::fleet::BoxRecord;
 use crate::state::clock;
 
-/// Most boxes of other regions that one request is sent to: each costs a way there and back.
+/// Maximum number of boxes of other regions that a request is forwarded to. Each costs a round trip
+/// between regions.
 const MAX_PEER_SENDS: usize = 2;
 
-/// Why a request goes to another region, for the log.
+/// Why a request is forwarded to another region, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ForwardReason {
-    /// The engine that keeps its text stands there.
+    /// The engine assigned to the request's text is in that region.
     Home,
-    /// The servers here are busy; so they are here, and this part of the requests goes there.
+    /// The servers of this region are busy, and a share of the requests goes to another region.
     Overflow {
         /// Requests and slots of the servers of this region.
         own_fullness: Fullness,
-        /// Part of the requests that goes there.
+        /// Share of the requests that is forwarded.
         share: f64,
     },
-    /// No server here may or can take it.
+    /// No server of this region may or can run the request.
     NoPlace,
 }
 
@@ -55,26 +57,26 @@
     }
 }
 
-/// Whether a caller's request has been sent nowhere yet.
+/// Whether this is the first send of a caller's request.
 fn is_first_send(job: &Job, history: &RequestHistory) -> bool {
     job.origin == Origin::Caller && history.tried.is_empty() && history.boxes.is_empty()
 }
 
-/// The boxes of a region that take requests.
+/// The boxes of a region that accept requests.
 fn serving_boxes<'a, A>(shared: &Shared<A>, job: &'a Job, region: &str) -> Vec<&'a BoxRecord> {
     let presence = lock(&shared.presence);
     let boxes = job.snapshot.boxes.iter();
     boxes.filter(|other| other.region == region && presence.serves(other)).collect()
 }
 
-/// Whether the servers of another region have room for a request, as far as heard.
+/// Whether the servers of another region have room for a request, according to its reports.
 fn has_room<A>(shared: &Shared<A>, job: &Job, region: &str) -> bool {
     let service_hash = rendezvous::weight(&job.service, "");
     lock(&shared.regions).has_room(service_hash, region, clock::now())
 }
 
-/// The box beside the home of the request's text, if that stands in another region. Only the
-/// first send follows the text; after that any place will do.
+/// A box near the engine assigned to the request's text, if that engine is in another region. Only
+/// the first send follows the text; later ones go to any server.
 pub fn home_box<A: Adapter>(
     shared: &Shared<A>,
     job: &Job,
@@ -93,7 +95,7 @@
         return None;
     }
     let region_boxes = serving_boxes(shared, job, &home_server.region);
-    // Beside the engine, the prompt crosses no further failure domain.
+    // From a box in the engine's failure domain, the prompt doesn't have to cross another one.
     let same_domain =
         region_boxes.iter().filter(|other| other.failure_domain == home_server.failure_domain);
     let same_domain: Vec<&BoxRecord> = same_domain.copied().collect();
@@ -101,8 +103,8 @@
     candidates.choose(&mut rand::rng()).map(|other| other.peers)
 }
 
-/// A box of a region that has room while the servers here are busy, for a part of the requests.
-/// Those whose text has a home follow it instead, and later sends go where there is any place.
+/// A box of a region that has room while the servers here are busy, for a share of the requests.
+/// Requests whose text has a home go there instead, and later sends go to any server.
 pub fn overflow_target<A: Adapter>(
     shared: &Shared<A>,
     job: &Job,
@@ -129,7 +131,7 @@
     Some((other, ForwardReason::Overflow { own_fullness, share }))
 }
 
-/// Chooses a region by the slots that may get work there, and one of its boxes.
+/// Chooses a random box of another region, weighted by the slots of its region.
 pub fn fallback_target<A: Adapter>(
     shared: &Shared<A>,
     job: &Job,
--- a/lib/src/gateway/ended.rs
+++ b/lib/src/gateway/ended.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a server that broke an answer off has ended.
+//! Detects whether a server that broke off an answer has exited.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use crate::transport::backend;
 use crate::transport::timer;
 
-/// Longest wait for the server's machine to refuse a connection: one that is gone or cut off says
-/// nothing at all, and then nobody knows.
+/// Maximum wait for the server's host to refuse a connection. A host that is down or unreachable
+/// doesn't answer at all, and then the state of the server is unknown.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pauses before further looks. A process that ends closes its connections before its port: one test in
-/// two took a server for living that had just ended, and ports were found open for up to 200 ms. A server that
-/// starts again takes over a second.
+/// Pauses before further checks. A process that exits closes its connections before its listening
+/// port, which stayed open for up to 200 ms; with a single check, one test in two took a server
+/// that had just exited for a running one. A server that restarts takes over a second.
 const RECHECK_PAUSES: [Duration; 4] = [
     Duration::from_millis(40),
     Duration::from_millis(160),
@@ -20,7 +20,7 @@
     Duration::from_millis(500),
 ];
 
-/// Whether a server has ended: its port refuses connections.
+/// Whether a server has exited: its port refuses connections.
 pub async fn has_exited(address: SocketAddr) -> bool {
     let mut exited = backend::refuses(address, CONNECT_TIMEOUT).await;
     for pause in RECHECK_PAUSES {
--- a/lib/src/gateway/event.rs
+++ b/lib/src/gateway/event.rs
@@ -1,13 +1,14 @@
-//! What a gateway is told from outside, and by the parts that keep its place in the store.
+//! Events for the control thread, from signals and from the task that maintains this box's record
+//! in the store.
 
-/// What the control thread handles.
+/// An event for the control thread.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The operator asks to stop; a second time means at once.
+    /// The operator requests a stop. A second one means at once.
     Stop,
     /// The settings may have changed.
     Reload,
-    /// The store answers again after it did not.
+    /// The store answers again after an outage.
     StoreRecovered,
     /// This box's record is in the store.
     RecordWritten,
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -1,4 +1,5 @@
-//! What control has learned from the store, and what follows from it.
+//! The servers, boxes, evacuations and configuration that the control thread has learned from the
+//! store, and the views of them that traffic needs.
 
 mod settling;
 
@@ -32,14 +33,14 @@
 use crate::protocol::routing::Service;
 use crate::protocol::routing::ServiceId;
 
-/// How long boxes that are gone still count among those that share a bound: they may
-/// live and only have lost the store.
+/// How long boxes whose records are gone still count among those that share a bound. They may be
+/// running and only have lost the store.
 const EXPIRED_BOX_RETENTION: Duration = Duration::from_secs(30);
 
-/// A server of any region.
+/// Location of a server of any region.
 #[derive(Clone, Debug)]
 pub struct ServerLocation {
-    /// What stands for it where shared parts find their homes.
+    /// Hash of the server's name, by which shared prompt texts are assigned to servers.
     pub hash: u64,
     /// Its region.
     pub region: RegionId,
@@ -53,22 +54,22 @@
     /// Revision at which it was written.
     revision: Revision,
     cold_until: Option<Instant>,
-    /// Since when it is missing, while its absence is not yet believed.
+    /// Since when the entry is missing from the store, while it may still be written again.
     missing_since: Option<Instant>,
-    /// Which life of the server it is about.
+    /// The incarnation of the server that the entry is about.
     life: Life,
-    /// Whether the server has said that it leaves.
+    /// Whether the server said itself that it leaves.
     said_leaving: bool,
-    /// When this box saw it change, unless it has seen only one.
+    /// When this box saw the entry change; `None` if it has seen only one version of it.
     changed_at: Option<Instant>,
 }
 
-/// A failure domain that is to get no work.
+/// A failure domain that must get no requests.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     /// Revision at which it was written.
     revision: Revision,
-    /// Since when it is missing, while its absence is not yet believed.
+    /// Since when the entry is missing from the store, while it may still be written again.
     missing_since: Option<Instant>,
 }
 
@@ -81,45 +82,46 @@
     evacuated: BTreeMap<FailureDomainId, Evacuation>,
     boxes: BTreeMap<BoxId, BoxRecord>,
     expired_boxes: BTreeMap<BoxId, (BoxRecord, Instant)>,
-    /// Boxes of this region that were heard, by what stands for them in datagrams.
+    /// Boxes of this region that were heard from, by their hashes in datagrams.
     heard: BTreeMap<u64, Instant>,
-    /// Boxes that were ever started, by region and name.
+    /// Region and name of each box that was ever started.
     roster: BTreeSet<(RegionId, BoxId)>,
-    /// Region of each failure domain that is known.
+    /// Region of each known failure domain.
     regions: HashMap<FailureDomainId, RegionId>,
     store_recovered_at: Option<Instant>,
     restored: Restored,
 }
 
-/// What is decided from the place of one box.
+/// The local box and its settings, which decide how bounds are shared.
 pub struct LocalContext<'a> {
-    /// The box.
+    /// Record of this box.
     pub own_record: &'a BoxRecord,
-    /// It has only just started, and those that started with it may not be in the store yet.
+    /// Whether this box has only just started, so that boxes which started with it may not be in
+    /// the store yet.
     pub just_started: bool,
-    /// How often the rate of a cold server may be exceeded.
+    /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
     /// Requests to a cold server beyond that.
     pub cold_slack: f64,
 }
 
 impl ClusterState {
-    /// Nothing but the regions of the failure domains.
+    /// Creates a state that contains nothing but the regions of the failure domains.
     pub fn new(regions: HashMap<FailureDomainId, RegionId>) -> ClusterState {
         ClusterState { regions, ..ClusterState::default() }
     }
 
-    /// The store answered again then, after it did not.
+    /// Records that the store answered again at `at` after an outage.
     pub fn note_store_recovered(&mut self, at: Instant) {
         self.store_recovered_at = self.store_recovered_at.max(Some(at));
     }
 
-    /// When the store last answered again after it did not.
+    /// When the store last answered again after an outage.
     pub fn store_recovered_at(&self) -> Option<Instant> {
         self.store_recovered_at
     }
 
-    /// Takes in something that was written at a revision. Says whether it is news.
+    /// Applies an entry that was written at a revision. Returns whether it changed anything.
     pub fn apply(&mut self, fact: Fact, revision: Revision, now: Instant) -> bool {
         let subject = settling::subject(&fact);
         if self.is_outdated(&fact, &subject, revision, now) {
@@ -156,9 +158,9 @@
         }
     }
 
-    /// An entry that was written again is news though it says the same: a server that turns cold
-    /// for the second time says "cold for 3 s" again, and a box that was without the store between
-    /// has seen nothing else.
+    /// An entry that was written again counts as a change even if it says the same. A server that
+    /// turns cold for the second time says "cold for 3 s" again, and a box that had lost the store
+    /// in between has seen nothing else.
     fn apply_server(&mut self, server: Server, revision: Revision, now: Instant) -> bool {
         let before = self.servers.get_mut(&server.id);
         let previous_life = before.as_ref().map(|entry| entry.life);
@@ -181,7 +183,7 @@
             && self.restored.is_settling(now)
             && before.life == life
         {
-            // An entry of the copy is older than what it replaces.
+            // The entry comes from the older copy of the store, and is older than what it replaces.
             changed_at = before.changed_at;
             cold_until = cold_until.max(before.cold_until);
         }
@@ -210,7 +212,7 @@
         true
     }
 
-    /// Takes in another box's record.
+    /// Applies the record of a box.
     pub fn apply_box(&mut self, record: BoxRecord) {
         self.expired_boxes.remove(&record.name);
         let before = self.boxes.insert(record.name.clone(), record.clone());
@@ -225,23 +227,23 @@
         }
     }
 
-    /// Whether the store shows a box.
+    /// Whether the store lists a box.
     pub fn is_listed(&self, name: &str) -> bool {
         self.boxes.contains_key(name)
     }
 
-    /// A box was started at some time.
+    /// Applies the roster entry of a box, which remains after the box is gone.
     pub fn apply_roster_entry(&mut self, region: &str, name: &str) {
         self.roster.insert((region.to_owned(), name.to_owned()));
     }
 
-    /// Boxes of all regions that bounds are shared among.
+    /// Number of boxes in all regions that share the bounds.
     pub fn fleet_size(&self, context: &LocalContext<'_>) -> usize {
         let roster_size = if context.just_started { self.roster.len() } else { 0 };
         (self.other_boxes(context.own_record).len() + 1).max(roster_size)
     }
 
-    /// Another box's record is gone.
+    /// Removes a box whose record is gone.
     pub fn remove_box(&mut self, name: &str, now: Instant) {
         if let Some(record) = self.boxes.remove(name) {
             log::info!("event=box_gone box={name} incarnation={:x}", record.incarnation);
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Something that was written is gone.
+    /// Removes an entry that is gone from the store.
     pub fn remove(&mut self, subject: &Subject, now: Instant) {
         self.restored.drop_held(subject);
         match subject {
@@ -259,7 +261,8 @@
         }
     }
 
-    /// What is written under a server's name names no server: another writer may have put it there.
+    /// Removes a server because the value under its key is not that of a server; another writer may
+    /// have put it there.
     pub fn discard_server(&mut self, id: &str) {
         if self.servers.remove(id).is_some() {
             log::info!("event=server_gone server={id} reason=\"its entry is not a server's\"");
@@ -281,7 +284,8 @@
         }
     }
 
-    /// Servers that come back from an evacuation may be cold, whatever their last word was.
+    /// Marks the servers of a domain as cold. After an evacuation they may be, whatever they last
+    /// reported.
     fn mark_domain_cold(&mut self, domain: &str, now: Instant) {
         let Some(routing) = &self.routing else { return };
         for entry in self.servers.values_mut() {
@@ -294,7 +298,7 @@
         }
     }
 
-    /// What a whole read of the store does not show is gone.
+    /// Removes everything that a full read of the store doesn't list.
     pub fn retain_listed(
         &mut self,
         seen: &BTreeSet<Subject>,
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Drops what has been missing for long enough. Says whether there was any.
+    /// Removes entries that have been missing for long enough. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.servers.len() + self.expired_boxes.len() + self.heard.len();
         self.servers.retain(|id, entry| {
@@ -333,16 +337,17 @@
         self.settle(now) || dropped
     }
 
-    /// Boxes whose records are gone from the store for less than some seconds, or that are heard.
+    /// Other boxes whose records have been gone from the store only for seconds, or that are still
+    /// heard from.
     pub fn other_expired_boxes(&self, own_record: &BoxRecord) -> Vec<BoxRecord> {
         let records = self.expired_boxes.values().map(|(record, _)| record);
         records.filter(|record| record.name != own_record.name).cloned().collect()
     }
 
-    /// Boxes that are heard are not gone: they send to servers like any other, and need the word
-    /// of others more than these do. With a lease of 4 s and shares that grew 30 s after its end,
-    /// two boxes of four without the store for so long would send 20 requests in a second where 17
-    /// are allowed (worked out, not run).
+    /// Keeps expired boxes that are still heard from. They send to servers like any other box, and
+    /// depend more on the reports of others than those do. With a lease of 4 s and shares that grow
+    /// 30 s after it ends, two boxes of four that lose the store for that long would send 20
+    /// requests in a second where 17 are allowed (calculated, not run).
     pub fn refresh_expired_boxes(&mut self, is_heard: impl Fn(&str) -> bool, now: Instant) {
         for (name, (_, since)) in &mut self.expired_boxes {
             if is_heard(name) {
@@ -351,34 +356,35 @@
         }
     }
 
-    /// Boxes of this region are heard. One that started without the store may know of them by
-    /// nothing else, and would take the whole of a bound for itself: two boxes gave a cold server 21
-    /// requests in a second where 17 are allowed. Says whether any of them is new.
+    /// Records the boxes of this region that were heard from. A box that started during a store
+    /// outage may know them by nothing else, and would take all of a bound for itself: two such
+    /// boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns whether
+    /// any of them is new.
     pub fn note_heard_boxes(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
         let known = self.heard.len();
         self.heard.extend(senders.map(|sender| (sender, now)));
         self.heard.len() != known
     }
 
-    /// What the store shows of a life of a server.
+    /// The store's entry about an incarnation of a server.
     pub fn departure_entry(&self, life: Life) -> Option<departures::Entry> {
         let entry = self.servers.values().find(|entry| entry.life == life)?;
         Some(departures::Entry { leaving: entry.server.leaving, changed_at: entry.changed_at })
     }
 
-    /// Takes in which servers have said that they leave.
+    /// Updates which servers said themselves that they leave.
     pub fn set_leaving(&mut self, leaves: impl Fn(Life) -> bool) {
         for entry in self.servers.values_mut() {
             entry.said_leaving = leaves(entry.life);
         }
     }
 
-    /// Boxes that live, this one left out.
+    /// Live boxes except this one.
     pub fn other_boxes(&self, own_record: &BoxRecord) -> Vec<BoxRecord> {
         self.boxes.values().filter(|record| record.name != own_record.name).cloned().collect()
     }
 
-    /// Servers of all regions that may get work, by service.
+    /// Servers of all regions that may get requests, by service.
     pub fn usable_servers(&self) -> HashMap<ServiceId, Vec<ServerLocation>> {
         let mut usable_servers: HashMap<ServiceId, Vec<ServerLocation>> = HashMap::new();
         for entry in self.servers.values().filter(|entry| self.is_usable(entry)) {
@@ -393,7 +399,7 @@
         usable_servers
     }
 
-    /// Slots that may get work by service and region.
+    /// Slots that may get requests, by service and region.
     pub fn slots(&self) -> HashMap<ServiceId, HashMap<RegionId, u32>> {
         let mut slots: HashMap<ServiceId, HashMap<RegionId, u32>> = HashMap::new();
         for entry in self.servers.values().filter(|entry| self.is_usable(entry)) {
@@ -410,9 +416,9 @@
             && !self.evacuated.contains_key(&entry.server.failure_domain)
     }
 
-    /// Boxes that share the servers of this region, this one included, by what stands for them in
-    /// datagrams. Boxes that start together do not see each other at first, so a fresh one counts
-    /// all that there ever were.
+    /// Hashes of the boxes that share the servers of this region, including this one. Boxes that
+    /// start together don't see each other at first, so one that has just started counts every box
+    /// that was ever started.
     pub fn sharing_boxes(&self, context: &LocalContext<'_>) -> BTreeSet<u64> {
         let own_record = context.own_record;
         let removed = self.expired_boxes.values().map(|(record, _)| record);
@@ -421,8 +427,9 @@
         let mut names: Vec<&str> = region_boxes.map(|record| record.name.as_str()).collect();
         names.push(&own_record.name);
         if context.just_started {
-            let roster_size = self.roster.iter().filter(|(region, _)| *region == own_record.region);
-            names.extend(roster_size.map(|(_, name)| name.as_str()));
+            let roster_entries =
+                self.roster.iter().filter(|(region, _)| *region == own_record.region);
+            names.extend(roster_entries.map(|(_, name)| name.as_str()));
         }
         let named_hashes = names.into_iter().map(presence::box_hash);
         named_hashes.chain(self.heard.keys().copied()).collect()
@@ -466,7 +473,7 @@
         slack: context.cold_slack,
     };
     let id_hash = candidate::server_hash(&server.id);
-    let own_record = rendezvous::mix(presence::box_hash(&context.own_record.name), id_hash);
-    let ranks_ahead = |other: &&u64| rendezvous::mix(**other, id_hash) > own_record;
+    let own_weight = rendezvous::mix(presence::box_hash(&context.own_record.name), id_hash);
+    let ranks_ahead = |other: &&u64| rendezvous::mix(**other, id_hash) > own_weight;
     Some(bound.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
 }
--- a/lib/src/gateway/facts/settling.rs
+++ b/lib/src/gateway/facts/settling.rs
@@ -1,5 +1,6 @@
-//! What control still holds to, and what it holds back, while a store that came
-//! back from an older copy settles.
+//! Handles the period after the store was restored from an older copy. Until lost writes have been
+//! repeated, the state keeps some entries that the store lacks, and holds back others that it
+//! lists.
 
 use std::time::Instant;
 
@@ -12,19 +13,19 @@
 use crate::protocol::platform::Revision;
 
 impl ClusterState {
-    /// The store came back from an older copy then.
+    /// Records that the store was restored from an older copy at `at`.
     pub fn note_store_restored(&mut self, at: Instant) {
         self.restored.begin(at);
         self.note_store_recovered(at);
     }
 
-    /// Whether what the store lost with its return to an older copy may still be written again.
+    /// Whether writes that the store lost when it was restored may still be repeated.
     pub fn is_settling(&self, now: Instant) -> bool {
         self.restored.is_settling(now)
     }
 
-    /// Whether the store shows, from the copy that it came back from, what has been superseded since:
-    /// a server as serving that leaves, or an entry that was removed.
+    /// Whether an entry comes from the older copy and has been superseded since: a leaving server
+    /// that the copy lists as serving, or an entry that was removed.
     pub(super) fn is_outdated(
         &self,
         fact: &Fact,
@@ -36,7 +37,7 @@
             return false;
         }
         match fact {
-            // An older version never comes into force.
+            // `apply` never accepts an older version.
             Fact::Routing(_) => false,
             Fact::Server(server) => match self.servers.get(&server.id) {
                 Some(entry) => {
@@ -51,7 +52,8 @@
         }
     }
 
-    /// An evacuation is gone; while the store settles, it may be written again.
+    /// Removes an evacuation that is gone from the store. While the store settles, it stays in
+    /// force because it may be written again.
     pub(super) fn remove_evacuation(&mut self, domain: &FailureDomainId, now: Instant) {
         if self.restored.is_settling(now) {
             if let Some(evacuation) = self.evacuated.get_mut(domain) {
@@ -68,24 +70,23 @@
         }
     }
 
-    /// What the store still shows after its return to an older copy counts from now on. Says whether
-    /// that changes anything.
+    /// Once the store has settled, accepts what it lists. Returns whether that changes anything.
     pub(super) fn settle(&mut self, now: Instant) -> bool {
         if self.restored.is_settling(now) {
             return false;
         }
-        let ended = |evacuation: &Evacuation| evacuation.missing_since.is_some();
-        let ended: Vec<FailureDomainId> = self
+        let missing = |evacuation: &Evacuation| evacuation.missing_since.is_some();
+        let missing: Vec<FailureDomainId> = self
             .evacuated
             .iter()
-            .filter(|(_, evacuation)| ended(evacuation))
+            .filter(|(_, evacuation)| missing(evacuation))
             .map(|(domain, _)| domain.clone())
             .collect();
-        for domain in &ended {
+        for domain in &missing {
             self.remove_evacuation(domain, now);
         }
         let released = self.restored.release(now);
-        let mut changed = !ended.is_empty();
+        let mut changed = !missing.is_empty();
         for (fact, revision) in released {
             changed |= self.apply(fact, revision, now);
         }
@@ -93,7 +94,7 @@
     }
 }
 
-/// What a fact is about.
+/// The subject of a fact.
 pub(super) fn subject(fact: &Fact) -> Subject {
     match fact {
         Fact::Routing(_) => Subject::Routing,
--- a/lib/src/gateway/handover.rs
+++ b/lib/src/gateway/handover.rs
@@ -1,7 +1,7 @@
-//! What a box asks of another one while the store does not tell it: what the
-//! other has from there that it lacks. Without this, a box that starts without
-//! the store could serve nobody, and one that loses it would go on against what
-//! the operator and the servers have written since.
+//! Transfers the store's state between boxes. A box that can't get it from the store requests what
+//! it lacks from another box. Without this, a box that starts during a store outage could serve
+//! nobody, and one that loses the store would act against what the operator and the servers have
+//! written since.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -38,63 +38,65 @@
 use crate::transport::body::Passed;
 use crate::transport::timer;
 
-/// Who asks: what stands for the box in datagrams, hex.
+/// Hash of the requesting box, as in datagrams, in hex.
 const REQUESTER_HASH: HeaderName = HeaderName::from_static("copperweir-box");
-/// Its region.
+/// Region of the requesting box.
 const REQUESTER_REGION: HeaderName = HeaderName::from_static("copperweir-region");
-/// Where datagrams reach it.
+/// Address at which the requesting box receives datagrams.
 const REQUESTER_ADDRESS: HeaderName = HeaderName::from_static("copperweir-address");
-/// Path of the question; the port serves nothing else.
+/// Path of the query; the port serves nothing else.
 const STATE_PATH: &str = "/state";
-/// Longest question, bytes: digests of some hundred thousand keys.
+/// Maximum size of a query in bytes: digests of some hundred thousand keys.
 const MAX_QUERY_BYTES: usize = 1 << 20;
-/// Longest wait for one box: a way to the farthest region and back, twice.
+/// Maximum wait for one box: two round trips to the farthest region.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which another box is asked as well: longer than such a way once.
+/// Delay before the next box is queried as well: longer than one such round trip.
 const NEXT_SEED_DELAY: Duration = Duration::from_millis(150);
 
-/// What the asker has.
+/// What the requesting box has.
 #[derive(Clone, PartialEq, prost::Message)]
 struct StateQuery {
-    /// Place in the store's history that its state was read at.
+    /// Position in the store's history at which its state was read.
     #[prost(uint64, tag = "1")]
     era: u64,
     #[prost(uint64, tag = "2")]
     revision: u64,
-    /// Digests of what it holds, where the place says too little: it has another history of the store than
-    /// the box that it asks, or holds something else than its place says.
+    /// Digests of the entries that it has. Set if the position doesn't describe them: its state
+    /// belongs to another history of the store than that of the queried box, or differs from the
+    /// state at that position.
     #[prost(message, optional, tag = "3")]
     held: Option<Hashes>,
 }
 
-/// The answer.
+/// The state that the requesting box lacks.
 #[derive(Clone, PartialEq, prost::Message)]
 struct StateReply {
-    /// Place in the store's history that the state was read at.
+    /// Position in the store's history at which the state was read.
     #[prost(uint64, tag = "10")]
     era: u64,
     #[prost(uint64, tag = "2")]
     revision: u64,
-    /// How long ago this was the store's state, milliseconds.
+    /// How long ago this was the store's state, in milliseconds.
     #[prost(uint64, optional, tag = "3")]
     age_ms: Option<u64>,
-    /// Keys that were written after the place that was asked from, or that the asker does not hold so.
+    /// Entries written after the queried position, or whose digests were not in the query.
     #[prost(map = "string, message", tag = "4")]
     entries: HashMap<String, Entry>,
     /// Hashes of all keys, unless the sender knows which ones were removed.
     #[prost(fixed64, repeated, tag = "5")]
     keys: Vec<u64>,
-    /// Hashes of the keys that were removed after the place that was asked from.
+    /// Hashes of the keys removed after the queried position.
     #[prost(message, optional, tag = "8")]
     removed: Option<Hashes>,
     /// Digest of the state.
     #[prost(fixed64, tag = "6")]
     digest: u64,
-    /// How long ago the store was back after it had been away for the sender, milliseconds; `None` if
-    /// that is long ago.
+    /// How long ago the store answered the sender again after an outage, in milliseconds; `None` if
+    /// that was long ago.
     #[prost(uint64, optional, tag = "7")]
     returned_ms: Option<u64>,
-    /// Requests that are refused because servers end under them; for a box that has nothing yet.
+    /// Requests that are refused because servers crash when they run them. Only for a box that has
+    /// no state yet.
     #[prost(message, repeated, tag = "9")]
     verdicts: Vec<told::Verdict>,
 }
@@ -113,43 +115,44 @@
     revision: u64,
 }
 
-/// What another box has from the store.
+/// The state of another box, as far as the requesting box lacks it.
 #[derive(Clone, Debug)]
 pub struct PeerState {
-    /// The box that said so.
+    /// The queried box.
     pub source: SocketAddr,
-    /// Which state this is.
+    /// Version of its state.
     pub version: Version,
-    /// How long ago it was the store's.
+    /// How long ago this was the store's state.
     pub age: Duration,
-    /// How long ago the store was back there, if it was away shortly before: entries may be missing
-    /// that will be written again.
+    /// How long ago the store answered that box again, if it had an outage shortly before. Entries
+    /// may be missing that will be written again.
     pub recovered_ago: Option<Duration>,
-    /// Keys that the asker lacks.
+    /// Entries that the requesting box lacks.
     pub written: Vec<Item>,
-    /// Keys that are gone.
+    /// Keys that were removed.
     pub removed_keys: RemovedKeys,
-    /// Requests that are refused because servers end under them, if this box had nothing yet.
+    /// Requests that are refused because servers crash when they run them, if the requesting box
+    /// had no state yet.
     pub verdicts: Vec<told::Verdict>,
 }
 
-/// What is asked of another box.
+/// The part of another box's state to request.
 #[derive(Clone, Debug)]
 pub enum StateScope {
-    /// All that it has.
+    /// All of it.
     All,
-    /// What was written after a place in the history that both have.
+    /// What was written after a position in the history that both boxes have.
     After(Position),
-    /// What differs from these digests of keys with their revisions and values.
+    /// All entries whose digests (of key, revision and value) are not among these.
     NotIn(HashSet<u64>),
 }
 
-/// Which keys are gone in another box's state, by their hashes.
+/// The keys that another box's state doesn't have, by their hashes.
 #[derive(Clone, Debug)]
 pub enum RemovedKeys {
-    /// These.
+    /// Exactly these keys.
     Listed(HashSet<u64>),
-    /// All but these.
+    /// All keys except these.
     AllExcept(HashSet<u64>),
 }
 
@@ -168,7 +171,7 @@
     }
 }
 
-/// Answers another box.
+/// Answers the state query of another box.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
@@ -184,7 +187,7 @@
     Response::new(Answer::whole(build_reply(&shared, query).encode_to_vec()))
 }
 
-/// Reads a question; an empty one comes from a box that has nothing.
+/// Reads a query. An empty body is the query of a box that has no state.
 async fn read_query(body: Incoming) -> Option<StateQuery> {
     let body = Limited::new(body, MAX_QUERY_BYTES).collect().await;
     let body = body.inspect_err(|error| log::info!("event=question_broken error=\"{error}\""));
@@ -211,14 +214,15 @@
     let keys = if removed.is_some() { Vec::new() } else { replica.key_hashes().collect() };
     let version = replica.version();
     let known = lock(&shared.freshness).version();
-    // Others may have said that nothing has changed for longer than the store itself has.
+    // This box may know a newer position than its replica has: other boxes may have reported that
+    // nothing changed since.
     let same_digest = known.digest == version.digest;
     let position =
         if same_digest { version.position.max(known.position) } else { version.position };
     let recovered_ago = *lock(&shared.store_recovered_at);
     let recovered_ago = recovered_ago.map(clock::since).filter(|ago| *ago < RETURN_GRACE);
     let returned_ms = recovered_ago.map(|ago| ago.as_millis() as u64);
-    // Others hear of verdicts by datagram and from the store.
+    // Other boxes get the verdicts by datagram and from the store.
     let verdicts = if requester_is_empty {
         lock(&shared.quarantine).verdicts(clock::now())
     } else {
@@ -237,7 +241,7 @@
     }
 }
 
-/// The box that asks, if it says who it is.
+/// The requesting box, if it identifies itself.
 fn read_requester(headers: &HeaderMap) -> Option<Neighbor> {
     let text = |name: &HeaderName| headers.get(name)?.to_str().ok();
     Some(Neighbor {
@@ -247,8 +251,9 @@
     })
 }
 
-/// Asks boxes in any order for all that they have until one knows something. The next one is asked
-/// when one has not answered for a while, or knows nothing. Whoever is asked hears of `own` by that.
+/// Requests the full state from boxes in random order until one of them has any. The next box is
+/// queried when one has not answered for a while or has no state. The queries make `requester`
+/// known to the boxes.
 pub async fn fetch_from_any(
     client: &backend::Client,
     seeds: &[SocketAddr],
@@ -274,7 +279,8 @@
     }
 }
 
-/// Asks one box for what this one lacks; `None` if it knows nothing or does not answer.
+/// Requests from one box what this one lacks. Returns `None` if that box has no state or doesn't
+/// answer.
 pub async fn fetch_from(
     client: &backend::Client,
     address: SocketAddr,
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and of other boxes, from the head to the answer.
+//! Handles requests of callers and of other boxes, from the head to the answer.
 
 use std::sync::Arc;
 
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -1,5 +1,5 @@
-//! A caller's request, read and checked: everything that is needed to send it,
-//! once or more often.
+//! A caller's request, authenticated and matched to a route, with everything that is needed to send
+//! it once or more often.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,54 +42,56 @@
 use crate::transport::http1;
 use crate::transport::timer;
 
-/// Marks a request that another box has passed on; it goes no further than this region.
+/// Marks a request that another box has forwarded. It is not forwarded again.
 pub const FORWARDED_HEADER: HeaderName = HeaderName::from_static("copperweir-passed-on");
-/// How often a box sent a request that it failed to get an answer to.
+/// How many sends a box made for a request that got no answer.
 pub const SENDS_HEADER: HeaderName = HeaderName::from_static("copperweir-sends");
-/// Digest of the caller's key, for another box.
+/// Digest of the caller's API key, for another box.
 const KEY_HEADER: HeaderName = HeaderName::from_static("copperweir-key");
 /// Name of the caller's team, for another box.
 const TEAM_HEADER: HeaderName = HeaderName::from_static("copperweir-team");
-/// Version of the configuration that the sender looked them up in.
+/// Version of the configuration in which the sender looked up key and team.
 const VERSION_HEADER: HeaderName = HeaderName::from_static("copperweir-version");
-/// What the caller's request is known by, for another box.
+/// Fingerprint of the caller's request, for another box.
 const FINGERPRINT_HEADER: HeaderName = HeaderName::from_static("copperweir-fingerprint");
-/// What only boxes tell each other: a caller's are ignored, and backend servers see none.
+/// Headers that only boxes send to each other. They are ignored in requests of callers, and are
+/// never sent to backend servers.
 const INTERNAL_HEADERS: [HeaderName; 5] =
     [FORWARDED_HEADER, KEY_HEADER, TEAM_HEADER, VERSION_HEADER, FINGERPRINT_HEADER];
-/// How long a caller waits that does not say so.
+/// Timeout of a request that specifies none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Who sent a request here.
+/// The sender of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Origin {
     /// A caller.
     Caller,
-    /// Another box, for a caller of its own.
+    /// Another box, on behalf of one of its callers.
     Peer,
 }
 
-/// A checked request.
+/// A caller's request that has been read and checked.
 pub struct Job {
-    /// What the caller's headers say.
+    /// Data of the caller's headers.
     pub ask: Ask,
-    /// Who sent it.
+    /// The sender.
     pub origin: Origin,
-    /// Its route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The service that runs it.
+    /// The service that runs the request.
     pub service: ServiceId,
-    /// The team whose request it is, if its route asks for one.
+    /// The caller's team, if the route requires one.
     pub team: Option<Arc<Team>>,
-    /// Version of the configuration that it was routed by.
+    /// Version of the configuration that the request was routed by.
     pub version: u64,
-    /// What it is known by when it comes again.
+    /// Identifies the request if it is sent again.
     pub fingerprint: Fingerprint,
     /// When its head was read.
     pub arrived: Instant,
-    /// When it must have been answered: the caller's or the route's bound, whichever is less.
+    /// When the answer must be complete, by the timeout of the caller or of the route, whichever is
+    /// shorter.
     pub deadline: Instant,
-    /// What control knew when it arrived.
+    /// The snapshot that was current when the request arrived.
     pub snapshot: Arc<Snapshot>,
     method: Method,
     uri: Uri,
@@ -98,7 +100,7 @@
 }
 
 impl Job {
-    /// Reads a request to its end.
+    /// Reads a request completely, and authenticates and routes it.
     pub async fn read<A: Adapter>(
         shared: &Shared<A>,
         origin: Origin,
@@ -117,9 +119,9 @@
         let deadline = arrived + time_limit;
         let body = read_body(body, routing.limits.body_bytes, deadline).await?;
         let fingerprint = fingerprint(origin, &ask, &head, &body);
-        let point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
+        let routing_point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
         let service = route
-            .service(point)
+            .service(routing_point)
             .cloned()
             .ok_or_else(|| Failure::new(Kind::NoServer, "the route has no service"))?;
         Ok(Job {
@@ -140,24 +142,24 @@
         })
     }
 
-    /// Whether a region may run it, by its route and by its team.
+    /// Whether both the route and the team allow the request to run in a region.
     pub fn is_allowed_in(&self, region: &str) -> bool {
         self.route.allows(region) && self.team.as_ref().is_none_or(|team| team.allows(region))
     }
 
-    /// Rank for the engines; 0 is the most urgent.
+    /// Priority for the engines; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
-        let of_team = self.team.as_ref().and_then(|team| team.priority);
-        urgency::rank(of_team, self.route.priority)
+        let team_priority = self.team.as_ref().and_then(|team| team.priority);
+        urgency::rank(team_priority, self.route.priority)
     }
 
-    /// Time that is left.
+    /// Time left until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// Most servers that it may be sent to from here. The box that a caller asked counts the
-    /// sends, so another one makes only the one that it was asked for.
+    /// Maximum number of servers that this box may send the request to. The box that the caller
+    /// asked counts the sends, so a box that a request was forwarded to sends it only once.
     pub fn max_attempts(&self) -> usize {
         match self.origin {
             Origin::Caller => self.route.max_attempts,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// The request for a backend server.
+    /// The request to send to a backend server.
     pub fn for_server<A: Adapter>(
         &self,
         adapter: &A,
@@ -184,7 +186,7 @@
         request
     }
 
-    /// The request for a box of another region.
+    /// The request to forward to a box of another region.
     pub fn for_peer<A: Adapter>(
         &self,
         adapter: &A,
@@ -231,7 +233,8 @@
     route.cloned().ok_or_else(no_route)
 }
 
-/// What the request is known by. Another box has seen its caller, and says so.
+/// Fingerprint of the request. A box that forwards a request has seen its caller, so its
+/// fingerprint is used.
 fn fingerprint(
     origin: Origin,
     ask: &Ask,
@@ -264,7 +267,8 @@
     }
 }
 
-/// What a request says of its caller; only boxes can say more than a key.
+/// The identity that a request claims for its caller. Only requests from other boxes may claim more
+/// than a key.
 fn identity_claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Claim {
     if origin == Origin::Caller {
         return Claim { key: ask.key, checked: None };
@@ -288,7 +292,7 @@
     let expired_max_age = shared
         .settings
         .max_key_age
-        .filter(|holds| state_age.is_none_or(|state_age| state_age > *holds));
+        .filter(|max_age| state_age.is_none_or(|state_age| state_age > *max_age));
     if team.is_some() && expired_max_age.is_some() {
         let message = "the keys in force cannot be made sure of: the store is away";
         return Err(Failure::new(Kind::Behind, message));
@@ -296,7 +300,8 @@
     Ok(team)
 }
 
-/// The headers that are passed along, both ways.
+/// Headers to forward, in either direction: all except those of the connection and those between
+/// boxes.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/lib/src/gateway/keys.rs
+++ b/lib/src/gateway/keys.rs
@@ -1,24 +1,25 @@
-//! The product's own keys in the store, and the values of boxes there.
+//! The keys in the store that belong to the gateway itself, and the entry of a box's record.
 
 use bytes::Bytes;
 
 use crate::protocol::fleet::BoxRecord;
 
-/// Beginning of the keys of boxes.
+/// Prefix of the records of running boxes.
 pub const BOXES: &str = "copperweir/boxes/";
-/// Beginning of the keys that say which boxes there ever were; they stay when a box is gone.
+/// Prefix of the roster, which contains each box that was ever started. Its entries remain after a
+/// box is gone.
 pub const ROSTER: &str = "copperweir/roster/";
-/// Beginning of the keys of requests that are refused because servers end under them.
+/// Prefix of the verdicts on requests that are refused because servers crash when they run them.
 pub const QUARANTINE: &str = "copperweir/quarantine/";
-/// Beginning of the keys of rates that servers name.
+/// Prefix of the request rates that servers asked for.
 pub const RATES: &str = "copperweir/rates/";
 
-/// The key that says that there is a box.
+/// The roster key of a box.
 pub fn roster_key(record: &BoxRecord) -> String {
     format!("{ROSTER}{}/{}", record.region, record.name)
 }
 
-/// The store's key and value of a box's record.
+/// The key and value of a box's record.
 pub fn box_entry(record: &BoxRecord) -> (String, Bytes) {
     let value = serde_json::to_vec(record).unwrap_or_else(|error| {
         log::error!("event=unwritable box={} error=\"{error}\"", record.name);
--- a/lib/src/gateway/learning.rs
+++ b/lib/src/gateway/learning.rs
@@ -1,4 +1,5 @@
-//! Hands what came of sends, and what servers say when they are asked, to the place that learns, and does what follows.
+//! Feeds the outcomes of sends and the answers of probed servers to the [`Learner`], and acts on
+//! its conclusions.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -24,7 +25,7 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 
-/// An attempt has got so far, or has ended so.
+/// Records an event of a send: its progress or its end.
 pub fn record_event<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -43,7 +44,7 @@
     apply_lesson(shared, &reservation.place, &lesson);
 }
 
-/// An attempt has ended so.
+/// Records the end of a send.
 pub fn record_end<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -53,7 +54,7 @@
     record_event(shared, job, reservation, &Report::end(event));
 }
 
-/// Lets all tables of a service learn from one thing.
+/// Runs `teach` on a learner that has all tables of a service locked.
 pub fn with_learner<A: Adapter, T>(
     shared: &Shared<A>,
     service: &str,
@@ -70,7 +71,7 @@
     })
 }
 
-/// Does what follows from a report on a place.
+/// Acts on what was learned about the server of a place.
 fn apply_lesson<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Lesson) {
     publish_lesson(shared, &place.server, lesson);
     if lesson.look {
@@ -78,18 +79,19 @@
     }
 }
 
-/// Looks whether the server of a place still accepts connections.
+/// Checks whether a server still accepts connections.
 async fn check_exit<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
     if !ended::has_exited(place.address).await {
         lock(&shared.broken).lives(place.life);
         return;
     }
-    // No service of its own: an end bears on the requests that the server ran.
+    // No service is named: a crash concerns the requests that the server ran, whatever their
+    // service.
     let lesson = with_learner(&shared, "", |learner| learner.has_ended(place.life, clock::now()));
     publish_lesson(&shared, &place.server, &lesson);
 }
 
-/// Writes the log, and tells other boxes what they must hear at once.
+/// Logs what was learned, and notifies the report task if other boxes must know at once.
 pub fn publish_lesson<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Lesson) {
     for note in &lesson.notes {
         if let Note::Ended(_) = note {
@@ -107,7 +109,7 @@
     }
 }
 
-/// Other boxes told of servers that leave.
+/// Applies another box's report about servers that leave.
 pub fn receive_leaving<A: Adapter>(shared: &Shared<A>, leaving_servers: &[Word], now: Instant) {
     if leaving_servers.is_empty() {
         return;
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -1,5 +1,4 @@
-//! Keeps this box's record in the store, under a lease that is renewed while
-//! the process lives.
+//! Keeps this box's record in the store, under a lease that is renewed while the process runs.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,33 +24,34 @@
 use crate::transport::store;
 use crate::transport::timer;
 
-/// Life of the lease: a box that is gone is dropped by the others within it.
+/// Duration of the lease. Other boxes drop a box that is gone within this time.
 const LEASE_LIFE: Duration = Duration::from_secs(4);
-/// Time between renewals: two may be lost before the lease runs out.
+/// Interval of renewals. Two may be lost before the lease expires.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// Longest wait before a lease is taken out again that may be lost: all boxes find out at once.
+/// Maximum random delay before a possibly lost lease is replaced, because all boxes find out at the
+/// same time.
 const MAX_REGRANT_DELAY: Duration = Duration::from_secs(1);
 
-/// A lease, in the history of the store that its number belongs to.
+/// A lease, and the era of the store in which its id is valid.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: LeaseId,
     era: Era,
     granted_at: Instant,
-    /// When it was last known to be in that history.
+    /// When the lease was last confirmed to exist in that era.
     confirmed_at: Instant,
 }
 
 impl Lease {
-    /// Whether the store may have come back from a copy that lacks this lease; its number may be another
-    /// box's by now, so renewing it proves nothing.
+    /// Whether the store may have been restored from a copy that lacks this lease. The id may
+    /// belong to another box by now, so that a successful renewal proves nothing.
     fn may_be_lost(&self, era: Era) -> bool {
         let age = self.confirmed_at.saturating_duration_since(self.granted_at);
         era != self.era && age < COPY_AGE
     }
 
-    /// A call with it succeeded.
+    /// Records a successful call with this lease.
     fn confirm(&mut self, era: Era) {
         if era == self.era {
             self.confirmed_at = clock::now();
@@ -59,7 +59,7 @@
     }
 }
 
-/// Keeps the newest record in the store until its sender is gone, then takes it out.
+/// Keeps the newest record in the store until its sender is dropped, then removes the record.
 pub async fn maintain<A: Adapter>(
     store: store::Client<A>,
     mut record: watch::Receiver<BoxRecord>,
@@ -139,7 +139,8 @@
                     log::warn!("event=lease_call_failed error=\"{error}\"");
                     failed_since = Some(clock::now());
                 }
-                // Each call into the dark is paid for, by every box of the fleet.
+                // Back off with jitter: every box of the fleet makes these calls while the store is
+                // unavailable.
                 let jitter = 0.75 + 0.5 * rand::rng().random::<f64>();
                 timer::sleep(retry_pause.mul_f64(jitter)).await;
                 retry_pause = (retry_pause * 2).min(RENEWAL_INTERVAL);
@@ -148,7 +149,8 @@
     }
 }
 
-/// Takes the record out of the store, so that others need not wait for the lease's end.
+/// Removes the record from the store by ending its lease, so that others need not wait for it to
+/// expire.
 async fn end_lease<A: Adapter>(store: &store::Client<A>, lease: Option<Lease>) {
     let Some(lease) = lease.filter(|lease| !lease.may_be_lost(store.era())) else { return };
     if let Err(error) = store.call(&Operation::End(lease.id)).await {
@@ -158,9 +160,9 @@
 
 async fn grant<A: Adapter>(store: &store::Client<A>) -> Result<Lease, PlatformError> {
     let now = clock::now();
-    let announced = store.read(&Operation::Grant { life: LEASE_LIFE }).await?;
-    let era = announced.era.unwrap_or_else(|| store.era());
-    match announced.answer {
+    let granted = store.read(&Operation::Grant { life: LEASE_LIFE }).await?;
+    let era = granted.era.unwrap_or_else(|| store.era());
+    match granted.answer {
         Answer::Lease(id) => Ok(Lease { id, era, granted_at: now, confirmed_at: now }),
         _ => Err(PlatformError::Malformed("not a lease".to_owned())),
     }
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters as text, one line each, for whoever collects them.
+//! Serves the metrics as text, one line each.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::transport::body::Answer;
 use crate::transport::body::Passed;
 
-/// Answers on the metrics port, whatever the path.
+/// Answers a request on the metrics port, whatever its path.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     _request: Request<Incoming>,
@@ -33,7 +33,7 @@
     let mut text = String::new();
     for counter in Counter::ALL {
         let value = shared.counters.get(*counter);
-        // Writing to a string cannot fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "copperweir_{} {value}", counter.as_str());
     }
     let snapshot = shared.snapshot.load();
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! The gateway: the process on each box of a platform that has its own store,
-//! callers and backend servers, spoken to through an [`Adapter`].
+//! The gateway process that runs on each box. It connects to the store, callers and backend servers
+//! of a platform through an [`Adapter`].
 //!
-//! One thread holds control; another carries traffic. They share
-//! [`shared::Shared`], in which control publishes whole snapshots.
+//! One thread runs control, and another carries traffic. They share [`shared::Shared`], in which
+//! control publishes immutable snapshots.
 
 pub mod attempt;
 pub mod control;
@@ -78,26 +78,27 @@
 use crate::transport::store::Eras;
 use crate::transport::timer;
 
-/// Longest wait for a connection to a backend server: they stand in the same region, and a
-/// connection takes them milliseconds. A lost opening packet is sent again after a second.
+/// Timeout of connections to backend servers. They are in the same region, where connecting takes
+/// milliseconds. A lost SYN packet is sent again only after a second.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for a connection to a box of another region, some 110 ms away and back.
+/// Timeout of connections to boxes of other regions, whose round trip takes some 110 ms.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Events that wait for the control thread.
+/// Capacity of the control thread's event queue.
 const EVENT_QUEUE_LEN: usize = 64;
-/// Part of the descriptors that callers' connections may take; the rest is for what they cause.
+/// Share of the socket descriptors for callers' connections. The rest is for the connections that
+/// their requests need.
 const CALLER_DESCRIPTOR_SHARE: f64 = 0.45;
-/// Part for connections of other boxes.
+/// Share for connections of other boxes.
 const PEER_DESCRIPTOR_SHARE: f64 = 0.2;
-/// Part for callers that look for a box.
+/// Share for callers that query the directory.
 const DIRECTORY_DESCRIPTOR_SHARE: f64 = 0.1;
-/// Part for boxes that ask for the state from the store: all of a region keep a connection to the few
-/// that watch.
+/// Share for boxes that request the state from the store: all boxes of a region keep a connection
+/// to the few that watch the store.
 const HANDOVER_DESCRIPTOR_SHARE: f64 = 0.1;
-/// Connections of the smaller ports.
+/// Maximum number of connections of the readiness and metrics ports.
 const SMALL_PORT_CONNECTIONS: usize = 64;
 
-/// A channel for what a gateway is told.
+/// Creates a channel for events to a gateway.
 pub fn events() -> (mpsc::Sender<Event>, mpsc::Receiver<Event>) {
     mpsc::channel(EVENT_QUEUE_LEN)
 }
@@ -111,7 +112,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway; returns once its ports are open.
+    /// Starts a gateway. Returns once its ports are open.
     pub fn start<A: Adapter>(
         settings: Settings,
         regions: HashMap<FailureDomainId, RegionId>,
@@ -120,7 +121,7 @@
         Gateway::start_with_events(settings, regions, adapter, events())
     }
 
-    /// Starts a gateway that may have been told something already.
+    /// Starts a gateway with an existing event channel, which may contain events already.
     pub fn start_with_events<A: Adapter>(
         settings: Settings,
         regions: HashMap<FailureDomainId, RegionId>,
@@ -197,12 +198,13 @@
         Ok(Gateway { control, traffic, events, listen })
     }
 
-    /// Something that tells the gateway of signals.
+    /// A sender for events to the gateway, such as signals.
     pub fn events(&self) -> mpsc::Sender<Event> {
         self.events.clone()
     }
 
-    /// Where it listens; ports that the settings leave to the system are those it chose.
+    /// The addresses that it listens on. Port 0 of the settings is replaced by the port that the
+    /// system assigned.
     pub fn listen(&self) -> Listen {
         self.listen
     }
@@ -287,7 +289,7 @@
         .ok()
 }
 
-/// Carries traffic until the stop has ended.
+/// Serves all ports until the shutdown is complete.
 async fn serve_traffic<A: Adapter>(
     shared: Arc<Shared<A>>,
     own_record: Arc<BoxRecord>,
@@ -364,14 +366,14 @@
     );
 }
 
-/// The bounds on callers' connections as the configuration has them now.
+/// The limits on callers' connections in the current configuration.
 fn caller_bounds<A: Adapter>(shared: &Shared<A>) -> Bounds {
     let limits = shared.snapshot.load().routing.as_ref().map(|routing| routing.limits);
     let limits = limits.unwrap_or_default();
     Bounds { header_bytes: limits.header_bytes, idle: limits.idle }
 }
 
-/// Address of a port on the same machine as another address.
+/// The address on the same host with another port.
 pub fn with_port(address: SocketAddr, port: u16) -> SocketAddr {
     SocketAddr::new(address.ip(), port)
 }
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -1,10 +1,8 @@
-//! Asks servers whether they are cold, while neither the store nor another box
-//! can tell.
+//! Probes servers to learn whether they are cold, while neither the store nor another box can tell.
 //!
-//! A region that is cut off, or a store that is away for all, leaves the servers
-//! themselves as the only ones who know. They are asked by few boxes each, which
-//! tell the others of the region. A server that none has a recent word of counts
-//! as cold.
+//! If a region is cut off or the store is unavailable to all boxes, only the servers themselves
+//! know. A few boxes probe each server and report the answers to the others of the region. A server
+//! without a recent answer counts as cold.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,10 +35,10 @@
 use crate::transport::listen::Stop;
 use crate::transport::timer;
 
-/// Longest wait for an answer; a server without a free slot answers late.
+/// Maximum wait for an answer. A server without a free slot answers late.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A server to ask.
+/// A server to probe.
 #[derive(Clone, Debug)]
 struct ProbeTarget {
     service: ServiceId,
@@ -49,18 +47,18 @@
     life: Life,
     address: SocketAddr,
     path: String,
-    /// Time between questions.
+    /// Time between two probes.
     interval: Duration,
 }
 
-/// A question to a server.
+/// A probe of a server.
 struct ActiveProbe {
     task: JoinHandle<()>,
-    /// When the next one is due.
+    /// When the next probe is due.
     next_due_at: Instant,
 }
 
-/// Asks until told to stop.
+/// Probes servers until told to stop.
 pub async fn probe_servers<A: Adapter>(shared: Arc<Shared<A>>, mut stop: watch::Receiver<Stop>) {
     let mut active: HashMap<ServerId, ActiveProbe> = HashMap::new();
     let mut probing = false;
@@ -84,7 +82,8 @@
             if active.contains_key(&target.server) {
                 continue;
             }
-            // The boxes that ask a server would do so at the same moment otherwise.
+            // Random, because the boxes that probe a server would otherwise do so at the same
+            // moment.
             let next_due_at = now + target.interval.mul_f64(0.5 + rand::rng().random::<f64>());
             let server = target.server.clone();
             let task = tokio::spawn(probe_server(Arc::clone(&shared), target));
@@ -93,12 +92,12 @@
     }
 }
 
-/// The servers that this box asks.
+/// The servers that this box probes.
 fn probe_targets<A: Adapter>(shared: &Shared<A>, now: Instant) -> Vec<ProbeTarget> {
-    let mut probe_targets = Vec::new();
+    let mut targets = Vec::new();
     for (service, state) in lock(&shared.services).iter_mut() {
         let Some(path) = state.placement.health_path().map(str::to_owned) else { continue };
-        probe_targets.extend(state.placement.turning_cold(now).map(|turning| ProbeTarget {
+        targets.extend(state.placement.turning_cold(now).map(|turning| ProbeTarget {
             service: service.clone(),
             server: turning.server.clone(),
             hash: turning.hash,
@@ -110,11 +109,11 @@
     }
     let own_hash = presence::box_hash(&shared.settings.name);
     let freshness = lock(&shared.freshness);
-    probe_targets.retain(|target| freshness.asks(own_hash, target.hash, now));
-    probe_targets
+    targets.retain(|target| freshness.asks(own_hash, target.hash, now));
+    targets
 }
 
-/// Asks one server, and tells the other boxes at once if it has turned cold.
+/// Probes one server. If it has turned cold, the other boxes are notified at once.
 async fn probe_server<A: Adapter>(shared: Arc<Shared<A>>, target: ProbeTarget) {
     shared.counters.count(Counter::Probes);
     let Some(response) = fetch(&shared, &target).await else { return };
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that end every server that runs them: refused here, told to the
-//! other boxes, and kept in the store, so that boxes know them that start when
+//! Quarantines requests that crash every server that runs them. Such requests are refused here and
+//! reported to the other boxes. The verdicts are also kept in the store, for boxes that start when
 //! all others are gone.
 
 use std::sync::Arc;
@@ -33,26 +33,27 @@
 use crate::transport::store;
 use crate::transport::timer;
 
-/// Stands for all callers in a key of the store.
+/// Stands for any caller in a store key.
 const ANY_CALLER: &str = "anyone";
-/// Boxes that write a verdict again which the store has lost.
+/// Number of boxes that rewrite a verdict that the store has lost.
 const MAX_REWRITERS: usize = 3;
-/// Time after which the next of them does so: a write, and until it is heard of.
+/// Delay between the boxes that may rewrite a verdict: enough to write it and for the next box to
+/// receive it.
 const REWRITE_GAP: Duration = Duration::from_secs(1);
-/// Most verdicts in one call.
+/// Maximum number of verdicts in one call.
 const MAX_BATCH: usize = 16;
-/// Longest pause between tries to write while the store is away.
+/// Maximum pause between attempts to write while the store is unavailable.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// A verdict in the store; its lease ends it.
+/// A verdict in the store. It expires with its lease.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct StoredVerdict {
     content: u64,
-    /// `None`: whoever sends it.
+    /// `None` if the verdict applies to any caller.
     caller: Option<u64>,
 }
 
-/// Refuses a request that ends servers.
+/// Refuses a request that is quarantined.
 pub fn admit<A: Adapter>(shared: &Shared<A>, job: &Job) -> Result<(), Failure> {
     let mut quarantine = lock(&shared.quarantine);
     if quarantine.is_empty() {
@@ -66,18 +67,18 @@
     Err(Failure::new(Kind::Quarantined, message).with_retry_after(remaining))
 }
 
-/// What is known of a request that goes to a server, and of these.
+/// What is known about a request before it is sent, and about the servers that it must avoid.
 #[derive(Debug, Default)]
 pub struct Trial {
-    /// Ends of servers under it, if there were any.
+    /// Crashes of servers that ran the request, if there were any.
     pub suspicion: Option<Suspicion>,
-    /// Servers that it had better not go to.
+    /// Servers that the request should avoid.
     pub occupied: Vec<ServerId>,
-    /// Those of them that it must not go to.
+    /// The part of `occupied` that the request must never be sent to.
     pub reserved: Vec<ServerId>,
 }
 
-/// Looks up a request that goes to a server.
+/// Looks up a request before it is sent.
 pub fn trial<A: Adapter>(shared: &Shared<A>, job: &Job, now: Instant) -> Trial {
     let request = job.fingerprint;
     let quarantine = lock(&shared.quarantine);
@@ -90,19 +91,19 @@
     Trial { suspicion, occupied, reserved }
 }
 
-/// Judges what is due.
+/// Decides the verdicts that are due.
 pub fn tick<A: Adapter>(shared: &Shared<A>, now: Instant) {
-    let judged = lock(&shared.quarantine).tick(now);
-    for Target { content, caller } in &judged {
+    let decided = lock(&shared.quarantine).tick(now);
+    for Target { content, caller } in &decided {
         log::warn!("event=quarantined content={content:016x} caller={caller:x?}");
     }
-    if !judged.is_empty() {
+    if !decided.is_empty() {
         shared.global_update.notify_one();
         shared.verdicts.notify_one();
     }
 }
 
-/// Takes in a key of the store.
+/// Applies a verdict from the store.
 pub fn apply_stored_verdict<A: Adapter>(
     shared: &Shared<A>,
     value: &[u8],
@@ -112,14 +113,14 @@
     Ok(())
 }
 
-/// A verdict is missing in a store that came back from an older copy: a few boxes write it again, one after
-/// the other until it is there.
+/// Rewrites a verdict that is missing from a store restored from an older copy. A few boxes try in
+/// sequence until the verdict is there.
 pub fn rewrite_lost_verdict<A: Adapter>(shared: &Arc<Shared<A>>, key: &str) {
-    let Some(target) = target(key) else { return };
-    let own_hash = rendezvous::mix(presence::box_hash(&shared.settings.name), target.content);
+    let Some(target) = parse_verdict_key(key) else { return };
+    let own_weight = rendezvous::mix(presence::box_hash(&shared.settings.name), target.content);
     let snapshot = shared.snapshot.load();
     let others = snapshot.boxes.iter().map(|other| presence::box_hash(&other.name));
-    let rank = others.filter(|other| rendezvous::mix(*other, target.content) > own_hash).count();
+    let rank = others.filter(|other| rendezvous::mix(*other, target.content) > own_weight).count();
     if rank >= MAX_REWRITERS {
         return;
     }
@@ -133,8 +134,8 @@
     });
 }
 
-/// What a key of the store is a verdict on.
-fn target(key: &str) -> Option<Target> {
+/// Parses the store key of a verdict.
+fn parse_verdict_key(key: &str) -> Option<Target> {
     let (content, who) = key.strip_prefix(QUARANTINE)?.split_once('/')?;
     let content = u64::from_str_radix(content, 16).ok()?;
     let caller = match who {
@@ -144,7 +145,7 @@
     Some(Target { content, caller })
 }
 
-/// Writes verdicts to the store, for as long as it takes.
+/// Writes verdicts to the store, and retries until it succeeds.
 pub async fn write_verdicts<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
     loop {
         shared.verdicts.notified().await;
@@ -189,7 +190,7 @@
 fn to_row(target: Target, lease: u64) -> Row {
     let Target { content, caller } = target;
     let who = caller.map_or_else(|| ANY_CALLER.to_owned(), |caller| format!("{caller:016x}"));
-    // Two numbers cannot fail to be written.
+    // Serializing two numbers can't fail.
     let value = serde_json::to_vec(&StoredVerdict { content, caller }).unwrap_or_default();
     Row { key: format!("{QUARANTINE}{content:016x}/{who}"), value: Bytes::from(value), lease }
 }
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -1,5 +1,5 @@
-//! Lets callers' requests in by the limits of their teams, at the box that they
-//! asked; a box that gets a request from another one takes that box's word.
+//! Admits callers' requests by the limits of their teams. The box that the caller asked decides; a
+//! box that a request is forwarded to relies on that.
 
 use super::job::Job;
 use super::job::Origin;
@@ -13,19 +13,19 @@
 use crate::protocol::team::Team;
 use crate::state::clock;
 
-/// What was taken from a team's account.
+/// What a request took from its team's account.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     team: TeamHash,
     cost: f64,
 }
 
-/// What stands for a team in accounts and datagrams.
+/// Identifies a team in accounts and datagrams.
 pub fn team_hash(team: &Team) -> TeamHash {
     rendezvous::weight(&team.name, "")
 }
 
-/// Takes what a request counts as from its team's account, if it has one.
+/// Charges a request's cost to its team's account, if the team has a limit.
 pub fn admit<A: Adapter>(shared: &Shared<A>, job: &Job) -> Result<Option<Charge>, Failure> {
     let limited = job.team.as_ref().and_then(|team| Some((team, team.limit?)));
     let Some((team, limit)) = limited.filter(|_| job.origin == Origin::Caller) else {
@@ -42,7 +42,7 @@
     })
 }
 
-/// Gives back what was taken for a request that ran nowhere.
+/// Returns the charge of a request that did not run anywhere.
 pub fn give_back<A: Adapter>(shared: &Shared<A>, charge: Option<Charge>) {
     if let Some(Charge { team, cost }) = charge {
         lock(&shared.quotas).give_back(team, cost);
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/record.rs
@@ -1,5 +1,5 @@
-//! The decision log: one line for each decision that touches a request, with
-//! what decided it.
+//! The decision log: one line for each decision about a request, with the data that it was based
+//! on.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 use crate::state::clock;
 use crate::transport::body::Cut;
 
-/// Lines of this target are about single requests; their number is bounded.
+/// Log target of lines about single requests. Their number is limited.
 pub const TARGET: &str = "request";
 
 fn age_ms(job: &Job) -> u128 {
@@ -31,12 +31,12 @@
     job.team.as_ref().map_or("-", |team| team.name.as_str())
 }
 
-/// What stands for the shared text of the prompt; 0 where there is none.
+/// Id of the shared text of the prompt; 0 if there is none.
 fn text_id(job: &Job) -> u64 {
     Text::of(&job.ask.parts).map_or(0, |text| text.id())
 }
 
-/// A request under which servers have ended goes to one.
+/// A request that crashed servers before is sent to a server.
 pub fn on_trial(job: &Job, server: &str, suspicion: Suspicion, shares_server: bool) {
     let Suspicion { ends, of_caller, callers, width } = suspicion;
     log::info!(
@@ -74,7 +74,7 @@
     );
 }
 
-/// The request goes to a box of another region.
+/// The request is forwarded to a box of another region.
 pub fn passed_on(job: &Job, history: &RequestHistory, address: SocketAddr, reason: ForwardReason) {
     log::info!(
         target: TARGET,
@@ -90,7 +90,7 @@
     );
 }
 
-/// A send gave no answer.
+/// A send got no answer.
 pub fn attempt_failed(job: &Job, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
@@ -134,7 +134,7 @@
     );
 }
 
-/// A stream broke and is to go on elsewhere.
+/// A stream broke and is resumed on another server.
 pub fn stream_broken(
     job: &Job,
     history: &RequestHistory,
@@ -154,7 +154,7 @@
     );
 }
 
-/// The head of an answer says something of its server that bears on what it may get.
+/// The head of an answer contains information about the server that affects which requests it gets.
 pub fn server_said(job: &Job, server: &str, words: &Words, status: StatusCode) {
     log::info!(
         target: TARGET,
@@ -170,10 +170,10 @@
     );
 }
 
-/// Most requests that a line names.
+/// Maximum number of requests listed in one line.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Something was learned of a server, or of a request that it ran.
+/// Something was learned about a server, or about a request that it ran.
 pub fn server_learned(server: &str, note: &Note) {
     match note {
         Note::Leaves => log::info!("event=server_leaves server={server} by=answer"),
@@ -193,7 +193,8 @@
     }
 }
 
-/// A server that broke answers off no longer accepts connections: it has ended, under whatever ran there.
+/// A server that broke off answers no longer accepts connections, so it has crashed or exited while
+/// the listed requests ran.
 fn server_ended(server: &str, runs: &[Run]) {
     let request_names: Vec<String> =
         runs.iter().take(MAX_LOGGED_REQUESTS).map(|run| run.request.to_string()).collect();
@@ -204,7 +205,7 @@
     );
 }
 
-/// A stream ended, well or not.
+/// A stream ended, completely or not.
 pub fn stream_ended(
     job: &Job,
     history: &RequestHistory,
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -1,4 +1,5 @@
-//! The task that passes a stream of events on to its caller, and goes on elsewhere when it breaks.
+//! The task that forwards a stream of events to the caller, and resumes it on another server if it
+//! breaks.
 
 use std::sync::Arc;
 
@@ -23,27 +24,28 @@
 use crate::transport::body::Part;
 use crate::transport::timer;
 
-/// Events that wait for a caller who reads slowly.
+/// Capacity of the queue of events for a caller that reads slowly.
 const EVENT_QUEUE_LEN: usize = 8;
 
-/// Passes a stream on; where the route allows it, it goes on elsewhere when it breaks.
+/// Forwards a stream of events. If the stream breaks, it is resumed on another server where the
+/// route allows that.
 pub struct Relay<A: Adapter> {
-    /// What all threads share.
+    /// State shared by all threads.
     pub shared: Arc<Shared<A>>,
     /// The request.
     pub job: Job,
-    /// The events.
+    /// The stream of events.
     pub stream: Stream<A>,
-    /// Sends so far.
+    /// Sends of the request so far.
     pub history: RequestHistory,
     /// Counts the request as in progress.
     pub in_flight_guard: InFlightGuard<A>,
-    /// How the events came.
+    /// When the events arrived.
     pub stream_timing: StreamTiming,
 }
 
 impl<A: Adapter> Relay<A> {
-    /// Starts the task; gives what the caller's answer reads from.
+    /// Starts the task. Returns the receiver that the caller's answer reads from.
     pub fn start(self) -> mpsc::Receiver<Option<Part>> {
         let (sender, receiver) = mpsc::channel(EVENT_QUEUE_LEN);
         tokio::spawn(self.run(sender));
@@ -73,7 +75,7 @@
             &self.stream_timing,
             &result,
         );
-        // The caller may be gone already.
+        // The send fails if the caller is already gone.
         let _ = match result {
             Ok(()) => caller_sender.send(None).await,
             Err(cut) => caller_sender.send(Some(Err(cut))).await,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The rest of the stream from another server.
+    /// Resumes the stream on another server.
     async fn resume(&mut self, last_event_id: Option<u64>, cut: Cut) -> Result<Stream<A>, Cut> {
         if !self.job.route.resumable {
             return Err(cut);
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -1,5 +1,5 @@
-//! A box's copy of what the store holds: what it learns from, and what it hands
-//! to boxes that cannot read the store themselves.
+//! A box's copy of the contents of the store. The box applies changes to it, and serves it to boxes
+//! that can't read the store themselves.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use crate::protocol::platform::Position;
 use crate::protocol::platform::Revision;
 
-/// Removals that are remembered: some minutes of a large fleet's.
+/// Maximum number of removals to remember: those of some minutes in a large fleet.
 const MAX_REMOVALS: usize = 1024;
 
 /// Keys, values and revisions of the store as a box last saw them.
@@ -26,16 +26,16 @@
     removals: Removals,
 }
 
-/// The last removals of keys: they tell a box that is behind what it no longer has to keep, in a
-/// few bytes. The hashes of all keys do so too, but 3,600 keys made up to 2.5 MB a second at a
-/// box that 100 others ask.
+/// The most recent removals of keys. They tell a box with an older state which keys to drop, in a
+/// few bytes. The hashes of all keys would do so too, but with 3,600 keys they caused up to 2.5 MB
+/// of traffic a second at a box that 100 others queried.
 #[derive(Clone, Debug, Default)]
 struct Removals {
-    /// Hashes of the keys, and the revision by which they were gone.
+    /// Revision at which a key was known to be removed, and the key's hash.
     log: VecDeque<(Revision, u64)>,
-    /// Removals since the last revision.
+    /// Hashes of the keys removed since the last revision.
     pending: Vec<u64>,
-    /// All removals after this revision are in the log.
+    /// The log contains all removals after this revision.
     complete_after: Option<Revision>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Replica {
-    /// Takes in a key that was written.
+    /// Inserts or replaces a key.
     pub fn insert(&mut self, item: &Item) {
         self.drop_entry(&item.key);
         self.removals.note_written(key_hash(&item.key));
@@ -57,7 +57,7 @@
         self.entries.insert(item.key.clone(), entry);
     }
 
-    /// A key was removed.
+    /// Removes a key.
     pub fn remove(&mut self, key: &str) {
         if self.drop_entry(key) {
             self.removals.pending.push(key_hash(key));
@@ -70,41 +70,41 @@
         true
     }
 
-    /// Drops all keys that a whole read does not show.
+    /// Removes all keys that a full read doesn't list.
     pub fn retain_keys(&mut self, keys: &BTreeSet<String>) {
         let gone: Vec<String> =
             self.entries.keys().filter(|key| !keys.contains(*key)).cloned().collect();
         for key in gone {
             self.drop_entry(&key);
         }
-        // When these were removed is not known.
+        // The revisions of these removals are unknown.
         self.removals = Removals::default();
     }
 
-    /// All that was written up to there is in.
+    /// Records that the replica contains everything written up to `position`.
     pub fn advance_to(&mut self, position: Position) {
         if position.era != self.version.position.era {
-            // Revisions of another history say nothing of when a key was removed in this one.
+            // Revisions of another history say nothing about removals in this one.
             self.removals = Removals::default();
         }
         self.version.position = position;
         self.removals.advance_to(position.revision);
     }
 
-    /// Which state this is.
+    /// Version of this state.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Keys that were written after a place in the history; all if that is another history.
+    /// Entries written after a position; all entries if the position is of another history.
     pub fn items_written_after(&self, after: Position) -> impl Iterator<Item = Item> {
         let revision = if after.era == self.version.position.era { after.revision } else { 0 };
         let written = self.entries.iter().filter(move |(_, entry)| entry.revision > revision);
         written.map(|(key, entry)| to_item(key, entry))
     }
 
-    /// Hashes of the keys that were removed after a place in the history; `None` if that is another
-    /// history, or too long ago to say.
+    /// Hashes of the keys removed after a position. `None` if the position is of another history or
+    /// older than the log.
     pub fn removed_after(&self, after: Position) -> Option<impl Iterator<Item = u64>> {
         let Position { era, revision } = after;
         let is_complete_since = |after| era == self.version.position.era && revision >= after;
@@ -113,12 +113,12 @@
         known.then(|| log.filter(move |(at, _)| *at > revision).map(|(_, hash)| *hash))
     }
 
-    /// A digest of each key with its revision and value.
+    /// Digests of all entries, each over key, revision and value.
     pub fn digests(&self) -> impl Iterator<Item = u64> {
         self.entries.values().map(|entry| entry.digest)
     }
 
-    /// Keys whose digests are not among these.
+    /// Entries whose digests are not among these.
     pub fn items_not_in(&self, digests: &HashSet<u64>) -> impl Iterator<Item = Item> {
         let missing = self.entries.iter().filter(|(_, entry)| !digests.contains(&entry.digest));
         missing.map(|(key, entry)| to_item(key, entry))
@@ -135,7 +135,7 @@
         meant.cloned().collect()
     }
 
-    /// Hashes of all keys: they tell another box which of its keys were removed.
+    /// Hashes of all keys. From them, another box learns which of its keys were removed.
     pub fn key_hashes(&self) -> impl Iterator<Item = u64> {
         self.entries.keys().map(|key| key_hash(key))
     }
@@ -162,12 +162,13 @@
     }
 }
 
-/// What stands for a key between boxes.
+/// Identifies a key between boxes.
 pub fn key_hash(key: &str) -> u64 {
     rendezvous::weight(key, "")
 }
 
-/// Two histories may give one revision to one key with different values.
+/// The digest includes the value, because two histories may give a key the same revision with
+/// different values.
 fn digest(item: &Item) -> u64 {
     let written = rendezvous::mix(key_hash(&item.key), item.revision);
     rendezvous::mix(written, rapidhash_v3(&item.value))
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -1,6 +1,6 @@
-//! Tells the other boxes what this one has on its servers, which state it has
-//! from the store and, without the store, what servers say of themselves; hears
-//! the same from them. All by datagrams.
+//! Exchanges reports with the other boxes by datagrams. A report contains the load that the sender
+//! puts on servers, the version of its state from the store and, during a store outage, what
+//! servers answered to probes.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -36,21 +36,22 @@
 use crate::transport::listen::Stop;
 use crate::transport::timer;
 
-/// Time between reports: some tenths of a short request's life.
+/// Interval of the reports: a few tenths of the duration of a short request.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Most boxes that are told each time, so that the cost does not grow with the region;
-/// more are told in turn.
+/// Maximum number of boxes that get each report, so that the cost doesn't grow with the region. A
+/// larger region is covered in rotation.
 const MAX_RECIPIENTS: usize = 32;
-/// Reports in a row in which a change of the own state goes to all boxes of other regions: some
-/// datagrams are lost. After that they hear of it in turn, or from the store.
+/// Number of consecutive reports in which a change of this box's own status goes to all boxes of
+/// other regions, because some datagrams are lost. After that, they learn of it in rotation or from
+/// the store.
 const ANNOUNCEMENT_REPORTS: u32 = 5;
-/// Number of a datagram that answers a box which has just started. It says nothing else, and comes in no
-/// order with the sender's reports.
+/// Number of a datagram that replies to a box which has just started. It contains only rates and
+/// leaving servers, and has no place in the order of the sender's reports.
 const REPLY_NUMBER: u64 = 0;
-/// Largest datagram, bytes: some hundred servers.
+/// Maximum size of a datagram in bytes: some hundred servers.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// Reports and hears until told to stop.
+/// Sends and receives reports until told to stop.
 pub async fn exchange_reports<A: Adapter>(
     shared: Arc<Shared<A>>,
     socket: UdpSocket,
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes in all datagrams that have arrived.
+/// Applies all datagrams that have arrived.
 fn receive<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, buffer: &mut [u8]) {
     let now = clock::now();
     while let Ok((length, from)) = socket.try_recv_from(buffer) {
@@ -144,13 +145,14 @@
     let age = match report.state_age_ms {
         Some(age_ms) => Duration::from_millis(age_ms),
         None if same_region => return,
-        // It does not say how old its state is, and vouches for nothing.
+        // The report doesn't say how old the sender's state is, so it can't confirm that a state is
+        // recent.
         None => Duration::MAX,
     };
     let Ok(port) = u16::try_from(report.handover_port) else { return };
     let position = Position { era: report.state_era, revision: report.state_revision };
     let version = Version { position, digest: report.state_digest };
-    let word = Word {
+    let state_report = Word {
         sender: report.sender,
         address: with_port(from, port),
         version,
@@ -160,14 +162,14 @@
     shared.eras.hear(position.era, from);
     let mut freshness = lock(&shared.freshness);
     freshness.hear_era(shared.eras.newest());
-    if freshness.hear(&word, now) {
+    if freshness.hear(&state_report, now) {
         shared.peer_ahead.notify_one();
     }
 }
 
-/// Takes in that a box is heard, and which others the sender has heard, that the store does not
-/// show. Two boxes that each took themselves for alone in their region gave a cold server 28
-/// requests in a second, where 17 are allowed.
+/// Records that a box was heard from, and the unlisted boxes that it has heard from. Two boxes that
+/// each took themselves for the only one of their region sent 28 requests in a second to a cold
+/// server where 17 are allowed.
 fn apply_unlisted_boxes<A: Adapter>(
     shared: &Shared<A>,
     report: &Report,
@@ -177,14 +179,14 @@
     let mut unlisted = lock(&shared.unlisted);
     let region = report.region.clone();
     unlisted.hear(Neighbor { box_hash: report.sender, region, address: from }, now);
-    for named in &report.unlisted {
-        let Ok(address) = named.address.parse() else {
-            log::warn!("event=unreadable_name from={from} address={:?}", named.address);
+    for neighbor in &report.unlisted {
+        let Ok(address) = neighbor.address.parse() else {
+            log::warn!("event=unreadable_name from={from} address={:?}", neighbor.address);
             continue;
         };
-        let age = Duration::from_millis(u64::from(named.heard_ms));
+        let age = Duration::from_millis(u64::from(neighbor.heard_ms));
         let Some(at) = now.checked_sub(age) else { continue };
-        let (box_hash, region) = (named.box_hash, named.region.clone());
+        let (box_hash, region) = (neighbor.box_hash, neighbor.region.clone());
         unlisted.hear(Neighbor { box_hash, region, address }, at);
     }
 }
@@ -202,26 +204,26 @@
 }
 
 fn apply_cold_answers<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
-    let said = report.cold_ms.iter().zip(&report.asked_ms);
-    for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(said) {
-        let remaining_reports = Duration::from_millis(u64::from(*cold_ms));
+    let answers = report.cold_ms.iter().zip(&report.asked_ms);
+    for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(answers) {
+        let cold_left = Duration::from_millis(u64::from(*cold_ms));
         let Some(at) = now.checked_sub(Duration::from_millis(u64::from(*asked_ms))) else {
             continue;
         };
         for service in lock(&shared.services).values_mut() {
-            service.placement.said_elsewhere(*server, remaining_reports, at);
+            service.placement.said_elsewhere(*server, cold_left, at);
         }
     }
 }
 
 fn apply_quota_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let Report { sender, incarnation, number, .. } = *report;
-    let teller = Teller { sender, incarnation, number };
-    lock(&shared.quotas).hear_box(teller, &report.counts, now);
+    let source = Teller { sender, incarnation, number };
+    lock(&shared.quotas).hear_box(source, &report.counts, now);
 }
 
-/// Takes in what another box knows of rates; one that has just started is told at once what this
-/// one knows.
+/// Applies the rates that another box reports. A box that has just started gets all that this one
+/// knows in reply.
 fn apply_rates<A: Adapter>(
     shared: &Shared<A>,
     socket: &UdpSocket,
@@ -230,10 +232,10 @@
     now: Instant,
 ) {
     let Report { sender, incarnation, number, .. } = *report;
-    let teller = Teller { sender, incarnation, number };
+    let source = Teller { sender, incarnation, number };
     let rates = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
-    let is_new_sender = throttles.hear(teller, &rates, now);
+    let is_new_sender = throttles.hear(source, &rates, now);
     let leaving_servers = lock(&shared.departures).all_words(now);
     if !is_new_sender || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
@@ -255,14 +257,14 @@
     lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
     regions.hear_closed(report.region.clone(), report.closed.clone(), now);
-    let recipients = report.region_in_flight.iter().zip(&report.region_slots);
-    for (service, (in_flight, slots)) in report.services.iter().zip(recipients) {
+    let loads = report.region_in_flight.iter().zip(&report.region_slots);
+    for (service, (in_flight, slots)) in report.services.iter().zip(loads) {
         let fullness = Fullness { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
         regions.hear(*service, report.region.clone(), fullness, now);
     }
 }
 
-/// Follows the own state, and says when all must hear of it.
+/// Decides when a change of this box's status must go to all boxes.
 #[derive(Default)]
 struct LeavingAnnouncer {
     leaving: Option<bool>,
@@ -282,13 +284,14 @@
     }
 }
 
-/// Tells all boxes of the region at once: what is new must not wait for their turn.
+/// Sends a report to all boxes of the region at once, for changes that must not wait for the
+/// rotation.
 fn send_to_region<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
     let datagram = encode(&mut build_report(shared, number));
     send(socket, &datagram, region_addresses(shared).iter());
 }
 
-/// Tells all boxes of all regions at once.
+/// Sends a report to all boxes of all regions at once.
 fn send_to_all<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, number: u64) {
     let mut report = build_report(shared, number);
     send(socket, &encode(&mut report), region_addresses(shared).iter());
@@ -296,7 +299,8 @@
     send(socket, &encode(&mut report), other_region_boxes(shared).iter());
 }
 
-/// Tells some boxes of the region in turn, and one of another region.
+/// Sends the periodic report to the next boxes of the region in rotation, and to a random box of
+/// another region.
 fn send_periodic<A: Adapter>(
     shared: &Shared<A>,
     socket: &UdpSocket,
@@ -306,8 +310,8 @@
     let mut report = build_report(shared, number);
     let datagram = encode(&mut report);
     let others = region_addresses(shared);
-    let turn = number as usize * MAX_RECIPIENTS % others.len().max(1);
-    let recipients = others.iter().cycle().skip(turn).take(MAX_RECIPIENTS.min(others.len()));
+    let offset = number as usize * MAX_RECIPIENTS % others.len().max(1);
+    let recipients = others.iter().cycle().skip(offset).take(MAX_RECIPIENTS.min(others.len()));
     send(socket, &datagram, recipients);
     reduce_for_other_regions(shared, &mut report);
     let remote_boxes = other_region_boxes(shared);
@@ -317,9 +321,10 @@
     } else {
         send(socket, &datagram, remote_boxes.iter().choose(&mut rand::rng()).into_iter());
     }
-    // A box of another region that the store does not show hears of its like from here, and whom to
-    // ask for newer state. It gets no word for long whenever it is not heard, so none vouches
-    // for the state that it has, and it asks servers whether they are cold.
+    // Unlisted boxes of other regions learn from this report about each other, and whom to query
+    // for a newer state. They get no reports for a long time while they are not heard from. So this
+    // report doesn't confirm the age of their state, and they probe servers to learn whether these
+    // are cold.
     report.state_age_ms = None;
     let now = clock::now();
     let since = now.checked_sub(REPORT_INTERVAL).unwrap_or(now);
@@ -327,8 +332,8 @@
     send(socket, &encode(&mut report), remote_unlisted.iter().take(MAX_RECIPIENTS));
 }
 
-/// Makes a report one for boxes of other regions: they hear how full this region is, not of the
-/// single servers here, and only of ends that are suspicious.
+/// Reduces a report to what boxes of other regions need: the load of this region instead of that of
+/// single servers, and only those server crashes that are suspicious.
 fn reduce_for_other_regions<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
     let now = clock::now();
     report.servers.clear();
@@ -353,29 +358,30 @@
     other_boxes.map(|other| other.peers).collect()
 }
 
-/// Tells the accounts of servers that name a rate which boxes send to them.
+/// Updates which boxes share the rates that servers allow.
 fn tick_throttles<A: Adapter>(shared: &Shared<A>, now: Instant) {
     let snapshot = shared.snapshot.load();
     let mut others: HashSet<u64> = HashSet::new();
     {
         let presence = lock(&shared.presence);
         let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
-        let region = boxes.filter(|other| other.region == shared.settings.region);
-        // A box that has left no longer sends, once it is silent.
-        let sends =
+        let region_boxes = boxes.filter(|other| other.region == shared.settings.region);
+        // A box that leaves no longer sends once it is silent.
+        let is_sending =
             |other: &&BoxRecord| presence.serves(other) || presence.is_heard(&other.name, now);
-        others.extend(region.filter(sends).map(|other| presence::box_hash(&other.name)));
+        others.extend(region_boxes.filter(is_sending).map(|other| presence::box_hash(&other.name)));
     }
     let unlisted = lock(&shared.unlisted);
-    let region = unlisted.neighbors().filter(|other| other.region == shared.settings.region);
-    others.extend(region.map(|other| other.box_hash));
+    let unlisted_in_region =
+        unlisted.neighbors().filter(|other| other.region == shared.settings.region);
+    others.extend(unlisted_in_region.map(|other| other.box_hash));
     drop(unlisted);
     let rounds = others.len().div_ceil(MAX_RECIPIENTS) as u32;
     lock(&shared.throttles).tick(&others, rounds, now);
     lock(&shared.departures).set_rounds(rounds);
 }
 
-/// How many boxes there are, and in how many reports those of this region are told.
+/// The number of boxes, and the number of reports in which the rotation covers this region.
 fn quota_fleet<A: Adapter>(shared: &Shared<A>) -> Fleet {
     let others = region_addresses(shared).len();
     Fleet {
@@ -384,7 +390,7 @@
     }
 }
 
-/// A report as it goes out.
+/// Encodes a report, truncated to fit a datagram.
 fn encode(report: &mut Report) -> Vec<u8> {
     report.fit(MAX_DATAGRAM_BYTES);
     report.encode_to_vec()
@@ -392,7 +398,7 @@
 
 fn send<'a>(socket: &UdpSocket, datagram: &[u8], to: impl Iterator<Item = &'a SocketAddr>) {
     for address in to {
-        // A datagram that cannot be sent is as good as lost; the next one follows.
+        // A datagram that can't be sent is treated as lost; the next report follows.
         if let Err(error) = socket.try_send_to(datagram, *address) {
             log::debug!("event=report_not_sent to={address} error=\"{error}\"");
         }
@@ -413,16 +419,16 @@
     }
 }
 
-/// The other boxes of this region, those that have lost their record among them: a box that has lost
-/// the store hears from the others what it does not hear from there.
+/// The other boxes of this region. They include those whose records are gone, because a box that
+/// lost the store depends on the reports of others.
 fn region_addresses<A: Adapter>(shared: &Shared<A>) -> Vec<SocketAddr> {
     let snapshot = shared.snapshot.load();
     let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
-    let region = boxes.filter(|other| other.region == shared.settings.region);
+    let region_boxes = boxes.filter(|other| other.region == shared.settings.region);
     let unlisted = lock(&shared.unlisted);
     let unlisted = unlisted.neighbors().filter(|other| other.region == shared.settings.region);
     let unlisted = unlisted.map(|other| other.address);
-    region.map(|other| other.peers).chain(unlisted).collect()
+    region_boxes.map(|other| other.peers).chain(unlisted).collect()
 }
 
 fn build_report<A: Adapter>(shared: &Shared<A>, number: u64) -> Report {
@@ -459,9 +465,9 @@
             report.in_flight.push(load.in_flight);
             report.unread.push(load.unread);
         }
-        for (server, remaining_reports, at) in service.placement.words(now) {
+        for (server, cold_left, at) in service.placement.words(now) {
             report.asked.push(server);
-            report.cold_ms.push(remaining_reports.as_millis() as u32);
+            report.cold_ms.push(cold_left.as_millis() as u32);
             report.asked_ms.push(now.saturating_duration_since(at).as_millis() as u32);
         }
     }
--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/run.rs
@@ -1,8 +1,8 @@
-//! Runs a request: a place here or in another region, a send, and another one
-//! where that is allowed.
+//! Dispatches a request: chooses a server or a box of another region, sends the request, and sends
+//! it again where that is allowed.
 //!
-//! What a caller is told follows from what was sent: a failure says "not run"
-//! only if nothing was sent, or whoever got it said so.
+//! The answer to the caller depends on what was sent. A failure says "not run" only if nothing was
+//! sent, or if every receiver said so.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,23 +35,24 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 
-/// Most servers that a request is offered to in vain; each may take as long as a connection.
+/// Maximum number of failed offers of a request to servers. Each may take as long as a connection
+/// timeout.
 const MAX_FAILED_OFFERS: usize = 4;
-/// Part of the latency objective after which a refused caller is asked to come back.
+/// Divides the latency objective into the delay after which a refused caller is asked to retry.
 const RETRY_AFTER_DIVISOR: u32 = 2;
-/// Time after which a caller comes back who finds only servers that leave: one that takes their place needs longer to
-/// start.
+/// Delay after which a caller is asked to retry if all servers are leaving. Their replacements need
+/// longer than this to start.
 const REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
-/// Least time that is worth a send.
+/// Minimum time left for a send to be worthwhile.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// Where a request goes next.
+/// Where to send a request next.
 enum Target<A> {
     Server(Box<Reservation<A>>),
     Peer(std::net::SocketAddr, ForwardReason),
 }
 
-/// Runs a request to an answer or a failure.
+/// Dispatches a request until there is an answer or a failure.
 pub async fn dispatch<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -59,7 +60,7 @@
 ) -> Result<Reply<A>, Failure> {
     let after_event = job.ask.last_event;
     count_first_send(shared, job);
-    // An answer by which a server says that it failed, kept while another one is tried.
+    // A server error, kept while another server is tried.
     let mut failed_reply: Option<Reply<A>> = None;
     loop {
         let failure = match send_once(shared, job, history, after_event).await {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Sends a stream that broke off once more, to go on after an event.
+/// Sends the request of a broken stream again, to continue after the event `after_event`.
 pub async fn resume_stream<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -101,15 +102,15 @@
     None
 }
 
-/// Why a step gave no answer.
+/// Why a send led to no answer.
 enum StepError {
-    /// Another may.
+    /// Another send may lead to one.
     Retry(Failure),
-    /// No other will.
+    /// No other send will.
     Final(Failure),
 }
 
-/// One place and one send.
+/// Chooses a target and sends the request to it once.
 async fn send_once<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -120,7 +121,7 @@
         let failure = Failure::new(Kind::WouldBeLate, "no time is left");
         return Err(StepError::Final(failure));
     }
-    // Between two sends, other boxes may have seen what this request does.
+    // Since the last send, other boxes may have found that this request crashes servers.
     quarantine::admit(shared, job).map_err(StepError::Final)?;
     let outcome = match choose_target(shared, job, history).map_err(StepError::Final)? {
         Target::Server(reservation) => {
@@ -161,7 +162,7 @@
         }
     };
     record::attempt_failed(job, history, &failure);
-    // A box with a newer configuration than this one says that the key is no longer held by anyone.
+    // A box with a newer configuration than this one reports that the key is no longer valid.
     let key_rejected = failure.kind == Kind::Unauthorized;
     if key_rejected || (history.maybe_ran && !job.route.repeatable()) {
         return Err(StepError::Final(failure));
@@ -189,8 +190,9 @@
     if job.origin == Origin::Peer {
         return Err(refusal(shared, job, blocked));
     }
-    // A sound server in another region comes before one here that failed lately: offering requests
-    // to ten servers that had gone silent cost 400 ms each, up to four times a request.
+    // A healthy server in another region is preferred to one here that failed lately. When requests
+    // were offered to ten unresponsive servers first, each offer cost 400 ms, up to four times per
+    // request.
     if let Some(address) = elsewhere::fallback_target(shared, job, &history.boxes) {
         return Ok(Target::Peer(address, ForwardReason::NoPlace));
     }
@@ -202,7 +204,7 @@
     Err(refusal(shared, job, blocked))
 }
 
-/// A place on a server of this region.
+/// Reserves a slot on a server of this region.
 fn reserve_server<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -214,7 +216,7 @@
     }
     let now = clock::now();
     let stale = lock(&shared.freshness).is_stale(now);
-    let fallback_target = |tried: &[ServerId]| {
+    let choose = |tried: &[ServerId]| {
         let chosen = shared.with_service(&job.service, |service| {
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
@@ -227,10 +229,10 @@
         chosen.unwrap_or(Err(Blocked::NoServer))
     };
     let Trial { suspicion, occupied, reserved } = quarantine::trial(shared, job, now);
-    let choose_except =
-        |servers: &[ServerId]| fallback_target(&[&history.tried[..], servers].concat());
+    let choose_except = |servers: &[ServerId]| choose(&[&history.tried[..], servers].concat());
     let place = match choose_except(&occupied) {
-        // Beside another suspect rather than not at all: at times all servers run one.
+        // Sharing a server with another suspect is better than no server: at times, all servers run
+        // one.
         Err(_) if reserved.len() < occupied.len() => choose_except(&reserved)?,
         separate => separate?,
     };
@@ -259,7 +261,7 @@
     .with_retry_after(retry_after)
 }
 
-/// Refuses a request for which only servers are left that want nothing before some moment.
+/// Refuses a request because all remaining servers asked to get no requests before `until`.
 fn resting_refusal<A: Adapter>(shared: &Shared<A>, job: &Job, until: Instant) -> Failure {
     let message = "the backend servers want no requests for a while";
     let failure = Failure::new(Kind::QueueFull, message);
@@ -272,16 +274,18 @@
     }
 }
 
-/// A server's own failure of work that may be repeated; another server may do better.
+/// Whether the answer is a server error and the request may be repeated; another server may
+/// succeed.
 fn is_retryable_failure<A: Adapter>(reply: &Reply<A>, job: &Job) -> bool {
     let is_whole = matches!(reply.payload, Payload::Whole(_));
     is_whole && reply.status.is_server_error() && job.route.repeatable()
 }
 
-/// Whether a request that got no answer goes on. An attempt is a send that may have run: what was
-/// refused or never sent uses none up, but what arrived somewhere is paid for from the budget. With
-/// refusals counted as attempts, requests that may run once were refused at the first server that
-/// was full or had been replaced, 2,325 of them in 8 s while 22 of 128 servers came back under new names.
+/// Whether a request that got no answer may be sent again. Only sends that may have run count as
+/// attempts. Refusals and failed connections don't count, but a send that reached a server takes a
+/// retry from the budget. When refusals counted as attempts, requests that may run only once were
+/// refused at the first server that was full or had been replaced: 2,325 requests in 8 s while 22
+/// of 128 servers came back under new names.
 fn may_continue<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
     if history.repeatable_failures() >= MAX_FAILED_OFFERS {
         return false;
@@ -289,7 +293,7 @@
     history.arrivals() == 0 || take_retry(shared, job, history)
 }
 
-/// Takes a further send from the budget, if the route and the time left allow one.
+/// Takes a retry from the budget, if the route and the remaining time allow one.
 fn take_retry<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
     let now = clock::now();
     if history.sends >= job.max_attempts() || job.time_left(now) < MIN_TIME_LEFT {
@@ -302,14 +306,14 @@
     admitted
 }
 
-/// Counts the request for the budget, at the box that its caller asked.
+/// Counts the request for the retry budget, at the box that its caller asked.
 fn count_first_send<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
     if job.origin == Origin::Caller {
         shared.with_service(&job.service, |service| service.budget.first(clock::now()));
     }
 }
 
-/// A request of which a send may have run is never called "not run".
+/// Turns "not run" into "unknown" in the failure of a request that an earlier send may have run.
 fn mark_possible_run(history: &RequestHistory, failure: Failure) -> Failure {
     if !history.maybe_ran || failure.ran() != Ran::No {
         return failure;
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway process, already checked.
+//! Validated settings of a gateway process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use crate::protocol::RegionId;
 use crate::protocol::fleet::FailureDomainId;
 
-/// Where a gateway listens.
+/// Addresses that a gateway listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Listen {
-    /// For callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// For the question whether it takes requests.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// For callers that look for a box.
+    /// Queries of callers that look for a box.
     pub directory: SocketAddr,
-    /// For other boxes.
+    /// Requests and datagrams of other boxes.
     pub peers: SocketAddr,
-    /// For boxes that the store does not answer.
+    /// State queries of boxes that can't reach the store.
     pub handover: SocketAddr,
-    /// For counters as text.
+    /// Metrics as text.
     pub metrics: SocketAddr,
 }
 
@@ -30,37 +30,39 @@
 pub struct Settings {
     /// Name of the box.
     pub name: BoxId,
-    /// Its region.
+    /// Region of the box.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub failure_domain: FailureDomainId,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where some boxes answer those that start without the store; may be old.
+    /// Handover addresses of some boxes that a box queries when it starts during a store outage.
+    /// The list may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// What the box can bear, against others: its processor share.
+    /// Relative capacity of the box: its share of the processor.
     pub weight: f64,
-    /// Descriptors that sockets may take.
+    /// Maximum number of file descriptors for sockets.
     pub socket_descriptors: usize,
-    /// Bound on sends beyond the first.
+    /// Bound on retries.
     pub retries: retries::Bound,
-    /// How often the rate of a cold server may be exceeded, as a factor.
+    /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
     /// Requests to a cold server beyond that.
     pub cold_slack: f64,
-    /// Time between the request to stop and the end by force.
+    /// Time from the request to stop until the process ends by force.
     pub stop_limit: Duration,
-    /// How old the state from the store may be for keys to be taken; `None` for as old as it gets.
+    /// Maximum age of the state from the store at which API keys are still accepted; `None` for no
+    /// maximum.
     pub max_key_age: Option<Duration>,
-    /// Units that a team's requests may be over its limit within the window that it is measured by.
+    /// Units by which a team may exceed its limit within the window over which it is measured.
     pub quota_slack: f64,
-    /// Longest time until a change in the store must count here: the least of the bounds on
+    /// Maximum time until a change in the store takes effect here: the smallest of the bounds on
     /// configuration, leaving servers and evacuated failure domains.
     pub propagation_limit: Duration,
-    /// Reading calls a second that the store allows all boxes together.
+    /// Reads a second that the store allows all boxes together.
     pub store_reads: f64,
-    /// How long callers keep an answer of the directory at most.
+    /// Maximum time for which callers cache an answer of the directory.
     pub directory_ttl: Duration,
 }
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -1,7 +1,7 @@
-//! What the threads of a gateway share.
+//! State shared by the threads of a gateway.
 //!
-//! Control publishes whole snapshots; traffic reads them without a lock. The
-//! tables of servers are under a lock that is held for one decision.
+//! Control publishes immutable snapshots, which traffic reads without a lock. The tables of servers
+//! are behind locks that are held for one decision at a time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -44,93 +44,95 @@
 use crate::transport::backend;
 use crate::transport::store::Eras;
 
-/// What control knows, as a whole.
+/// Everything that control has published, as one consistent snapshot.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// The configuration; `None` until the first one is known.
     pub routing: Option<Arc<Routing>>,
-    /// Other boxes that live.
+    /// Other live boxes.
     pub boxes: Vec<BoxRecord>,
-    /// Boxes whose records are gone from the store, and that may only have lost it.
+    /// Boxes whose records are gone from the store. They may be running and only have lost the
+    /// store.
     pub expired_boxes: Vec<BoxRecord>,
-    /// Boxes of all regions that bounds are shared among, this one included.
+    /// Number of boxes in all regions that share the bounds, including this one.
     pub fleet_size: usize,
-    /// Slots that may get work by service and region.
+    /// Slots that may get requests, by service and region.
     pub slots: HashMap<ServiceId, HashMap<RegionId, u32>>,
-    /// Servers of all regions that may get work, by service.
+    /// Servers of all regions that may get requests, by service.
     pub servers: HashMap<ServiceId, Vec<ServerLocation>>,
-    /// How far a stop is.
+    /// Progress of a shutdown.
     pub stage: Stage,
 }
 
-/// The servers of a service, and what was sent to them.
+/// The servers of a service and the load on them.
 pub struct Service {
-    /// Which server gets what.
+    /// Chooses a server for each request.
     pub placement: Placement,
-    /// Sends beyond the first.
+    /// Budget for retries.
     pub budget: Budget,
 }
 
-/// What all threads of a gateway share.
+/// State shared by all threads of a gateway.
 pub struct Shared<A> {
-    /// Settings.
+    /// The settings.
     pub settings: Settings,
-    /// Translates the platform's words.
+    /// Translates between the platform's protocols and the gateway.
     pub adapter: A,
-    /// Drawn at the start.
+    /// Random number drawn at the start.
     pub incarnation: Incarnation,
-    /// What control knows.
+    /// The snapshot that control published last.
     pub snapshot: ArcSwap<Snapshot>,
-    /// What the store last held, also for boxes that it does not answer.
+    /// The last known contents of the store, also served to boxes that can't reach the store.
     pub replica: Mutex<Replica>,
-    /// Servers of this region by service.
+    /// The servers of this region by service.
     pub services: Mutex<HashMap<ServiceId, Service>>,
-    /// What other boxes have on these servers. Locked after `services`, never before.
+    /// Load of other boxes on these servers. Locked after `services`, never before.
     pub loads: Mutex<Loads>,
     /// What teams have left of their limits.
     pub quotas: Mutex<Quotas>,
-    /// Rates that servers of this region name. Locked after `services` and `loads`, never before.
+    /// Request rates that servers of this region asked for. Locked after `services` and `loads`,
+    /// never before.
     pub throttles: Mutex<Throttles>,
-    /// Servers that say that they leave. Locked after `services` and `throttles`, never before.
+    /// Servers that said that they leave. Locked after `services` and `throttles`, never before.
     pub departures: Mutex<Departures>,
-    /// How full the servers of other regions are.
+    /// Load of the servers of other regions.
     pub regions: Mutex<Regions>,
-    /// What other boxes say of themselves.
+    /// Status that other boxes report about themselves.
     pub presence: Mutex<Presence>,
-    /// Boxes that are heard though the store does not show them.
+    /// Boxes that are heard from though the store doesn't list them.
     pub unlisted: Mutex<Unlisted>,
     /// How recent the state from the store is.
     pub freshness: Mutex<Freshness>,
     /// Answers that broke off lately.
     pub broken: Mutex<Broken>,
-    /// Requests that end servers.
+    /// Requests that crash servers.
     pub quarantine: Mutex<Quarantine>,
-    /// When the store answered this box again after it did not.
+    /// When the store answered this box again after an outage.
     pub store_recovered_at: Mutex<Option<Instant>>,
-    /// Eras that the store has told this box.
+    /// Eras that the store has reported to this box.
     pub eras: Eras,
-    /// There is something that the other boxes of the region must hear at once.
+    /// Notified when the other boxes of the region must get a report at once.
     pub region_update: Notify,
-    /// There is something that all boxes must hear at once.
+    /// Notified when all boxes must get a report at once.
     pub global_update: Notify,
-    /// There may be verdicts that the store lacks.
+    /// Notified when there may be verdicts to write to the store.
     pub verdicts: Notify,
-    /// Another box has a newer state from the store than this one.
+    /// Notified when another box has a newer state from the store than this one.
     pub peer_ahead: Notify,
-    /// Connections to backend servers.
+    /// Client for backend servers.
     pub servers: backend::Client,
-    /// Connections to other boxes.
+    /// Client for other boxes.
     pub peers: backend::Client,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_flight: AtomicUsize,
-    /// Counters.
+    /// Event counters.
     pub counters: Arc<Counters>,
-    /// How long things took.
+    /// Latency histograms.
     pub latencies: Arc<Latencies>,
 }
 
 impl<A> Shared<A> {
-    /// Changes or asks the state of a service; `None` if there is no such service.
+    /// Runs `access` on the state of a service. Returns `None` if there is no such service.
     pub fn with_service<T>(
         &self,
         service: &str,
@@ -139,7 +141,7 @@
         lock(&self.services).get_mut(service).map(access)
     }
 
-    /// Age of the state from the store, milliseconds; -1 before there is any.
+    /// Age of the state from the store in milliseconds; -1 before there is any.
     pub fn state_age_ms(&self) -> i64 {
         let age = lock(&self.freshness).age(clock::now());
         age.map_or(-1, |age| age.as_millis() as i64)
@@ -152,7 +154,7 @@
     }
 }
 
-/// A request in progress.
+/// Counts a request as in progress until it is dropped.
 pub struct InFlightGuard<A> {
     shared: Arc<Shared<A>>,
 }
@@ -163,18 +165,18 @@
     }
 }
 
-/// A place on a server, given back when it is dropped.
+/// A reserved slot on a server, released when dropped.
 pub struct Reservation<A> {
     shared: Arc<Shared<A>>,
     service: ServiceId,
-    /// The place.
+    /// The server and the load that it was chosen by.
     pub place: Place,
     outcome: Outcome,
     request: Fingerprint,
 }
 
 impl<A> Reservation<A> {
-    /// Holds a place that was just taken for a request.
+    /// Wraps a slot that was just reserved for a request.
     pub fn new(
         shared: &Arc<Shared<A>>,
         service: &str,
@@ -193,19 +195,19 @@
         Reservation { shared, service: service.to_owned(), place, outcome, request }
     }
 
-    /// Whether the server would still get it.
+    /// Whether the server would still be chosen.
     pub fn is_still_admitted(&self) -> bool {
         let now = clock::now();
         let admits = |service: &mut Service| service.placement.still_admits(&self.place, now);
         self.shared.with_service(&self.service, admits).unwrap_or(false)
     }
 
-    /// Says how the exchange ended.
+    /// Sets the outcome that is recorded when the slot is released.
     pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// The answer has begun.
+    /// Records that the answer has begun.
     pub fn first_byte(&mut self) {
         let place = &mut self.place;
         self.shared.with_service(&self.service, |service| service.placement.first_byte(place));
--- a/lib/src/gateway/stream.rs
+++ b/lib/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events from a backend server or another box.
+//! A stream of events from a backend server or from another box.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::transport::backend::Exchange;
 use crate::transport::body::Cut;
 
-/// Events as they come.
+/// Reads the events of a stream.
 pub struct Stream<A: Adapter> {
     exchange: Exchange,
     reservation: Option<Reservation<A>>,
     splitter: Splitter,
-    /// Events that were read to see that the stream has begun.
+    /// Events that were read when waiting for the first one.
     buffered_events: Option<Bytes>,
     idle_time: Duration,
 }
 
 impl<A: Adapter> Stream<A> {
-    /// A stream whose connection may rest for `idle` afterwards.
+    /// Creates a stream whose connection may be idle for `idle_time` afterwards.
     pub fn new(
         exchange: Exchange,
         reservation: Option<Reservation<A>>,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Waits for the first event.
+    /// Reads the first event.
     pub async fn read_first_event(&mut self) -> Result<(), Cut> {
         self.buffered_events = self.read().await?;
         if let Some(reservation) = &mut self.reservation {
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// The next whole events; `None` at the proper end.
+    /// The next complete events; `None` at the regular end of the stream.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
         match self.buffered_events.take() {
             Some(events) => Ok(Some(events)),
@@ -59,12 +59,13 @@
         self.splitter.last_id()
     }
 
-    /// The place on a backend server, if it is one of this region, to say what came of it.
+    /// The slot on a backend server of this region, for recording the outcome. `None` for a stream
+    /// from another box.
     pub fn reservation(&mut self) -> &mut Option<Reservation<A>> {
         &mut self.reservation
     }
 
-    /// Name of the backend server, if it is one of this region.
+    /// Name of the backend server, if it is in this region.
     pub fn server(&self) -> Option<&str> {
         self.reservation.as_ref().map(|reservation| reservation.place.server.as_str())
     }
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -1,4 +1,5 @@
-//! Refuses requests that servers which name a rate have no room for, and keeps their words in the store.
+//! Refuses requests for which the servers' rate limits leave no room, and keeps these rates in the
+//! store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,17 +28,18 @@
 use crate::transport::store;
 use crate::transport::timer;
 
-/// How long the store keeps a word; one that still holds then is written again.
+/// How long the store keeps a rate. A rate that is still valid then is written again.
 const RATE_LEASE_LIFE: Duration = Duration::from_secs(600);
-/// Time between looks whether there is something to write.
+/// Interval of the checks for rates to write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What stands for a service among boxes.
+/// Identifies a service between boxes.
 pub fn service_hash(service: &str) -> ServiceHash {
     rendezvous::weight(service, "")
 }
 
-/// Refuses a request for which only servers are left that get as much as they take.
+/// Refuses a request because all remaining servers already get as many requests as their rates
+/// allow.
 pub fn refuse<A: Adapter>(shared: &Shared<A>, job: &Job) -> Failure {
     shared.counters.count(Counter::Throttled);
     let retry_after = shared.with_service(&job.service, |Service { placement, .. }| {
@@ -52,7 +54,7 @@
     }
 }
 
-/// Takes in a key of the store.
+/// Applies a rate from the store.
 pub fn apply_stored_rate<A: Adapter>(
     shared: &Shared<A>,
     value: &[u8],
@@ -62,7 +64,7 @@
     Ok(())
 }
 
-/// A key of the store is gone.
+/// Removes a rate whose key is gone from the store.
 pub fn remove_stored_rate<A: Adapter>(shared: &Shared<A>, key: &str) {
     let server = key.strip_prefix(RATES).and_then(|life| ServerLife::from_str_radix(life, 16).ok());
     if let Some(server) = server {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Writes words to the store, for as long as the box runs.
+/// Writes rates to the store for as long as the box runs.
 pub async fn write_rates<A: Adapter>(shared: Arc<Shared<A>>, store: store::Client<A>) {
     let own_hash = presence::box_hash(&shared.settings.name);
     loop {
@@ -102,7 +104,7 @@
     };
     let row = |stored_rate: &Stored| Row {
         key: format!("{RATES}{:016x}", stored_rate.server),
-        // Numbers cannot fail to be written.
+        // Serializing numbers can't fail.
         value: Bytes::from(serde_json::to_vec(stored_rate).unwrap_or_default()),
         lease,
     };
--- a/lib/tests/common/news.rs
+++ b/lib/tests/common/news.rs
@@ -1,5 +1,5 @@
-//! How news of the store spreads: boxes of three regions that watch, look, tell and ask by the
-//! product's own decisions, before a simulated store and network.
+//! Simulates how changes in the store spread. The boxes of three regions watch, poll, report and
+//! query by the gateway's own decisions, on a simulated store and network.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -24,71 +24,71 @@
 use rand::seq::IteratorRandom;
 
 const REGIONS: usize = 3;
-/// Time between reports, and boxes of the region that each goes to.
-const PERIOD: Duration = Duration::from_millis(200);
-const MOST: usize = 32;
-/// Least time from one question to the next.
-const ASK_GAP: Duration = Duration::from_millis(200);
-/// One way within a region, and between two.
-const NEAR: Duration = Duration::from_micros(500);
-const FAR: Duration = Duration::from_millis(55);
-/// Time that the store, or a box, takes for an answer.
-const ANSWER: Duration = Duration::from_millis(4);
-/// Time after which lost bytes of a connection are sent again.
-const RESENT: Duration = Duration::from_millis(200);
-/// Time after which a change is given up.
-const LIMIT: Duration = Duration::from_secs(20);
-/// The key whose change is followed.
-const KEY: &str = "servers/i-1";
+/// Interval of reports, and number of boxes of the region that get each.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+const REPORT_RECIPIENTS: usize = 32;
+/// Minimum time between two state queries.
+const MIN_QUERY_GAP: Duration = Duration::from_millis(200);
+/// One-way latency within a region, and between two.
+const SAME_REGION_LATENCY: Duration = Duration::from_micros(500);
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(55);
+/// Time that the store or a box takes to answer.
+const ANSWER_TIME: Duration = Duration::from_millis(4);
+/// Time after which lost bytes of a connection are retransmitted.
+const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which the simulation of a change ends.
+const MAX_DURATION: Duration = Duration::from_secs(20);
+/// The key that changes.
+const CHANGED_KEY: &str = "servers/i-1";
 
-/// What the network and the store are like.
+/// Conditions of the network and the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// Boxes of all regions.
+    /// Number of boxes in all regions.
     pub boxes: usize,
-    /// Part of the datagrams that is lost, and of the answers that come late.
+    /// Share of the datagrams that are lost, and of the answers that are delayed.
     pub loss: f64,
-    /// Datagrams are as long as they may be, and lost if any of their six packets is.
+    /// Datagrams have the maximum size, and are lost if any of their six packets is.
     pub full: bool,
-    /// Watches are dead without a sign; only looks tell.
+    /// All watches have died unnoticed, so that only polls return changes.
     pub dead_watches: bool,
-    /// The store has just come back from a copy that all boxes are ahead of.
+    /// The store has just been restored from a copy that is older than the state of all boxes.
     pub restored: bool,
 }
 
-struct Box {
+struct SimulatedBox {
     record: BoxRecord,
     /// The other boxes of its region.
-    beside: Vec<usize>,
+    same_region: Vec<usize>,
     freshness: Freshness,
     replica: Replica,
     watches: bool,
-    asked_at: Option<Instant>,
-    asking: bool,
-    /// When it knew of the change.
-    knows_at: Option<Instant>,
+    last_query_at: Option<Instant>,
+    query_pending: bool,
+    /// When it learned of the change.
+    learned_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    Report { from: usize, number: usize },
-    Heard { from: usize, to: usize, version: usize, age: Duration },
-    Draw(usize),
-    Ask(usize),
-    Told { from: usize, to: usize },
-    Read { by: usize, at: Instant, revision: u64 },
+    SendReport { from: usize, number: usize },
+    ReceiveReport { from: usize, to: usize, version: usize, age: Duration },
+    DrawPoll(usize),
+    QueryPeer(usize),
+    PeerAnswer { from: usize, to: usize },
+    StoreAnswer { by: usize, at: Instant, revision: u64 },
 }
 
-struct Play {
+struct Simulation {
     setting: Setting,
     rng: SmallRng,
     now: Instant,
     queue: BinaryHeap<Reverse<(Instant, usize, Event)>>,
-    number: usize,
-    boxes: Vec<Box>,
-    /// Versions that datagrams under way name.
+    last_sequence: usize,
+    boxes: Vec<SimulatedBox>,
+    /// Versions that datagrams in flight refer to.
     versions: Vec<copperweir_lib::coordination::freshness::Version>,
-    /// What the store held before the change, and what it holds now.
+    /// Contents of the store before the change, and now.
     before: Replica,
     store: Replica,
 }
@@ -98,25 +98,25 @@
 }
 
 fn box_number(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { unreachable!("all are of this kind") };
+    let SocketAddr::V4(address) = address else { unreachable!("all addresses are IPv4") };
     let [.., high, low] = address.ip().octets();
     usize::from(high) * 256 + usize::from(low)
 }
 
 fn item(value: &'static [u8], revision: u64) -> Item {
-    Item { key: KEY.to_owned(), value: Bytes::from_static(value), revision }
+    Item { key: CHANGED_KEY.to_owned(), value: Bytes::from_static(value), revision }
 }
 
-impl Play {
-    fn start(setting: Setting, seed: u64) -> Play {
+impl Simulation {
+    fn start(setting: Setting, seed: u64) -> Simulation {
         let now = Instant::now();
         let mut old = Replica::default();
         old.insert(&item(b"serves", 3));
-        // What the copy lacks is another key.
+        // The entry that the restored copy lacks has another key.
         old.insert(&Item { key: "other".to_owned(), ..item(b"", 9) });
         old.advance_to(Position { era: 1, revision: 9 });
-        let mut boxes: Vec<Box> = (0..setting.boxes)
-            .map(|number| Box {
+        let mut boxes: Vec<SimulatedBox> = (0..setting.boxes)
+            .map(|number| SimulatedBox {
                 record: BoxRecord {
                     name: format!("b{number}"),
                     incarnation: 1,
@@ -127,22 +127,22 @@
                     leaving: false,
                     weight: 1.0,
                 },
-                beside: (0..setting.boxes)
+                same_region: (0..setting.boxes)
                     .filter(|other| *other != number && other % REGIONS == number % REGIONS)
                     .collect(),
                 freshness: Freshness::default(),
                 replica: old.clone(),
                 watches: false,
-                asked_at: None,
-                asking: false,
-                knows_at: None,
+                last_query_at: None,
+                query_pending: false,
+                learned_at: None,
             })
             .collect();
-        let records: Vec<BoxRecord> = boxes.iter().map(|one| one.record.clone()).collect();
-        for one in &mut boxes {
-            let others = records.iter().filter(|other| other.name != one.record.name);
-            one.watches = watchers::watches(&one.record, others);
-            one.freshness.taken(old.version(), Some(now), now);
+        let records: Vec<BoxRecord> = boxes.iter().map(|node| node.record.clone()).collect();
+        for node in &mut boxes {
+            let others = records.iter().filter(|other| other.name != node.record.name);
+            node.watches = watchers::watches(&node.record, others);
+            node.freshness.taken(old.version(), Some(now), now);
         }
         let mut store = old;
         if setting.restored {
@@ -153,29 +153,41 @@
         let rng = SmallRng::seed_from_u64(seed);
         let (queue, versions) = (BinaryHeap::new(), Vec::new());
         let before = store.clone();
-        let mut play = Play { setting, rng, now, queue, number: 0, boxes, versions, before, store };
+        let mut simulation = Simulation {
+            setting,
+            rng,
+            now,
+            queue,
+            last_sequence: 0,
+            boxes,
+            versions,
+            before,
+            store,
+        };
         for number in 0..setting.boxes {
-            let phase = PERIOD.mul_f64(play.rng.random());
-            play.after(phase, Event::Report { from: number, number: 0 });
-            let phase = LOOK_AGAIN.mul_f64(play.rng.random());
-            play.after(phase, Event::Draw(number));
+            let phase = REPORT_INTERVAL.mul_f64(simulation.rng.random());
+            simulation.schedule(phase, Event::SendReport { from: number, number: 0 });
+            let phase = LOOK_AGAIN.mul_f64(simulation.rng.random());
+            simulation.schedule(phase, Event::DrawPoll(number));
         }
-        play
+        simulation
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse((self.now + delay, self.number, event)));
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse((self.now + delay, self.last_sequence, event)));
     }
 
-    fn way(&self, from: usize, to: usize) -> Duration {
-        if from % REGIONS == to % REGIONS { NEAR } else { FAR }
+    fn latency(&self, from: usize, to: usize) -> Duration {
+        if from % REGIONS == to % REGIONS { SAME_REGION_LATENCY } else { CROSS_REGION_LATENCY }
     }
 
-    /// Time until an answer of the store is there; it stands in the first region.
+    /// Time until an answer of the store arrives. The store is in the first region.
     fn answer_time(&mut self, to: usize) -> Duration {
-        let late = self.rng.random_bool(self.setting.loss);
-        self.way(0, to) * 2 + ANSWER + if late { RESENT } else { Duration::ZERO }
+        let is_delayed = self.rng.random_bool(self.setting.loss);
+        self.latency(0, to) * 2
+            + ANSWER_TIME
+            + if is_delayed { RETRANSMIT_TIMEOUT } else { Duration::ZERO }
     }
 
     fn send(&mut self, from: usize, to: usize) {
@@ -186,14 +198,15 @@
         let Some(age) = self.boxes[from].freshness.age(self.now) else { return };
         self.versions.push(self.boxes[from].freshness.version());
         let version = self.versions.len() - 1;
-        self.after(self.way(from, to), Event::Heard { from, to, version, age });
+        self.schedule(self.latency(from, to), Event::ReceiveReport { from, to, version, age });
     }
 
-    /// A server leaves, by its entry in the store; gives when each box knows.
+    /// Changes the entry of a server that leaves. Returns the time that each box took to learn of
+    /// it.
     fn run(mut self) -> Vec<Duration> {
-        // A change comes at no special time.
-        let settle = Duration::from_millis(2000 + self.rng.random_range(0..1000));
-        let changed_at = self.now + settle;
+        // The change comes at a random time.
+        let settle_time = Duration::from_millis(2000 + self.rng.random_range(0..1000));
+        let changed_at = self.now + settle_time;
         let mut changed = false;
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at > changed_at && !changed {
@@ -203,13 +216,13 @@
             }
             self.now = at;
             self.handle(event);
-            let all = self.boxes.iter().all(|one| one.knows_at.is_some());
-            if all || at > changed_at + LIMIT {
+            let all_learned = self.boxes.iter().all(|node| node.learned_at.is_some());
+            if all_learned || at > changed_at + MAX_DURATION {
                 break;
             }
         }
-        let known = self.boxes.iter().map(|one| one.knows_at);
-        known.map(|at| at.map_or(LIMIT, |at| at - changed_at)).collect()
+        let learn_times = self.boxes.iter().map(|node| node.learned_at);
+        learn_times.map(|at| at.map_or(MAX_DURATION, |at| at - changed_at)).collect()
     }
 
     fn change(&mut self) {
@@ -221,141 +234,143 @@
         }
         for number in 0..self.boxes.len() {
             if self.boxes[number].watches {
-                self.read_store(number);
+                self.call_store(number);
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Report { from, number } => {
-                let others = self.boxes[from].beside.clone();
-                let turn = number * MOST % others.len().max(1);
-                let told: Vec<usize> = others
+            Event::SendReport { from, number } => {
+                let others = self.boxes[from].same_region.clone();
+                let turn = number * REPORT_RECIPIENTS % others.len().max(1);
+                let recipients: Vec<usize> = others
                     .iter()
                     .cycle()
                     .skip(turn)
-                    .take(MOST.min(others.len()))
+                    .take(REPORT_RECIPIENTS.min(others.len()))
                     .copied()
                     .collect();
-                told.into_iter().for_each(|to| self.send(from, to));
-                let far = (0..self.boxes.len()).filter(|other| other % REGIONS != from % REGIONS);
-                if let Some(to) = far.choose(&mut self.rng) {
+                recipients.into_iter().for_each(|to| self.send(from, to));
+                let remote_boxes =
+                    (0..self.boxes.len()).filter(|other| other % REGIONS != from % REGIONS);
+                if let Some(to) = remote_boxes.choose(&mut self.rng) {
                     self.send(from, to);
                 }
-                self.after(PERIOD, Event::Report { from, number: number + 1 });
+                self.schedule(REPORT_INTERVAL, Event::SendReport { from, number: number + 1 });
             }
-            Event::Heard { from, to, version, age } => {
-                let word = Word {
+            Event::ReceiveReport { from, to, version, age } => {
+                let report = Word {
                     sender: from as u64,
                     address: address(from),
                     version: self.versions[version],
                     age,
                     beside: from % REGIONS == to % REGIONS,
                 };
-                if self.boxes[to].freshness.hear(&word, self.now) {
-                    self.ask(to);
+                if self.boxes[to].freshness.hear(&report, self.now) {
+                    self.query_peer(to);
                 }
             }
-            Event::Draw(number) => {
-                let likely = self.boxes[number].freshness.look(self.boxes.len(), self.now);
-                if self.rng.random::<f64>() < likely {
-                    self.read_store(number);
+            Event::DrawPoll(number) => {
+                let probability = self.boxes[number].freshness.look(self.boxes.len(), self.now);
+                if self.rng.random::<f64>() < probability {
+                    self.call_store(number);
                 }
-                self.ask(number);
-                self.after(LOOK_AGAIN, Event::Draw(number));
+                self.query_peer(number);
+                self.schedule(LOOK_AGAIN, Event::DrawPoll(number));
             }
-            Event::Ask(number) => self.ask(number),
-            Event::Told { from, to } => {
-                self.boxes[to].asking = false;
+            Event::QueryPeer(number) => self.query_peer(number),
+            Event::PeerAnswer { from, to } => {
+                self.boxes[to].query_pending = false;
                 let ahead = self.boxes[from].replica.version();
                 if ahead.is_ahead_of(&self.boxes[to].replica.version()) {
                     let age = self.boxes[from].freshness.age(self.now);
                     let at = age.and_then(|age| self.now.checked_sub(age));
                     let replica = self.boxes[from].replica.clone();
-                    take(&mut self.boxes[to], &replica, at, self.now);
+                    apply_differences(&mut self.boxes[to], &replica, at, self.now);
                 }
             }
-            Event::Read { by, at, revision } => {
-                // The answer is what the store held when it was asked.
+            Event::StoreAnswer { by, at, revision } => {
+                // The answer contains what the store held when it was asked.
                 let now = self.store.version().position.revision;
                 let store = if revision == now { self.store.clone() } else { self.before.clone() };
-                self.read(by, at, &store);
+                self.apply_store_answer(by, at, &store);
             }
         }
     }
 
-    fn read_store(&mut self, by: usize) {
+    fn call_store(&mut self, by: usize) {
         let delay = self.answer_time(by);
         let revision = self.store.version().position.revision;
-        self.after(delay, Event::Read { by, at: self.now, revision });
+        self.schedule(delay, Event::StoreAnswer { by, at: self.now, revision });
     }
 
-    fn read(&mut self, by: usize, at: Instant, store: &Replica) {
+    fn apply_store_answer(&mut self, by: usize, at: Instant, store: &Replica) {
         if self.boxes[by].replica.version().is_ahead_of(&store.version()) {
             return;
         }
-        let news = store.version().is_ahead_of(&self.boxes[by].replica.version());
-        take(&mut self.boxes[by], store, Some(at), self.now);
-        if news {
-            self.boxes[by].beside.clone().into_iter().for_each(|to| self.send(by, to));
+        let is_newer = store.version().is_ahead_of(&self.boxes[by].replica.version());
+        apply_differences(&mut self.boxes[by], store, Some(at), self.now);
+        if is_newer {
+            self.boxes[by].same_region.clone().into_iter().for_each(|to| self.send(by, to));
         }
     }
 
-    fn ask(&mut self, number: usize) {
-        let one = &self.boxes[number];
-        let patience = if one.watches { Duration::from_millis(1200) } else { Duration::ZERO };
-        let Some(address) = one.freshness.ahead(patience, self.now) else { return };
-        if one.asking {
+    fn query_peer(&mut self, number: usize) {
+        let node = &self.boxes[number];
+        let allowed_lag = if node.watches { Duration::from_millis(1200) } else { Duration::ZERO };
+        let Some(address) = node.freshness.ahead(allowed_lag, self.now) else { return };
+        if node.query_pending {
             return;
         }
-        if let Some(at) = one.asked_at
-            && self.now < at + ASK_GAP
+        if let Some(at) = node.last_query_at
+            && self.now < at + MIN_QUERY_GAP
         {
-            let left = at + ASK_GAP - self.now;
-            self.after(left, Event::Ask(number));
+            let left = at + MIN_QUERY_GAP - self.now;
+            self.schedule(left, Event::QueryPeer(number));
             return;
         }
         let from = box_number(address);
-        let late = self.rng.random_bool(self.setting.loss);
-        let delay =
-            self.way(number, from) * 2 + ANSWER + if late { RESENT } else { Duration::ZERO };
-        self.boxes[number].asked_at = Some(self.now);
-        self.boxes[number].asking = true;
-        self.after(delay, Event::Told { from, to: number });
+        let is_delayed = self.rng.random_bool(self.setting.loss);
+        let delay = self.latency(number, from) * 2
+            + ANSWER_TIME
+            + if is_delayed { RETRANSMIT_TIMEOUT } else { Duration::ZERO };
+        self.boxes[number].last_query_at = Some(self.now);
+        self.boxes[number].query_pending = true;
+        self.schedule(delay, Event::PeerAnswer { from, to: number });
     }
 }
 
-/// A box takes in what differs.
-fn take(one: &mut Box, ahead: &Replica, at: Option<Instant>, now: Instant) {
-    let held: HashSet<u64> = one.replica.digests().collect();
-    for key in one.replica.keys_not_in(&ahead.key_hashes().collect()) {
-        one.replica.remove(&key);
+/// Applies the entries that differ.
+fn apply_differences(node: &mut SimulatedBox, ahead: &Replica, at: Option<Instant>, now: Instant) {
+    let held: HashSet<u64> = node.replica.digests().collect();
+    for key in node.replica.keys_not_in(&ahead.key_hashes().collect()) {
+        node.replica.remove(&key);
     }
     let written: Vec<Item> = ahead.items_not_in(&held).collect();
-    written.iter().for_each(|item| one.replica.insert(item));
-    one.replica.advance_to(ahead.version().position);
-    one.freshness.taken(one.replica.version(), at, now);
-    if one.replica.get(KEY).is_some_and(|value| value == "leaves") {
-        one.knows_at.get_or_insert(now);
+    written.iter().for_each(|item| node.replica.insert(item));
+    node.replica.advance_to(ahead.version().position);
+    node.freshness.taken(node.replica.version(), at, now);
+    if node.replica.get(CHANGED_KEY).is_some_and(|value| value == "leaves") {
+        node.learned_at.get_or_insert(now);
     }
 }
 
-/// Times until each box knows of a change, over some plays, in order.
-pub fn spread(setting: Setting, plays: u64) -> BTreeMap<&'static str, Duration> {
-    let mut last = Vec::new();
-    let mut all = Vec::new();
-    for seed in 0..plays {
-        let known = Play::start(setting, seed).run();
-        last.extend(known.iter().max().copied());
-        all.extend(known);
+/// Statistics of the time that each box takes to learn of a change, over several runs.
+pub fn propagation_times(setting: Setting, runs: u64) -> BTreeMap<&'static str, Duration> {
+    let mut last_times = Vec::new();
+    let mut all_times = Vec::new();
+    for seed in 0..runs {
+        let learn_times = Simulation::start(setting, seed).run();
+        last_times.extend(learn_times.iter().max().copied());
+        all_times.extend(learn_times);
     }
-    all.sort();
-    last.sort();
+    all_times.sort();
+    last_times.sort();
     BTreeMap::from([
-        ("median", all[all.len() / 2]),
-        ("p99", all[all.len() * 99 / 100]),
-        ("last_median", last[last.len() / 2]),
-        ("most", last[last.len() - 1]),
+        ("median", all_times[all_times.len() / 2]),
+        ("p99", all_times[all_times.len() * 99 / 100]),
+        ("last_median", last_times[last_times.len() / 2]),
+        ("most", last_times[last_times.len() - 1]),
     ])
 }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -1,4 +1,4 @@
-//! Which boxes the directory names.
+//! Tests which boxes the directory names.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -25,14 +25,14 @@
         incarnation: 1,
         region: region.to_owned(),
         failure_domain: format!("hall-{region}"),
-        callers: address(number),
+        callers: caller_address(number),
         peers: ([10, 0, 0, number], 81).into(),
         leaving,
         weight: 1.0,
     }
 }
 
-fn address(number: u8) -> SocketAddr {
+fn caller_address(number: u8) -> SocketAddr {
     ([10, 0, 0, number], 80).into()
 }
 
@@ -70,11 +70,15 @@
     }
 }
 
-fn addresses(snapshot: &Snapshot, own: &BoxRecord, question: &Question) -> (Vec<SocketAddr>, bool) {
-    directory::addresses(snapshot, &Presence::default(), own, question, Instant::now())
+fn addresses(
+    snapshot: &Snapshot,
+    own: &BoxRecord,
+    question_from: &Question,
+) -> (Vec<SocketAddr>, bool) {
+    directory::addresses(snapshot, &Presence::default(), own, question_from, Instant::now())
 }
 
-fn question(region: &str) -> Question {
+fn question_from(region: &str) -> Question {
     Question {
         host: "h".to_owned(),
         region: region.to_owned(),
@@ -83,33 +87,34 @@
 }
 
 #[test]
-fn living_boxes_of_the_region_are_named() {
+fn directory_names_live_boxes_of_the_region() {
     let boxes =
         vec![record(2, "north", false), record(3, "north", true), record(4, "south", false)];
-    let named = addresses(&snapshot(boxes, &[]), &record(1, "north", false), &question("north"));
-    assert_eq!(named, (vec![address(2), address(1)], true));
+    let addresses_at =
+        addresses(&snapshot(boxes, &[]), &record(1, "north", false), &question_from("north"));
+    assert_eq!(addresses_at, (vec![caller_address(2), caller_address(1)], true));
 }
 
 #[test]
-fn a_region_without_a_box_is_sent_where_its_requests_may_run() {
+fn region_without_boxes_gets_boxes_of_allowed_regions() {
     let boxes = vec![record(2, "north", true), record(3, "south", false), record(4, "west", false)];
     let snapshot = snapshot(boxes, &["north", "south"]);
-    let named = addresses(&snapshot, &record(1, "west", false), &question("north"));
-    assert_eq!(named, (vec![address(3)], false));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    assert_eq!(addresses_at, (vec![caller_address(3)], false));
 }
 
 #[test]
-fn any_box_is_better_than_none() {
+fn any_box_is_named_if_no_region_may_run_the_routes() {
     let boxes = vec![record(4, "west", false)];
     let snapshot = snapshot(boxes, &["north"]);
-    let named = addresses(&snapshot, &record(1, "west", false), &question("north"));
-    assert_eq!(named, (vec![address(4), address(1)], false));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    assert_eq!(addresses_at, (vec![caller_address(4), caller_address(1)], false));
 }
 
-/// Some routes of a host have one home, others have two: no region may run all of them, and yet
-/// one may run none.
+/// Some routes of a host have one home and others have two. No region may run all of them, and one
+/// may run none of those with homes.
 #[test]
-fn regions_that_may_run_most_of_a_host_come_before_others() {
+fn regions_that_may_run_most_routes_are_preferred() {
     let boxes = vec![record(2, "north", true), record(3, "south", false), record(4, "west", false)];
     let routes = vec![
         route("/any/", &[]),
@@ -118,41 +123,51 @@
         route("/both/", &["north", "south"]),
     ];
     let snapshot = snapshot_with_routes(boxes, routes);
-    let named = addresses(&snapshot, &record(1, "west", false), &question("north"));
-    assert_eq!(named, (vec![address(3)], false));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    assert_eq!(addresses_at, (vec![caller_address(3)], false));
 }
 
 #[test]
-fn a_box_that_says_that_it_leaves_is_not_named_though_the_store_has_not_heard() {
+fn box_that_reports_leaving_is_not_named_before_the_store_shows_it() {
     let boxes = vec![record(2, "north", false), record(3, "north", false)];
     let snapshot = snapshot(boxes, &[]);
     let now = Instant::now();
     let mut presence = Presence::default();
     assert!(presence.hear(box_hash("b2"), 1, true, now));
-    assert!(!presence.hear(box_hash("b2"), 1, false, now), "an older datagram that came late");
-    let named = |presence: &Presence, now| {
+    assert!(!presence.hear(box_hash("b2"), 1, false, now), "an older datagram arrives late");
+    let addresses_at = |presence: &Presence, now| {
         let own = record(1, "south", false);
-        directory::addresses(&snapshot, presence, &own, &question("north"), now).0
+        directory::addresses(&snapshot, presence, &own, &question_from("north"), now).0
     };
-    assert_eq!(named(&presence, now), vec![address(3)]);
-    assert!(presence.hear(box_hash("b2"), 2, false, now), "it is back in a new life");
-    assert_eq!(named(&presence, now), vec![address(2), address(3)]);
-    assert!(!presence.hear(box_hash("b2"), 1, true, now), "a word of the life before");
+    assert_eq!(addresses_at(&presence, now), vec![caller_address(3)]);
+    assert!(presence.hear(box_hash("b2"), 2, false, now), "it has restarted");
+    assert_eq!(addresses_at(&presence, now), vec![caller_address(2), caller_address(3)]);
+    assert!(!presence.hear(box_hash("b2"), 1, true, now), "a report of its earlier incarnation");
     presence.hear(box_hash("b3"), 1, true, now);
     presence.expire(now + Duration::from_secs(60));
-    assert_eq!(named(&presence, now), vec![address(2), address(3)], "old words no longer count");
+    assert_eq!(
+        addresses_at(&presence, now),
+        vec![caller_address(2), caller_address(3)],
+        "old reports have expired"
+    );
 }
 
-/// All boxes where the routes have their homes leave in turn, and another region is whole.
+/// All boxes in the routes' home regions leave one after the other, while another region is
+/// unaffected.
 #[test]
-fn a_home_box_that_still_accepts_comes_before_regions_that_are_no_home() {
+fn accepting_box_of_a_home_region_is_preferred_to_other_regions() {
     let boxes = vec![record(2, "north", true), record(3, "south", true), record(4, "west", false)];
     let snapshot = snapshot(boxes, &["north", "south"]);
     let (now, own) = (Instant::now(), record(1, "west", false));
     let mut presence = Presence::default();
     presence.hear(box_hash("b3"), 1, true, now);
-    let named = |now| directory::addresses(&snapshot, &presence, &own, &question("north"), now);
-    assert_eq!(named(now), (vec![address(3)], false));
+    let addresses_at =
+        |now| directory::addresses(&snapshot, &presence, &own, &question_from("north"), now);
+    assert_eq!(addresses_at(now), (vec![caller_address(3)], false));
     let later = now + Duration::from_secs(2);
-    assert_eq!(named(later), (vec![address(4), address(1)], false), "it accepts no more");
+    assert_eq!(
+        addresses_at(later),
+        (vec![caller_address(4), caller_address(1)], false),
+        "it no longer accepts connections"
+    );
 }
