--- a/lib/tests/test_facts.rs
+++ b/lib/tests/test_facts.rs
@@ -1,4 +1,4 @@
-//! What control concludes from the store.
+//! Tests the state that the control thread derives from the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -70,45 +70,45 @@
 }
 
 #[test]
-fn boxes_that_start_together_share_a_cold_server_from_the_first_moment() {
+fn boxes_that_start_together_share_the_bound_of_a_cold_server() {
     let mut cluster_state = cluster_state();
     cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
     let own_record = record("b1");
     cluster_state.apply_box(own_record.clone());
-    let alone = cold_share(&cluster_state, &own_record, true);
+    let sole_share = cold_share(&cluster_state, &own_record, true);
     for name in ["b1", "b2", "b3"] {
         cluster_state.apply_roster_entry("r", name);
     }
     cluster_state.apply_roster_entry("other", "b4");
     assert_eq!(
         cold_share(&cluster_state, &own_record, true),
-        alone / 3,
+        sole_share / 3,
         "others are not in the store yet"
     );
     assert_eq!(
         cold_share(&cluster_state, &own_record, false),
-        alone,
-        "after a while those that live count"
+        sole_share,
+        "after startup only live boxes count"
     );
     assert_eq!(cluster_state.fleet_size(&context(&own_record, true)), 4);
 }
 
 #[test]
-fn a_box_that_is_gone_still_counts_for_a_while() {
+fn expired_box_counts_until_its_retention_ends() {
     let mut cluster_state = cluster_state();
     cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, Instant::now());
     let own_record = record("b1");
     cluster_state.apply_box(record("b2"));
     let now = Instant::now();
-    let shared = cold_share(&cluster_state, &own_record, false);
+    let joint_share = cold_share(&cluster_state, &own_record, false);
     cluster_state.remove_box("b2", now);
-    assert_eq!(cold_share(&cluster_state, &own_record, false), shared);
+    assert_eq!(cold_share(&cluster_state, &own_record, false), joint_share);
     assert!(cluster_state.expire(now + Duration::from_secs(60)));
-    assert!(cold_share(&cluster_state, &own_record, false) > shared);
+    assert!(cold_share(&cluster_state, &own_record, false) > joint_share);
 }
 
 #[test]
-fn a_box_that_the_store_never_showed_counts_once_it_is_heard() {
+fn unlisted_box_counts_once_it_is_heard_from() {
     let now = Instant::now();
     let own_record = record("b1");
     let mut cluster_state = cluster_state();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_box_that_is_gone_from_the_store_and_still_heard_goes_on_counting() {
+fn expired_box_counts_while_it_is_heard_from() {
     let mut now = Instant::now();
     let own_record = record("b1");
     let mut cluster_state = cluster_state();
@@ -147,20 +147,20 @@
 }
 
 #[test]
-fn entries_that_lapsed_while_the_store_was_away_get_two_seconds() {
+fn entries_missing_after_an_outage_are_kept_for_a_grace_period() {
     let mut cluster_state = cluster_state();
     let now = Instant::now();
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
     cluster_state.note_store_recovered(now);
     cluster_state.retain_listed(&BTreeSet::new(), &BTreeSet::new(), now);
-    assert_eq!(cluster_state.slots()["s"]["r"], 4, "it may be back in a moment");
+    assert_eq!(cluster_state.slots()["s"]["r"], 4, "the entry may be written again");
     assert!(!cluster_state.expire(now + Duration::from_millis(1900)));
     assert!(cluster_state.expire(now + Duration::from_millis(2500)));
     assert!(cluster_state.slots().is_empty());
 }
 
 #[test]
-fn an_entry_that_goes_while_the_store_is_well_is_gone() {
+fn entry_removed_without_an_outage_is_dropped_at_once() {
     let mut cluster_state = cluster_state();
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, Instant::now());
     cluster_state.remove(&Subject::Server("i-1".to_owned()), Instant::now());
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn servers_come_cold_out_of_an_evacuation() {
+fn servers_are_cold_after_an_evacuation() {
     let mut cluster_state = cluster_state();
     let now = Instant::now();
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_server_that_turns_cold_again_in_the_same_words_is_cold_again() {
+fn repeated_cold_entry_with_a_new_revision_makes_a_server_cold_again() {
     let now = Instant::now();
     let own_record = record("b1");
     let cold_left = Duration::from_secs(3);
@@ -204,43 +204,49 @@
 }
 
 #[test]
-fn an_older_configuration_is_not_taken() {
+fn older_configuration_is_rejected() {
     let mut cluster_state = cluster_state();
     let older = Routing::new(0, Vec::new(), BTreeMap::new(), Limits::default());
     assert!(!cluster_state.apply(Fact::Routing(Box::new(older)), 1, Instant::now()));
     assert_eq!(cluster_state.routing.as_ref().map(|routing| routing.version), Some(1));
 }
 
-fn born_at(seconds: u64) -> Server {
+fn server_born_at(seconds: u64) -> Server {
     let born = SystemTime::UNIX_EPOCH + Duration::from_secs(seconds);
     Server { born: Some(born), ..server(Duration::ZERO) }
 }
 
 #[test]
-fn an_earlier_life_of_a_server_never_replaces_a_later_one() {
+fn earlier_incarnation_of_a_server_never_replaces_a_later_one() {
     let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
-    let leaving = Server { leaving: true, ..born_at(10) };
+    let leaving = Server { leaving: true, ..server_born_at(10) };
     assert!(cluster_state.apply(Fact::Server(leaving.clone()), 5, now));
-    assert!(cluster_state.apply(Fact::Server(born_at(20)), 6, now), "a new life leaves no more");
+    assert!(
+        cluster_state.apply(Fact::Server(server_born_at(20)), 6, now),
+        "the new incarnation is not leaving"
+    );
     assert!(!cluster_state.apply(Fact::Server(leaving), 7, now), "a late write of the earlier one");
     assert!(
         !cluster_state.apply(Fact::Server(server(Duration::ZERO)), 8, now),
-        "of whom nothing is known"
+        "an entry without a start time"
     );
     let local_servers = cluster_state.local_servers(&context(&own_record, false));
-    assert!(local_servers["s"][0].usable && local_servers["s"][0].server.born == born_at(20).born);
+    assert!(
+        local_servers["s"][0].usable
+            && local_servers["s"][0].server.born == server_born_at(20).born
+    );
 }
 
 #[test]
-fn what_another_writer_put_under_a_servers_name_is_no_server() {
+fn server_is_dropped_if_its_key_holds_another_value() {
     let (mut cluster_state, own_record) = (cluster_state(), record("b1"));
-    cluster_state.apply(Fact::Server(born_at(10)), 5, Instant::now());
+    cluster_state.apply(Fact::Server(server_born_at(10)), 5, Instant::now());
     cluster_state.discard_server("i-1");
     assert!(cluster_state.local_servers(&context(&own_record, false)).is_empty());
 }
 
 #[test]
-fn a_server_that_leaves_is_held_back_from_serving_until_a_restored_store_has_settled() {
+fn leaving_server_is_not_used_until_a_restored_store_has_settled() {
     let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let leaving = Server { leaving: true, ..server(Duration::ZERO) };
     cluster_state.apply(Fact::Server(leaving.clone()), 9, now);
@@ -248,36 +254,45 @@
     let usable = |cluster_state: &ClusterState| {
         cluster_state.local_servers(&context(&own_record, false))["s"][0].usable
     };
-    assert!(!cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
+    assert!(
+        !cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now),
+        "the entry comes from the older copy"
+    );
     assert!(!usable(&cluster_state));
     let settled = now + Duration::from_millis(2500);
-    assert!(cluster_state.expire(settled), "nobody has written otherwise");
+    assert!(cluster_state.expire(settled), "no newer entry was written");
     assert!(usable(&cluster_state));
     cluster_state.note_store_restored(settled);
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, settled);
     cluster_state.apply(Fact::Server(leaving), 6, settled);
     cluster_state.expire(settled + Duration::from_secs(3));
-    assert!(!usable(&cluster_state), "the server has said so again");
+    assert!(!usable(&cluster_state), "the server has announced it again");
 }
 
 #[test]
-fn what_was_removed_comes_back_with_a_restored_store_only_if_it_stays_there() {
+fn removed_server_returns_from_a_restored_store_only_if_it_stays_listed() {
     let (mut cluster_state, now) = (cluster_state(), Instant::now());
     let subject = Subject::Server("i-1".to_owned());
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now);
     cluster_state.remove(&subject, now);
     cluster_state.note_store_restored(now);
-    assert!(!cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now), "the copy's entry");
+    assert!(
+        !cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now),
+        "the entry comes from the older copy"
+    );
     cluster_state.remove(&subject, now);
     cluster_state.expire(now + Duration::from_secs(3));
     assert!(cluster_state.slots().is_empty(), "removed again");
     cluster_state.note_store_restored(now);
-    assert!(cluster_state.apply(Fact::Server(server(Duration::ZERO)), 6, now), "written since");
+    assert!(
+        cluster_state.apply(Fact::Server(server(Duration::ZERO)), 6, now),
+        "the entry is newer than the removal"
+    );
     assert_eq!(cluster_state.slots()["s"]["r"], 4);
 }
 
 #[test]
-fn an_evacuation_that_ended_does_not_come_back_with_a_restored_store() {
+fn ended_evacuation_returns_from_a_restored_store_only_if_it_stays_listed() {
     let (mut cluster_state, now) = (cluster_state(), Instant::now());
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
     cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
@@ -286,11 +301,11 @@
     cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
     assert_eq!(cluster_state.slots()["s"]["r"], 4);
     cluster_state.expire(now + Duration::from_secs(3));
-    assert!(cluster_state.slots().is_empty(), "the operator has left it there");
+    assert!(cluster_state.slots().is_empty(), "the evacuation is still listed after settling");
 }
 
 #[test]
-fn a_server_that_turned_cold_after_the_copy_stays_cold() {
+fn server_that_turned_cold_after_the_copy_stays_cold() {
     let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let cold_left = Duration::from_secs(5);
     cluster_state.apply(Fact::Server(server(cold_left)), 9, now);
--- a/lib/tests/test_news.rs
+++ b/lib/tests/test_news.rs
@@ -1,4 +1,4 @@
-//! How long it takes until the last box has heard of a change in the store.
+//! Tests how long a change in the store takes to reach the last box.
 
 #[path = "common/news.rs"]
 mod news;
@@ -6,44 +6,44 @@
 use std::time::Duration;
 
 use news::Setting;
-use news::spread;
+use news::propagation_times;
 
-/// Shortest time within which the users' pages want a change followed.
-const BOUND: Duration = Duration::from_secs(3);
-/// Boxes, and plays of as many.
-const SIZES: [(usize, u64); 3] = [(9, 20), (80, 20), (300, 3)];
+/// Shortest propagation time that the users' requirements allow.
+const MAX_PROPAGATION: Duration = Duration::from_secs(3);
+/// Number of boxes, and of simulation runs with that many.
+const FLEET_SIZES: [(usize, u64); 3] = [(9, 20), (80, 20), (300, 3)];
 
-fn in_bound(loss: f64, full: bool, dead_watches: bool, restored: bool) {
-    for (boxes, plays) in SIZES {
+fn assert_within_bound(loss: f64, full: bool, dead_watches: bool, restored: bool) {
+    for (boxes, runs) in FLEET_SIZES {
         let setting = Setting { boxes, loss, full, dead_watches, restored };
-        let spread = spread(setting, plays);
-        println!("{setting:?} {spread:?}");
-        assert!(spread["most"] < BOUND, "{setting:?}: {spread:?}");
+        let propagation_times = propagation_times(setting, runs);
+        println!("{setting:?} {propagation_times:?}");
+        assert!(propagation_times["most"] < MAX_PROPAGATION, "{setting:?}: {propagation_times:?}");
     }
 }
 
 #[test]
-fn a_change_reaches_all_boxes_in_time() {
-    in_bound(0.0, false, false, false);
+fn change_reaches_all_boxes_in_time() {
+    assert_within_bound(0.0, false, false, false);
 }
 
 #[test]
-fn a_change_reaches_all_boxes_in_time_though_datagrams_are_lost() {
-    in_bound(0.05, false, false, false);
-    in_bound(0.2, false, false, false);
+fn change_reaches_all_boxes_in_time_despite_lost_datagrams() {
+    assert_within_bound(0.05, false, false, false);
+    assert_within_bound(0.2, false, false, false);
 }
 
 #[test]
-fn a_change_reaches_all_boxes_in_time_though_long_datagrams_are_lost() {
-    in_bound(0.05, true, false, false);
+fn change_reaches_all_boxes_in_time_despite_lost_long_datagrams() {
+    assert_within_bound(0.05, true, false, false);
 }
 
 #[test]
-fn a_change_reaches_all_boxes_in_time_though_all_watches_have_died() {
-    in_bound(0.05, false, true, false);
+fn change_reaches_all_boxes_in_time_with_all_watches_dead() {
+    assert_within_bound(0.05, false, true, false);
 }
 
 #[test]
-fn a_change_right_after_the_store_came_back_older_reaches_all_boxes_in_time() {
-    in_bound(0.05, false, false, true);
+fn change_reaches_all_boxes_in_time_right_after_a_restore() {
+    assert_within_bound(0.05, false, false, true);
 }
