--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -13,11 +13,11 @@
 use http_body_util::Full;
 use http_body_util::Limited;
 
+use super::decision_log;
+use super::feedback;
 use super::job::Job;
 use super::job::SENDS_HEADER;
 use super::job::forwarded_headers;
-use super::learning;
-use super::record;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::stream::Stream;
@@ -96,7 +96,7 @@
     match response {
         Ok(response) => receive(shared, job, response, reservation).await,
         Err(no_response) => {
-            learning::record_end(shared, job, &mut reservation, no_response.event);
+            feedback::record_end(shared, job, &mut reservation, no_response.event);
             no_response.into_outcome(&server)
         }
     }
@@ -203,7 +203,7 @@
     let (head, mut exchange) = response.into_parts();
     let verdict = shared.adapter.verdict(head.status, &head.headers);
     let maybe_ran = |reservation: &mut Option<Reservation<A>>, event, kind, message: &str| {
-        learning::record_end(shared, job, reservation, event);
+        feedback::record_end(shared, job, reservation, event);
         SendOutcome::MaybeRan(Failure::new(kind, message).with_ran(Ran::Unknown))
     };
     if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
@@ -212,9 +212,9 @@
     }
     let event = head_event(&verdict);
     if let Some(reservation) = reservation.as_ref().filter(|_| verdict.words.says_something()) {
-        record::server_said(job, &reservation.place.server, &verdict.words, head.status);
+        decision_log::server_said(job, &reservation.place.server, &verdict.words, head.status);
     }
-    learning::record_event(shared, job, &mut reservation, &Report::head(event, verdict.words));
+    feedback::record_event(shared, job, &mut reservation, &Report::head(event, verdict.words));
     match event {
         Event::Replaced => {
             let message = "another instance has the address";
@@ -249,7 +249,7 @@
         Ok(Ok(body)) => {
             exchange.finished_for(idle);
             reservation.iter_mut().for_each(Reservation::first_byte);
-            learning::record_end(shared, job, &mut reservation, body_event(head.status));
+            feedback::record_end(shared, job, &mut reservation, body_event(head.status));
             let payload = Payload::Whole(body.to_bytes());
             SendOutcome::Answered(Reply { status: head.status, headers, payload })
         }
@@ -302,13 +302,13 @@
             SendOutcome::Answered(Reply { status, headers, payload })
         }
         Ok(Err(cut)) => {
-            learning::record_end(shared, job, stream.reservation(), Event::BrokenOff);
+            feedback::record_end(shared, job, stream.reservation(), Event::BrokenOff);
             SendOutcome::MaybeRan(
                 Failure::new(Kind::BackendFailed, cut.to_string()).with_ran(Ran::Unknown),
             )
         }
         Err(_) => {
-            learning::record_end(shared, job, stream.reservation(), Event::Silent);
+            feedback::record_end(shared, job, stream.reservation(), Event::Silent);
             let message = "no event before the deadline";
             SendOutcome::MaybeRan(
                 Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown),
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -5,9 +5,9 @@
 //! meanwhile, is updated from boxes that have a newer one, and is read again once the store
 //! answers.
 
-mod follow;
-mod others;
-mod unreadable;
+mod peer_sync;
+mod store_sync;
+mod unreadable_keys;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,10 +17,10 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-use self::unreadable::UnreadableKeys;
+use self::unreadable_keys::UnreadableKeys;
+use super::cluster_state::ClusterState;
+use super::cluster_state::LocalContext;
 pub use super::event::Event;
-use super::facts::ClusterState;
-use super::facts::LocalContext;
 use super::lease;
 use super::quarantine;
 use super::shared::Service;
--- a/lib/src/gateway/control/others.rs
+++ b/lib/src/gateway/control/peer_sync.rs
@@ -8,11 +8,11 @@
 use super::Control;
 use crate::coordination::presence;
 use crate::coordination::unlisted::Neighbor;
-use crate::gateway::handover;
-use crate::gateway::handover::PeerState;
-use crate::gateway::handover::RemovedKeys;
-use crate::gateway::handover::StateScope;
 use crate::gateway::shared::lock;
+use crate::gateway::state_transfer;
+use crate::gateway::state_transfer::PeerState;
+use crate::gateway::state_transfer::RemovedKeys;
+use crate::gateway::state_transfer::StateScope;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::Change;
 use crate::state::clock;
@@ -36,7 +36,7 @@
         }
         let seeds = &self.shared.settings.seeds;
         if let Some(state) =
-            handover::fetch_from_any(&self.shared.peers, seeds, &self.own_neighbor()).await
+            state_transfer::fetch_from_any(&self.shared.peers, seeds, &self.own_neighbor()).await
         {
             self.apply_peer_state(state);
         }
@@ -73,7 +73,7 @@
         let mut seeds = self.shared.settings.seeds.clone();
         seeds.retain(|seed| *seed != self.shared.settings.listen.handover);
         if let Some(state) =
-            handover::fetch_from_any(&self.shared.peers, &seeds, &self.own_neighbor()).await
+            state_transfer::fetch_from_any(&self.shared.peers, &seeds, &self.own_neighbor()).await
         {
             self.apply_peer_state(state);
         }
@@ -94,7 +94,8 @@
         // If the writes since the known position don't lead to the same state, the second round
         // requests everything that differs.
         for _ in 0..2 {
-            let Some(state) = handover::fetch_from(&peers, address, &scope, None).await else {
+            let Some(state) = state_transfer::fetch_from(&peers, address, &scope, None).await
+            else {
                 lock(&self.shared.freshness).forget_ahead();
                 return;
             };
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/cross_region.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use super::course::RequestHistory;
+use super::history::RequestHistory;
 use super::job::Job;
 use super::job::Origin;
 use super::shared::Shared;
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/decision_log.rs
@@ -5,10 +5,10 @@
 
 use http::StatusCode;
 
-use super::course::RequestHistory;
-use super::elsewhere::ForwardReason;
+use super::cross_region::ForwardReason;
+use super::history::RequestHistory;
 use super::job::Job;
-use super::pace::StreamTiming;
+use super::stream_timing::StreamTiming;
 use crate::coordination::broken::Run;
 use crate::coordination::freshness::Standing;
 use crate::coordination::learning::Note;
--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -12,14 +12,14 @@
 use super::attempt::Payload;
 use super::attempt::Reply;
 use super::attempt::SendOutcome;
-use super::course::RequestHistory;
-use super::elsewhere;
-use super::elsewhere::ForwardReason;
+use super::cross_region;
+use super::cross_region::ForwardReason;
+use super::decision_log;
+use super::history::RequestHistory;
 use super::job::Job;
 use super::job::Origin;
 use super::quarantine;
 use super::quarantine::Trial;
-use super::record;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::shared::lock;
@@ -127,12 +127,12 @@
         Target::Server(reservation) => {
             history.tried.push(reservation.place.server.clone());
             let state = lock(&shared.freshness).standing(clock::now());
-            record::placed(job, history, &reservation.place, state);
+            decision_log::placed(job, history, &reservation.place, state);
             attempt::to_server(shared, job, *reservation, after_event).await
         }
         Target::Peer(address, reason) => {
             history.boxes.push(address);
-            record::passed_on(job, history, address, reason);
+            decision_log::passed_on(job, history, address, reason);
             attempt::to_peer(shared, job, address, after_event).await
         }
     };
@@ -143,7 +143,7 @@
         }
         SendOutcome::Unsent(failure) => {
             history.unsent += 1;
-            record::attempt_failed(job, history, &failure);
+            decision_log::attempt_failed(job, history, &failure);
             return Err(StepError::Retry(failure));
         }
         SendOutcome::Refused(failure) => {
@@ -161,7 +161,7 @@
             failure
         }
     };
-    record::attempt_failed(job, history, &failure);
+    decision_log::attempt_failed(job, history, &failure);
     // A box with a newer configuration than this one reports that the key is no longer valid.
     let key_rejected = failure.kind == Kind::Unauthorized;
     if key_rejected || (history.maybe_ran && !job.route.repeatable()) {
@@ -175,10 +175,11 @@
     job: &Job,
     history: &RequestHistory,
 ) -> Result<Target<A>, Failure> {
-    if let Some(address) = elsewhere::home_box(shared, job, history) {
+    if let Some(address) = cross_region::home_box(shared, job, history) {
         return Ok(Target::Peer(address, ForwardReason::Home));
     }
-    if let Some((address, reason)) = elsewhere::overflow_target(shared, job, history, clock::now())
+    if let Some((address, reason)) =
+        cross_region::overflow_target(shared, job, history, clock::now())
     {
         return Ok(Target::Peer(address, reason));
     }
@@ -193,7 +194,7 @@
     // A healthy server in another region is preferred to one here that failed lately. When requests
     // were offered to ten unresponsive servers first, each offer cost 400 ms, up to four times per
     // request.
-    if let Some(address) = elsewhere::fallback_target(shared, job, &history.boxes) {
+    if let Some(address) = cross_region::fallback_target(shared, job, &history.boxes) {
         return Ok(Target::Peer(address, ForwardReason::NoPlace));
     }
     if blocked == Blocked::Failing
@@ -238,7 +239,7 @@
     };
     if let Some(suspicion) = suspicion {
         let shares_server = occupied.contains(&place.server);
-        record::on_trial(job, &place.server, suspicion, shares_server);
+        decision_log::on_trial(job, &place.server, suspicion, shares_server);
     }
     Ok(Box::new(Reservation::new(shared, &job.service, place, job.fingerprint)))
 }
--- a/lib/src/gateway/learning.rs
+++ b/lib/src/gateway/feedback.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::ended;
+use super::decision_log;
 use super::job::Job;
-use super::record;
+use super::server_exit;
 use super::shared::Reservation;
 use super::shared::Service;
 use super::shared::Shared;
@@ -81,7 +81,7 @@
 
 /// Checks whether a server still accepts connections.
 async fn check_exit<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
-    if !ended::has_exited(place.address).await {
+    if !server_exit::has_exited(place.address).await {
         lock(&shared.broken).lives(place.life);
         return;
     }
@@ -97,7 +97,7 @@
         if let Note::Ended(_) = note {
             shared.counters.count(Counter::ServersEnded);
         }
-        record::server_learned(server, note);
+        decision_log::server_learned(server, note);
     }
     match lesson.tell {
         Some(Reach::Everyone) => {
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/gossip.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-use super::learning;
+use super::feedback;
 use super::quarantine;
 use super::shared::Shared;
 use super::shared::lock;
@@ -101,7 +101,7 @@
     while let Ok((length, from)) = socket.try_recv_from(buffer) {
         match Report::decode(&buffer[..length]) {
             Ok(report) if report.number == REPLY_NUMBER => {
-                learning::receive_leaving(shared, &report.leaving_servers, now);
+                feedback::receive_leaving(shared, &report.leaving_servers, now);
                 let rates = report.throttle.unwrap_or_default();
                 lock(&shared.throttles).hear_words(&rates.words, now);
             }
@@ -113,7 +113,7 @@
                 if report.region == shared.settings.region {
                     lock(&shared.loads).hear(&report, now);
                     apply_cold_answers(shared, &report, now);
-                    learning::receive_leaving(shared, &report.leaving_servers, now);
+                    feedback::receive_leaving(shared, &report.leaving_servers, now);
                     apply_quota_counts(shared, &report, now);
                     apply_rates(shared, socket, &report, from, now);
                 } else {
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -10,18 +10,18 @@
 
 use super::attempt::Payload;
 use super::attempt::Reply;
-use super::course::RequestHistory;
+use super::decision_log;
+use super::dispatch;
+use super::history::RequestHistory;
 use super::job::Job;
 use super::job::Origin;
 use super::job::SENDS_HEADER;
-use super::pace::StreamTiming;
 use super::quarantine;
 use super::quotas;
-use super::record;
 use super::relay::Relay;
-use super::run;
 use super::shared::InFlightGuard;
 use super::shared::Shared;
+use super::stream_timing::StreamTiming;
 use crate::coordination::drain::Stage;
 use crate::error::Failure;
 use crate::error::Kind;
@@ -79,7 +79,7 @@
         Ok(charge) => charge,
         Err(failure) => return failure_response(shared, &id, Some(&job), &history, &failure),
     };
-    match run::dispatch(shared, &job, &mut history).await {
+    match dispatch::dispatch(shared, &job, &mut history).await {
         Ok(reply) => reply_response(shared, job, history, reply, in_flight_guard),
         Err(failure) => {
             if history.sends == 0 && failure.ran() == Ran::No {
@@ -101,7 +101,7 @@
         Payload::Whole(bytes) => {
             shared.counters.count(Counter::Answered);
             shared.latencies.record(Timing::WholeAnswer, clock::since(job.arrived));
-            record::answered(&job, &history, reply.status.as_u16());
+            decision_log::answered(&job, &history, reply.status.as_u16());
             Answer::whole(bytes)
         }
         Payload::Stream(stream) => {
@@ -138,7 +138,7 @@
             shared.latencies.record(Timing::Refusal, clock::since(job.arrived));
         }
     }
-    record::failed(id, job, history, failure);
+    decision_log::failed(id, job, history, failure);
     let mut response = Response::new(Answer::whole(caller::failure_body(failure)));
     *response.status_mut() = failure.status();
     caller::failure_headers(failure, response.headers_mut());
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::event::Event;
-use super::keys;
+use super::store_keys;
 use crate::coordination::restored::COPY_AGE;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::Answer;
@@ -174,10 +174,14 @@
     lease: LeaseId,
     add_to_roster: bool,
 ) -> Result<(), PlatformError> {
-    let (key, value) = keys::box_entry(record);
+    let (key, value) = store_keys::box_entry(record);
     let mut rows = vec![Row { key, value, lease }];
     if add_to_roster {
-        rows.push(Row { key: keys::roster_key(record), value: Bytes::new(), lease: NO_LEASE });
+        rows.push(Row {
+            key: store_keys::roster_key(record),
+            value: Bytes::new(),
+            lease: NO_LEASE,
+        });
     }
     store.call(&Operation::Put(rows)).await.map(|_| ())
 }
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -5,32 +5,32 @@
 //! control publishes immutable snapshots.
 
 pub mod attempt;
+pub mod cluster_state;
 pub mod control;
-pub mod course;
+pub mod cross_region;
+pub mod decision_log;
 pub mod directory;
-pub mod elsewhere;
-pub mod ended;
+pub mod dispatch;
 pub mod event;
-pub mod facts;
-pub mod handover;
+pub mod feedback;
+pub mod gossip;
+pub mod history;
 pub mod ingress;
 pub mod job;
-pub mod keys;
-pub mod learning;
 pub mod lease;
 pub mod metrics;
-pub mod pace;
 pub mod probe;
 pub mod quarantine;
 pub mod quotas;
-pub mod record;
 pub mod relay;
 pub mod replica;
-pub mod reports;
-pub mod run;
+pub mod server_exit;
 pub mod settings;
 pub mod shared;
+pub mod state_transfer;
+pub mod store_keys;
 pub mod stream;
+pub mod stream_timing;
 pub mod throttle;
 
 use std::collections::HashMap;
@@ -47,9 +47,9 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
+use self::cluster_state::ClusterState;
 use self::control::Control;
 use self::control::Event;
-use self::facts::ClusterState;
 use self::job::Origin;
 use self::settings::Listen;
 use self::settings::Settings;
@@ -299,7 +299,7 @@
     let Ports { callers, ready, directory, peers, handover, metrics, reports } = ports;
     match tokio::net::UdpSocket::from_std(reports) {
         Ok(socket) => {
-            tokio::spawn(reports::exchange_reports(Arc::clone(&shared), socket, stop.clone()));
+            tokio::spawn(gossip::exchange_reports(Arc::clone(&shared), socket, stop.clone()));
         }
         Err(error) => log::error!("event=reports_off error=\"{error}\""),
     }
@@ -330,7 +330,7 @@
     let state = Arc::clone(&shared);
     let handle_metrics = move |request| metrics::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
-    let handle_handover = move |request| handover::handle(Arc::clone(&state), request);
+    let handle_handover = move |request| state_transfer::handle(Arc::clone(&state), request);
     let small_port_bounds = || Bounds { header_bytes: 8 << 10, idle: Duration::from_secs(60) };
     tokio::join!(
         http1::serve(
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::learning;
+use super::feedback;
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
@@ -127,10 +127,10 @@
     }
     let speaker = Speaker { server, life: target.life, service: throttle::service_hash(service) };
     let is_refusal = response.status() != StatusCode::OK;
-    let lesson = learning::with_learner(&shared, service, |learner| {
+    let lesson = feedback::with_learner(&shared, service, |learner| {
         learner.asked(speaker, &verdict.words, is_refusal, now)
     });
-    learning::publish_lesson(&shared, server, &lesson);
+    feedback::publish_lesson(&shared, server, &lesson);
 }
 
 async fn fetch<A: Adapter>(
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -12,9 +12,9 @@
 use serde::Serialize;
 
 use super::job::Job;
-use super::keys::QUARANTINE;
 use super::shared::Shared;
 use super::shared::lock;
+use super::store_keys::QUARANTINE;
 use crate::coordination::presence;
 use crate::coordination::quarantine;
 use crate::coordination::quarantine::Suspicion;
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -6,15 +6,15 @@
 use tokio::sync::mpsc;
 
 use super::attempt::Payload;
-use super::course::RequestHistory;
+use super::decision_log;
+use super::dispatch;
+use super::feedback;
+use super::history::RequestHistory;
 use super::job::Job;
-use super::learning;
-use super::pace::StreamTiming;
-use super::record;
-use super::run;
 use super::shared::InFlightGuard;
 use super::shared::Shared;
 use super::stream::Stream;
+use super::stream_timing::StreamTiming;
 use crate::coordination::attempt::Event;
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
@@ -68,7 +68,7 @@
             Err(Cut::GivenUp) => counters.count(Counter::CallerGone),
             Err(_) => counters.count(Counter::Cut),
         }
-        record::stream_ended(
+        decision_log::stream_ended(
             &self.job,
             &self.history,
             self.stream.server(),
@@ -98,7 +98,7 @@
                     }
                 }
                 Ok(None) => {
-                    learning::record_end(
+                    feedback::record_end(
                         &self.shared,
                         &self.job,
                         self.stream.reservation(),
@@ -107,7 +107,7 @@
                     return Ok(());
                 }
                 Err(cut) => {
-                    learning::record_end(
+                    feedback::record_end(
                         &self.shared,
                         &self.job,
                         self.stream.reservation(),
@@ -124,8 +124,16 @@
         if !self.job.route.resumable {
             return Err(cut);
         }
-        record::stream_broken(&self.job, &self.history, self.stream.server(), last_event_id, &cut);
-        match run::resume_stream(&self.shared, &self.job, &mut self.history, last_event_id).await {
+        decision_log::stream_broken(
+            &self.job,
+            &self.history,
+            self.stream.server(),
+            last_event_id,
+            &cut,
+        );
+        match dispatch::resume_stream(&self.shared, &self.job, &mut self.history, last_event_id)
+            .await
+        {
             Some(reply) => match reply.payload {
                 Payload::Stream(stream) if reply.status.is_success() => Ok(*stream),
                 _ => Err(cut),
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
-use super::facts::ServerLocation;
+use super::cluster_state::ServerLocation;
 use super::replica::Replica;
 use super::settings::Settings;
 use crate::coordination::broken::Broken;
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 
 use super::job::Job;
-use super::keys::RATES;
 use super::shared::Service;
 use super::shared::Shared;
 use super::shared::lock;
+use super::store_keys::RATES;
 use crate::coordination::presence;
 use crate::coordination::rendezvous;
 use crate::coordination::throttle::ServerLife;
--- a/lib/tests/test_facts.rs
+++ b/lib/tests/test_cluster_state.rs
@@ -8,8 +8,8 @@
 use std::time::SystemTime;
 
 use copperweir_lib::coordination::presence::box_hash;
-use copperweir_lib::gateway::facts::ClusterState;
-use copperweir_lib::gateway::facts::LocalContext;
+use copperweir_lib::gateway::cluster_state::ClusterState;
+use copperweir_lib::gateway::cluster_state::LocalContext;
 use copperweir_lib::protocol::adapter::Fact;
 use copperweir_lib::protocol::adapter::Subject;
 use copperweir_lib::protocol::fleet::BoxRecord;
--- a/lib/tests/test_news.rs
+++ b/lib/tests/test_propagation.rs
@@ -1,12 +1,12 @@
 //! Tests how long a change in the store takes to reach the last box.
 
-#[path = "common/news.rs"]
-mod news;
+#[path = "common/propagation.rs"]
+mod propagation;
 
 use std::time::Duration;
 
-use news::Setting;
-use news::propagation_times;
+use propagation::Setting;
+use propagation::propagation_times;
 
 /// Shortest propagation time that the users' requirements allow.
 const MAX_PROPAGATION: Duration = Duration::from_secs(3);
