--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -242,8 +242,9 @@
         let peers: Vec<&str> =
             membership.live_in(&own.region, now).map(|member| member.name.as_str()).collect();
         let servers = self.servers[self.nodes[node].region].iter().enumerate();
-        let holds =
-            |server: &str| rendezvous::holds(&own.name, peers.iter().copied(), server, PROBERS);
+        let holds = |server: &str| {
+            rendezvous::is_selected(&own.name, peers.iter().copied(), server, PROBERS)
+        };
         let duties = servers.filter(|(_, server)| holds(server)).map(|(index, _)| index).collect();
         self.nodes[node].duties = duties;
         self.nodes[node].duties_until = self.now + Duration::from_secs(10);
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -11,11 +11,11 @@
 use copperweir_lib::coordination::policy::Estimate;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
-use copperweir_lib::coordination::pool::Lane;
 use copperweir_lib::coordination::pool::Limits;
 use copperweir_lib::coordination::pool::Outcome;
 use copperweir_lib::coordination::pool::Placement;
 use copperweir_lib::coordination::pool::Pool;
+use copperweir_lib::coordination::pool::ServerSnapshot;
 use copperweir_lib::protocol::config::Priority;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -25,8 +25,8 @@
 const ROUNDS: usize = 5;
 const SIZES: [usize; 5] = [12, 40, 150, 316, 600];
 
-fn lanes(count: usize, now: Instant) -> BTreeMap<String, Lane> {
-    let lane = |index: usize| Lane {
+fn lanes(count: usize, now: Instant) -> BTreeMap<String, ServerSnapshot> {
+    let lane = |index: usize| ServerSnapshot {
         address: SocketAddr::from(([127, 0, 0, 1], 9000)),
         slots: 8,
         leaving: false,
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -27,11 +27,11 @@
 use copperweir_lib::coordination::policy::RoundRobin;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
-use copperweir_lib::coordination::pool::Lane;
 use copperweir_lib::coordination::pool::Limits;
 use copperweir_lib::coordination::pool::Outcome;
 use copperweir_lib::coordination::pool::Placement;
 use copperweir_lib::coordination::pool::Pool;
+use copperweir_lib::coordination::pool::ServerSnapshot;
 use copperweir_lib::coordination::pool::Wake;
 use copperweir_lib::protocol::config::Priority;
 use rand::Rng;
@@ -348,7 +348,7 @@
                 engine.past.pop_front();
             }
             let (at, load) = engine.past[0];
-            let lane = Lane {
+            let lane = ServerSnapshot {
                 address: SocketAddr::from(([127, 0, 0, 1], index as u16)),
                 slots: SLOTS,
                 leaving: false,
--- a/lib/examples/balancer.rs
+++ b/lib/examples/balancer.rs
@@ -10,11 +10,11 @@
 use copperweir_lib::coordination::policy::Estimate;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
-use copperweir_lib::coordination::pool::Lane;
 use copperweir_lib::coordination::pool::Limits;
 use copperweir_lib::coordination::pool::Outcome;
 use copperweir_lib::coordination::pool::Placement;
 use copperweir_lib::coordination::pool::Pool;
+use copperweir_lib::coordination::pool::ServerSnapshot;
 use copperweir_lib::protocol::config::Priority;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -24,7 +24,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let limits = Limits { queue: 2, bytes: 1 << 20, boxes: 1 };
     let mut pool = Pool::new(Estimate, limits, now);
-    let lane = |port| Lane {
+    let lane = |port| ServerSnapshot {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         slots: 1,
         leaving: false,
--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -1,7 +1,7 @@
 //! What came of a send to a backend server: one report, whatever the kind of answer.
 //!
 //! An attempt is reported when the head of its answer has come, with all that the server says of itself there, and
-//! once more when it has ended. All reports go to [`super::learning`], so that no kind of answer teaches less than
+//! once more when it has ended. All reports go to [`super::feedback`], so that no kind of answer teaches less than
 //! another.
 
 use super::candidate::Outcome;
@@ -9,9 +9,9 @@
 
 /// What came of a send, so far or in the end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Event {
+pub enum AttemptEvent {
     /// The head of an answer; the rest is to come.
-    Begun,
+    HeadReceived,
     /// A whole answer that says that the request was done.
     Answered,
     /// A whole answer that says that the request was at fault.
@@ -25,53 +25,59 @@
     /// No connection came up; it was not sent.
     Unreachable,
     /// The connection broke, or the answer did.
-    BrokenOff,
+    Interrupted,
     /// Bytes that are no answer to this request.
     Invalid,
     /// No answer in time.
-    Silent,
+    TimedOut,
     /// The server said something meanwhile by which it gets nothing; it was not sent.
-    Withheld,
+    NotSent,
 }
 
-impl Event {
+impl AttemptEvent {
     /// What it means for the server's health.
     pub fn outcome(self) -> Outcome {
         match self {
-            Event::Begun | Event::Withheld => Outcome::Abandoned,
-            Event::Answered | Event::Rejected => Outcome::Answered,
-            Event::Failed => Outcome::Failed,
-            Event::Refused => Outcome::Shed,
-            Event::Replaced => Outcome::Replaced,
-            Event::Unreachable => Outcome::Unreachable,
-            Event::BrokenOff | Event::Invalid => Outcome::Lost,
-            Event::Silent => Outcome::Silent,
+            AttemptEvent::HeadReceived | AttemptEvent::NotSent => Outcome::Abandoned,
+            AttemptEvent::Answered | AttemptEvent::Rejected => Outcome::Answered,
+            AttemptEvent::Failed => Outcome::Failed,
+            AttemptEvent::Refused => Outcome::Shed,
+            AttemptEvent::Replaced => Outcome::Replaced,
+            AttemptEvent::Unreachable => Outcome::Unreachable,
+            AttemptEvent::Interrupted | AttemptEvent::Invalid => Outcome::Lost,
+            AttemptEvent::TimedOut => Outcome::TimedOut,
         }
     }
 
     /// Whether the server took the request, so that its head says all that the server has to say.
-    pub fn is_taken(self) -> bool {
-        matches!(self, Event::Begun | Event::Answered | Event::Rejected | Event::Failed)
+    pub fn is_accepted(self) -> bool {
+        matches!(
+            self,
+            AttemptEvent::HeadReceived
+                | AttemptEvent::Answered
+                | AttemptEvent::Rejected
+                | AttemptEvent::Failed
+        )
     }
 }
 
 /// One report of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct AttemptReport {
     /// What came of it.
-    pub event: Event,
+    pub event: AttemptEvent,
     /// What the server said of itself, where the head of an answer has just come.
     pub words: Option<Words>,
 }
 
-impl Report {
+impl AttemptReport {
     /// The head of an answer has come.
-    pub fn head(event: Event, words: Words) -> Report {
-        Report { event, words: Some(words) }
+    pub fn head(event: AttemptEvent, words: Words) -> AttemptReport {
+        AttemptReport { event, words: Some(words) }
     }
 
     /// It has ended, some time after its head or without one.
-    pub fn end(event: Event) -> Report {
-        Report { event, words: None }
+    pub fn end(event: AttemptEvent) -> AttemptReport {
+        AttemptReport { event, words: None }
     }
 }
--- a/lib/src/coordination/fingerprint.rs
+++ b/lib/src/coordination/fingerprint.rs
@@ -30,7 +30,7 @@
 }
 
 /// Hash of what a request says.
-pub fn content(method: &Method, host: &str, uri: &Uri, body: &[u8]) -> ContentHash {
+pub fn content_hash(method: &Method, host: &str, uri: &Uri, body: &[u8]) -> ContentHash {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     let fields = [method.as_str().as_bytes(), host.as_bytes(), path.as_bytes(), body];
     // Each field's length keeps the end of one from counting as the beginning of the next.
@@ -44,7 +44,7 @@
 }
 
 /// Stands for a caller: its key, or where it has none the address that it calls from.
-pub fn caller(key: Option<&KeyDigest>, address: Option<IpAddr>) -> CallerHash {
+pub fn caller_hash(key: Option<&KeyDigest>, address: Option<IpAddr>) -> CallerHash {
     match (key, address) {
         (Some(key), _) => rapidhash_v3(key.to_string().as_bytes()),
         (None, Some(address)) => rapidhash_v3(address.to_string().as_bytes()),
@@ -62,14 +62,14 @@
 /// The text is no fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not two hashes in hex")]
-pub struct FingerprintError;
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = FingerprintError;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Fingerprint, FingerprintError> {
-        let (content, caller) = text.split_once('-').ok_or(FingerprintError)?;
-        let hash = |text| u64::from_str_radix(text, 16).map_err(|_| FingerprintError);
+    fn from_str(text: &str) -> Result<Fingerprint, ParseFingerprintError> {
+        let (content, caller) = text.split_once('-').ok_or(ParseFingerprintError)?;
+        let hash = |text| u64::from_str_radix(text, 16).map_err(|_| ParseFingerprintError);
         Ok(Fingerprint { content: hash(content)?, caller: hash(caller)? })
     }
 }
--- a/lib/src/coordination/health.rs
+++ b/lib/src/coordination/health.rs
@@ -9,7 +9,7 @@
 const FAILURES_TO_EJECT: u32 = 3;
 const FIRST_EJECTION: Duration = Duration::from_secs(2);
 const LONGEST_EJECTION: Duration = Duration::from_secs(30);
-const RAMP: Duration = Duration::from_secs(10);
+const RAMP_UP: Duration = Duration::from_secs(10);
 
 /// Health of one backend server, as one box sees it.
 #[derive(Clone, Debug, Default)]
@@ -21,39 +21,39 @@
 
 impl Health {
     /// A request was answered.
-    pub fn succeeded(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.failures = 0;
-        if self.ejected_until.is_some_and(|until| now >= until + RAMP) {
+        if self.ejected_until.is_some_and(|until| now >= until + RAMP_UP) {
             self.ejections = 0;
             self.ejected_until = None;
         }
     }
 
     /// A request failed. True where the server should be taken out now.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         self.failures >= FAILURES_TO_EJECT
     }
 
     /// Takes the server out.
     pub fn eject(&mut self, now: Instant) {
-        let length = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(8));
-        self.ejected_until = Some(now + length.min(LONGEST_EJECTION));
+        let duration = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(8));
+        self.ejected_until = Some(now + duration.min(LONGEST_EJECTION));
         self.ejections += 1;
         self.failures = 0;
     }
 
     /// Whether it is out.
-    pub fn ejected(&self, now: Instant) -> bool {
+    pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Share of its slots that may be used, 0 to 1.
-    pub fn share(&self, now: Instant) -> f64 {
+    pub fn usable_share(&self, now: Instant) -> f64 {
         let Some(until) = self.ejected_until else { return 1.0 };
         if now < until {
             return 0.0;
         }
-        (now.duration_since(until).as_secs_f64() / RAMP.as_secs_f64()).min(1.0)
+        (now.duration_since(until).as_secs_f64() / RAMP_UP.as_secs_f64()).min(1.0)
     }
 }
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -10,15 +10,15 @@
 
 use prost::Message;
 
-use super::departures::told::Word as Leaving;
-use super::quarantine::told;
+use super::departures::wire::DepartureNotice;
+use super::quarantine::wire;
 use super::quota::Count;
 use super::quota::Flow;
 use super::throttle::told::News;
-use super::unlisted::Named;
+use super::unlisted::NeighborRecord;
 
 /// Age at which a report no longer counts: several have been lost by then, or the box is gone.
-const LIFE: Duration = Duration::from_millis(1500);
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// What is on a server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -31,7 +31,7 @@
 
 /// A report as it goes from box to box.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Report {
+pub struct BoxReport {
     /// Hash of the sender's name.
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
@@ -88,7 +88,7 @@
     pub asked_ms: Vec<u32>,
     /// Boxes that are heard though the store does not show them.
     #[prost(message, repeated, tag = "20")]
-    pub unlisted: Vec<Named>,
+    pub unlisted: Vec<NeighborRecord>,
     /// What the sender let in for teams, if that has changed; only for boxes of its region.
     #[prost(message, repeated, tag = "21")]
     pub counts: Vec<Count>,
@@ -97,10 +97,10 @@
     pub flows: Vec<Flow>,
     /// Servers that ended lately, and what they were running.
     #[prost(message, repeated, tag = "23")]
-    pub ends: Vec<told::End>,
+    pub ends: Vec<wire::CrashReport>,
     /// Requests that are refused because servers end under them.
     #[prost(message, repeated, tag = "24")]
-    pub verdicts: Vec<told::Verdict>,
+    pub verdicts: Vec<wire::VerdictReport>,
     /// Servers that run a request of the sender's under which others ended.
     #[prost(string, repeated, tag = "25")]
     pub trials: Vec<String>,
@@ -113,20 +113,21 @@
     pub closed: Vec<u64>,
     /// Servers that say that they leave; only for boxes of its region.
     #[prost(message, repeated, tag = "28")]
-    pub leaving_servers: Vec<Leaving>,
+    pub leaving_servers: Vec<DepartureNotice>,
     /// Era of the store that the sender's state was read in.
     #[prost(uint64, tag = "29")]
     pub state_era: u64,
 }
 
-impl Report {
+impl BoxReport {
     /// Makes the report no longer than a datagram may be, all that it tells together. One that is cut off on its way
     /// cannot be read, and nothing of it is heard. What goes first is what the next reports tell
     /// again, or what others have seen too; what servers say of leaving, rates and rooms stays.
-    pub fn fit(&mut self, most: usize) {
-        while self.encoded_len() > most {
-            let long = [self.ends.len(), self.verdicts.len(), self.servers.len(), self.asked.len()];
-            let [ends, verdicts, servers, asked] = long.map(|length| length / 2);
+    pub fn truncate_to(&mut self, max_bytes: usize) {
+        while self.encoded_len() > max_bytes {
+            let half_lengths =
+                [self.ends.len(), self.verdicts.len(), self.servers.len(), self.asked.len()];
+            let [ends, verdicts, servers, asked] = half_lengths.map(|length| length / 2);
             // Those of each list that matter most come first.
             if ends > 0 {
                 self.ends.truncate(ends);
@@ -165,10 +166,10 @@
 
 impl Loads {
     /// Takes in a report, unless a newer one is known.
-    pub fn hear(&mut self, report: &Report, now: Instant) {
-        let known = self.senders.get(&report.sender);
-        let order = |sender: &Sender| (sender.incarnation, sender.number);
-        if known.is_some_and(|known| order(known) >= (report.incarnation, report.number)) {
+    pub fn receive(&mut self, report: &BoxReport, now: Instant) {
+        let latest = self.senders.get(&report.sender);
+        let sequence = |sender: &Sender| (sender.incarnation, sender.number);
+        if latest.is_some_and(|latest| sequence(latest) >= (report.incarnation, report.number)) {
             return;
         }
         self.forget(report.sender);
@@ -185,24 +186,28 @@
             sum.in_flight = sum.in_flight.saturating_add(load.in_flight);
             sum.unread = sum.unread.saturating_add(load.unread);
         }
-        let Report { incarnation, number, .. } = *report;
+        let BoxReport { incarnation, number, .. } = *report;
         let sender = Sender { incarnation, number, heard_at: now, loads };
         self.senders.insert(report.sender, sender);
     }
 
     /// Drops old reports.
     pub fn expire(&mut self, now: Instant) {
-        let old = |sender: &Sender| now >= sender.heard_at + LIFE;
-        let gone: Vec<u64> =
-            self.senders.iter().filter(|(_, sender)| old(sender)).map(|(id, _)| *id).collect();
-        for sender in gone {
+        let is_expired = |sender: &Sender| now >= sender.heard_at + REPORT_TTL;
+        let expired: Vec<u64> = self
+            .senders
+            .iter()
+            .filter(|(_, sender)| is_expired(sender))
+            .map(|(id, _)| *id)
+            .collect();
+        for sender in expired {
             self.forget(sender);
         }
     }
 
     fn forget(&mut self, sender: u64) {
-        let Some(before) = self.senders.remove(&sender) else { return };
-        for (server, load) in before.loads {
+        let Some(removed) = self.senders.remove(&sender) else { return };
+        for (server, load) in removed.loads {
             let Some(sum) = self.sums.get_mut(&server) else { continue };
             sum.in_flight = sum.in_flight.saturating_sub(load.in_flight);
             sum.unread = sum.unread.saturating_sub(load.unread);
@@ -213,12 +218,12 @@
     }
 
     /// What others have on a server.
-    pub fn on(&self, server: u64) -> Load {
+    pub fn on_server(&self, server: u64) -> Load {
         self.sums.get(&server).copied().unwrap_or_default()
     }
 
     /// Boxes that were heard of lately.
-    pub fn heard(&self) -> usize {
+    pub fn reporting_boxes(&self) -> usize {
         self.senders.len()
     }
 
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -9,10 +9,10 @@
 
 mod blocked;
 mod fullness;
-mod said;
+mod status;
 
 pub use self::blocked::Blocked;
-pub use self::said::Turning;
+pub use self::status::ProbeTarget;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,35 +22,35 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
+use super::backoff::Backoffs;
 use super::candidate::Candidate;
-use super::candidate::Known;
 use super::candidate::Outcome;
+use super::candidate::ServerState;
 use super::candidate::Work;
 use super::loads::Load;
 use super::loads::Loads;
 use super::rendezvous;
-use super::rest::Rests;
-use super::returns::Returns;
-use super::text::Text;
+use super::retry_spread::RetrySpread;
+use super::shared_prefix::SharedPrefix;
 use super::throttle::Throttles;
 use crate::protocol::ServerId;
 use crate::protocol::adapter::Part;
 use crate::protocol::routing::Service;
 
 /// Part of the connections that a server takes which requests may fill; others rest or close.
-const CONNECTIONS: f64 = 0.8;
+const MAX_CONNECTION_USE: f64 = 0.8;
 /// Most servers that are compared for one request. Boxes act on reports that are some
 /// tenths of a second old; comparing a few keeps them from all choosing the same one.
-const COMPARED: usize = 4;
+const SAMPLE_SIZE: usize = 4;
 /// Servers up to which all are compared.
-const FEW: usize = 6;
+const COMPARE_ALL_UP_TO: usize = 6;
 
 /// How long it counts when a server was removed: longer than what was sent to it does.
-const REMOVED_MEMORY: Duration = Duration::from_secs(5);
+const REMOVED_RETENTION: Duration = Duration::from_secs(5);
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// Parts of the prompt.
     pub parts: &'a [Part],
     /// Servers that had the request already.
@@ -60,16 +60,16 @@
     /// What servers that name a rate have left.
     pub throttles: &'a Throttles,
     /// Servers that may be chosen.
-    pub among: Among,
+    pub eligible: Eligible,
     /// Whether servers may have turned cold without this box hearing of it.
     pub stale: bool,
 }
 
 /// Which servers may be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Among {
+pub enum Eligible {
     /// Those that did not fail lately.
-    Sound,
+    Healthy,
     /// All: one that failed lately is only better than a refusal.
     Any,
 }
@@ -80,7 +80,7 @@
     /// The server.
     pub server: ServerId,
     /// Which of its lives.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its address.
     pub address: SocketAddr,
     /// Tokens that it must still read, as far as known.
@@ -88,7 +88,7 @@
     /// Requests of this box on it, this one included.
     pub in_flight: u32,
     /// Requests of other boxes on it, as last heard.
-    pub others: u32,
+    pub others_in_flight: u32,
     /// Servers that could have had it.
     pub candidates: usize,
     /// Whether the server is the home of its text.
@@ -97,27 +97,27 @@
     pub cold: bool,
     /// When the place was taken.
     pub taken_at: Instant,
-    waiting: bool,
+    awaiting_first_byte: bool,
 }
 
 /// What holds for all servers while one is chosen.
 #[derive(Clone, Copy, Debug)]
-struct View {
+struct Selection {
     /// Boxes whose load is not known.
-    unheard: usize,
+    unreported_boxes: usize,
     /// Home of the request's text in this region, by its hash.
     home: Option<u64>,
     /// Whether servers count as cold that have not said lately that they are not.
     stale: bool,
     /// Drawn for the request: with a server's life it says whether chance lets it in there.
-    luck: u64,
+    random_bits: u64,
     now: Instant,
 }
 
-impl View {
+impl Selection {
     /// Drawn evenly from 0 to 1 for the request at a server, the same whenever it is looked at.
-    fn luck_at(&self, life: u64) -> f64 {
-        rendezvous::mix(self.luck, life) as f64 / u64::MAX as f64
+    fn random_at(&self, life: u64) -> f64 {
+        rendezvous::mix(self.random_bits, life) as f64 / u64::MAX as f64
     }
 }
 
@@ -140,10 +140,10 @@
     started_at: Instant,
     /// Servers that were removed, and when. One that comes back may have got its share just before:
     /// their entries lapse and return while the store is away.
-    removed: BTreeMap<ServerId, Instant>,
+    removed_at: BTreeMap<ServerId, Instant>,
     /// Servers that asked this box for rest. They stay when their entries lapse and return.
-    rests: Rests,
-    returns: Returns,
+    backoffs: Backoffs,
+    retry_spread: RetrySpread,
 }
 
 impl Placement {
@@ -156,40 +156,46 @@
             health_path: None,
             cold_rate: 0.0,
             started_at,
-            removed: BTreeMap::new(),
-            rests: Rests::default(),
-            returns: Returns::default(),
+            removed_at: BTreeMap::new(),
+            backoffs: Backoffs::default(),
+            retry_spread: RetrySpread::default(),
         }
     }
 
     /// Takes over what control knows; `sharers` boxes send to these servers.
-    pub fn update(&mut self, known: Vec<Known>, sharers: usize, service: &Service, now: Instant) {
+    pub fn update(
+        &mut self,
+        state: Vec<ServerState>,
+        sharers: usize,
+        service: &Service,
+        now: Instant,
+    ) {
         self.sharers = sharers;
         self.health_path.clone_from(&service.health_path);
         self.cold_rate = service.warmup_rate;
-        self.max_connections = service.max_connections as f64 * CONNECTIONS;
-        let mut before = std::mem::take(&mut self.servers);
-        for known in known {
-            let id = known.server.id.clone();
-            let candidate = match before.remove(&id) {
-                Some(mut candidate) if candidate.is(&known) => {
-                    candidate.update(known);
+        self.max_connections = service.max_connections as f64 * MAX_CONNECTION_USE;
+        let mut previous = std::mem::take(&mut self.servers);
+        for state in state {
+            let id = state.server.id.clone();
+            let candidate = match previous.remove(&id) {
+                Some(mut candidate) if candidate.is_same_incarnation(&state) => {
+                    candidate.update(state);
                     candidate
                 }
                 earlier => {
                     // A new life knows nothing of the earlier one, but may have got its share of what a
                     // cold server bears just before.
-                    let reborn = earlier.map(|_| now);
-                    let removed = self.removed.get(&id).copied();
-                    let unknown_before = removed.max(reborn).max(Some(self.started_at));
-                    Candidate::new(known, service.memory_tokens, unknown_before)
+                    let restarted_at = earlier.map(|_| now);
+                    let removed_at = self.removed_at.get(&id).copied();
+                    let unknown_before = removed_at.max(restarted_at).max(Some(self.started_at));
+                    Candidate::new(state, service.memory_tokens, unknown_before)
                 }
             };
             self.servers.insert(id, candidate);
         }
         // Requests that still run on a server that is gone give their places back to nobody.
-        self.removed.retain(|_, at| now < *at + REMOVED_MEMORY);
-        self.removed.extend(before.into_keys().map(|id| (id, now)));
+        self.removed_at.retain(|_, at| now < *at + REMOVED_RETENTION);
+        self.removed_at.extend(previous.into_keys().map(|id| (id, now)));
     }
 
     /// Whether any server may get work.
@@ -200,139 +206,157 @@
     /// Chooses a server and takes a place there.
     pub fn choose(
         &mut self,
-        demand: Demand<'_>,
+        request: PlacementRequest<'_>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Result<Place, Blocked> {
-        let view = View {
-            unheard: self.sharers.saturating_sub(1 + demand.loads.heard()),
-            home: self.home(demand.parts),
+        let selection = Selection {
+            unreported_boxes: self.sharers.saturating_sub(1 + request.loads.reporting_boxes()),
+            home: self.home(request.parts),
             // Servers that cannot be asked would be limited for as long as the store is away.
-            stale: demand.stale && self.health_path.is_some(),
-            luck: rng.random(),
+            stale: request.stale && self.health_path.is_some(),
+            random_bits: rng.random(),
             now,
         };
         // A few are compared first, and all others only if none of these has room.
         let mut choice = None;
-        if let Some(few) = self.few(view, rng) {
-            choice = self.cheapest(demand, view, |hash| few.contains(&hash), rng);
+        if let Some(sample) = self.sample(selection, rng) {
+            choice = self.cheapest(request, selection, |hash| sample.contains(&hash), rng);
         }
         if choice.is_none() {
-            choice = self.cheapest(demand, view, |_| true, rng);
+            choice = self.cheapest(request, selection, |_| true, rng);
         }
         match choice {
-            Some(choice) => Ok(self.take(choice, demand, view)),
-            None => Err(self.blocked(demand, view)),
+            Some(choice) => Ok(self.reserve(choice, request, selection)),
+            None => Err(self.blocked(request, selection)),
         }
     }
 
     /// The server that costs the request least, of those whose hash `compared` accepts.
     fn cheapest(
         &mut self,
-        demand: Demand<'_>,
-        view: View,
-        compared: impl Fn(u64) -> bool,
+        request: PlacementRequest<'_>,
+        selection: Selection,
+        is_compared: impl Fn(u64) -> bool,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let mut candidates = 0;
-        let mut least: Option<(f64, Choice)> = None;
+        let mut best: Option<(f64, Choice)> = None;
         for (id, candidate) in &mut self.servers {
-            let usable = candidate.is_usable() && !demand.tried.contains(id);
-            if !usable || !compared(candidate.hash) {
+            let usable = candidate.is_usable() && !request.tried.contains(id);
+            if !usable || !is_compared(candidate.hash) {
                 continue;
             }
-            if !self.rests.admits(candidate.life, candidate.in_flight, view.now) {
+            if !self.backoffs.admits(candidate.incarnation, candidate.in_flight, selection.now) {
                 continue;
             }
-            let load = candidate.load(demand.loads, view.unheard);
-            let connected = f64::from(load.in_flight) < self.max_connections;
-            let sound = demand.among == Among::Any || candidate.is_sound(view.now);
-            if !connected || !sound || !candidate.has_room(load, view.stale, view.now) {
+            let load = candidate.load(request.loads, selection.unreported_boxes);
+            let has_connection = f64::from(load.in_flight) < self.max_connections;
+            let is_eligible =
+                request.eligible == Eligible::Any || candidate.is_healthy(selection.now);
+            if !has_connection
+                || !is_eligible
+                || !candidate.has_room(load, selection.stale, selection.now)
+            {
                 continue;
             }
-            if !demand.throttles.admits(candidate.life, view.luck_at(candidate.life), view.now) {
+            if !request.throttles.admits(
+                candidate.incarnation,
+                selection.random_at(candidate.incarnation),
+                selection.now,
+            ) {
                 continue;
             }
             candidates += 1;
-            let at_home = view.home == Some(candidate.hash);
-            let work = candidate.work(demand.parts, at_home, load, view.now);
+            let at_home = selection.home == Some(candidate.hash);
+            let work = candidate.estimate_work(request.parts, at_home, load, selection.now);
             // A little chance, so that boxes with equal views do not all choose alike.
             let cost = candidate.cost(work) * (1.0 + 0.02 * rng.random::<f64>());
-            if least.as_ref().is_none_or(|(least, _)| cost < *least) {
-                least = Some((cost, Choice { id: id.clone(), work, at_home, candidates: 0 }));
+            if best.as_ref().is_none_or(|(best, _)| cost < *best) {
+                best = Some((cost, Choice { id: id.clone(), work, at_home, candidates: 0 }));
             }
         }
-        least.map(|(_, choice)| Choice { candidates, ..choice })
+        best.map(|(_, choice)| Choice { candidates, ..choice })
     }
 
-    fn take(&mut self, choice: Choice, demand: Demand<'_>, view: View) -> Place {
+    fn reserve(
+        &mut self,
+        choice: Choice,
+        request: PlacementRequest<'_>,
+        selection: Selection,
+    ) -> Place {
         let Choice { id, work, at_home, candidates } = choice;
         let candidate = self.servers.get_mut(&id).expect("chosen from the same map");
-        candidate.take(demand.parts, work, view.now);
+        candidate.start_request(request.parts, work, selection.now);
         Place {
             server: id,
-            life: candidate.life,
-            address: candidate.known.server.address,
+            incarnation: candidate.incarnation,
+            address: candidate.state.server.address,
             unread: work.unread,
             in_flight: candidate.in_flight,
-            others: demand.loads.on(candidate.life).in_flight,
+            others_in_flight: request.loads.on_server(candidate.incarnation).in_flight,
             candidates,
             at_home,
-            cold: candidate.is_cold(view.stale, view.now),
-            taken_at: view.now,
-            waiting: true,
+            cold: candidate.is_cold(selection.stale, selection.now),
+            taken_at: selection.now,
+            awaiting_first_byte: true,
         }
     }
 
     /// The first byte, or the first event, of an answer has come.
     pub fn first_byte(&mut self, place: &mut Place) {
-        if !std::mem::take(&mut place.waiting) {
+        if !std::mem::take(&mut place.awaiting_first_byte) {
             return;
         }
-        let Some(candidate) = self.held(place) else { return };
-        candidate.read(place.unread);
+        let Some(candidate) = self.server_of(place) else { return };
+        candidate.reduce_unread(place.unread);
     }
 
     /// The server of a place, unless that was in an earlier life of it.
-    fn held(&mut self, place: &Place) -> Option<&mut Candidate> {
+    fn server_of(&mut self, place: &Place) -> Option<&mut Candidate> {
         let candidate = self.servers.get_mut(&place.server)?;
-        (candidate.life == place.life).then_some(candidate)
+        (candidate.incarnation == place.incarnation).then_some(candidate)
     }
 
     /// Gives a place back.
     pub fn finish(&mut self, place: &mut Place, outcome: Outcome, now: Instant) {
-        let waiting = std::mem::take(&mut place.waiting);
-        let Some(candidate) = self.held(place) else { return };
+        let waiting = std::mem::take(&mut place.awaiting_first_byte);
+        let Some(candidate) = self.server_of(place) else { return };
         if waiting {
-            candidate.read(place.unread);
+            candidate.reduce_unread(place.unread);
         }
         candidate.in_flight = candidate.in_flight.saturating_sub(1);
-        candidate.account(outcome, now);
+        candidate.record_outcome(outcome, now);
     }
 
     /// What this box has on each server, by the hash of its life.
     pub fn own_loads(&self) -> impl Iterator<Item = (u64, Load)> {
         let busy = self.servers.values().filter(|candidate| candidate.in_flight > 0);
-        busy.map(|candidate| (candidate.life, candidate.own_load()))
+        busy.map(|candidate| (candidate.incarnation, candidate.own_load()))
     }
 
     /// The servers that are compared first, by their hashes; `None` for all.
-    fn few(&self, view: View, rng: &mut impl Rng) -> Option<Vec<u64>> {
-        let takes = |candidate: &&Candidate| {
-            candidate.is_usable() && self.rests.until(candidate.life, view.now).is_none()
+    fn sample(&self, selection: Selection, rng: &mut impl Rng) -> Option<Vec<u64>> {
+        let accepts_requests = |candidate: &&Candidate| {
+            candidate.is_usable()
+                && self.backoffs.until(candidate.incarnation, selection.now).is_none()
         };
-        let usable: Vec<u64> =
-            self.servers.values().filter(takes).map(|candidate| candidate.hash).collect();
-        if usable.len() <= FEW {
+        let usable: Vec<u64> = self
+            .servers
+            .values()
+            .filter(accepts_requests)
+            .map(|candidate| candidate.hash)
+            .collect();
+        if usable.len() <= COMPARE_ALL_UP_TO {
             return None;
         }
-        let drawn = usable.choose_multiple(rng, COMPARED).copied();
-        Some(view.home.into_iter().chain(drawn).collect())
+        let sampled = usable.choose_multiple(rng, SAMPLE_SIZE).copied();
+        Some(selection.home.into_iter().chain(sampled).collect())
     }
 
     /// The server of this region that a prompt's shared text belongs to, by its hash.
     fn home(&self, parts: &[Part]) -> Option<u64> {
-        let text = Text::of(parts)?;
+        let text = SharedPrefix::of(parts)?;
         let usable = self.servers.values().filter(|candidate| candidate.is_usable());
         usable.map(|candidate| candidate.hash).max_by_key(|hash| text.weight(*hash))
     }
--- a/lib/src/coordination/placement/blocked.rs
+++ b/lib/src/coordination/placement/blocked.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
-use super::Demand;
 use super::Placement;
-use super::View;
+use super::PlacementRequest;
+use super::Selection;
 use crate::coordination::candidate::Candidate;
 
 /// Why there is no place.
@@ -19,7 +19,7 @@
     /// Only servers that failed lately have room.
     Failing,
     /// All want nothing from this box until then, the first of them.
-    Resting {
+    BackingOff {
         /// When the first rest ends.
         until: Instant,
     },
@@ -29,20 +29,25 @@
 
 impl Placement {
     /// Why there is no place.
-    pub(super) fn blocked(&mut self, demand: Demand<'_>, view: View) -> Blocked {
-        let mut blocked = self.unusable(view.now);
+    pub(super) fn blocked(
+        &mut self,
+        request: PlacementRequest<'_>,
+        selection: Selection,
+    ) -> Blocked {
+        let mut blocked = self.unusable(selection.now);
         for candidate in self.servers.values_mut() {
-            let is_tried = demand.tried.contains(&candidate.known.server.id);
-            let is_resting = self.rests.until(candidate.life, view.now).is_some();
-            if !candidate.is_usable() || is_tried || is_resting {
+            let is_tried = request.tried.contains(&candidate.state.server.id);
+            let is_backing_off =
+                self.backoffs.until(candidate.incarnation, selection.now).is_some();
+            if !candidate.is_usable() || is_tried || is_backing_off {
                 continue;
             }
-            let load = candidate.load(demand.loads, view.unheard);
-            let has_room = candidate.has_room(load, view.stale, view.now);
-            if !candidate.is_sound(view.now) && has_room {
+            let load = candidate.load(request.loads, selection.unreported_boxes);
+            let has_room = candidate.has_room(load, selection.stale, selection.now);
+            if !candidate.is_healthy(selection.now) && has_room {
                 return Blocked::Failing;
             }
-            let is_throttled = has_room && demand.throttles.rate(candidate.life).is_some();
+            let is_throttled = has_room && request.throttles.rate(candidate.incarnation).is_some();
             blocked = match blocked {
                 Blocked::Throttled => blocked,
                 _ if is_throttled => Blocked::Throttled,
@@ -56,13 +61,13 @@
     fn unusable(&self, now: Instant) -> Blocked {
         let mut usable = self.servers.values().filter(|candidate| candidate.is_usable()).peekable();
         if usable.peek().is_none() {
-            let leaving = self.servers.values().any(Candidate::is_leaving);
-            return if leaving { Blocked::Leaving } else { Blocked::NoServer };
+            let any_leaving = self.servers.values().any(Candidate::is_leaving);
+            return if any_leaving { Blocked::Leaving } else { Blocked::NoServer };
         }
         // One that does not rest had the request already.
-        let ends: Option<Vec<Instant>> =
-            usable.map(|candidate| self.rests.until(candidate.life, now)).collect();
-        let first = ends.and_then(|ends| ends.into_iter().min());
-        first.map_or(Blocked::NoServer, |until| Blocked::Resting { until })
+        let backoff_ends: Option<Vec<Instant>> =
+            usable.map(|candidate| self.backoffs.until(candidate.incarnation, now)).collect();
+        let first_end = backoff_ends.and_then(|backoff_ends| backoff_ends.into_iter().min());
+        first_end.map_or(Blocked::NoServer, |until| Blocked::BackingOff { until })
     }
 }
--- a/lib/src/coordination/placement/fullness.rs
+++ b/lib/src/coordination/placement/fullness.rs
@@ -10,26 +10,28 @@
 use crate::coordination::throttle::Throttles;
 
 /// Time that a request is taken to keep a slot busy at a server that names a rate.
-const LONGEST: Duration = Duration::from_secs(1);
+const REQUEST_DURATION: Duration = Duration::from_secs(1);
 
 impl Placement {
     /// The lives of the servers that may get work.
-    pub fn lives(&self) -> impl Iterator<Item = u64> {
+    pub fn usable_incarnations(&self) -> impl Iterator<Item = u64> {
         let usable = self.servers.values().filter(|candidate| candidate.is_usable());
-        usable.map(|candidate| candidate.life)
+        usable.map(|candidate| candidate.incarnation)
     }
 
     /// How full the servers are. One that names a rate counts with the slots that it keeps busy, one that rests
     /// with none.
     pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Fullness {
-        let unheard = self.sharers.saturating_sub(1 + loads.heard());
+        let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
         let mut fullness = Fullness::default();
         for candidate in self.servers.values() {
-            if candidate.is_usable() && self.rests.until(candidate.life, now).is_none() {
-                let slots = f64::from(candidate.known.server.slots);
-                let busy = throttles.rate(candidate.life).map(|rate| rate * LONGEST.as_secs_f64());
-                fullness.in_flight += f64::from(candidate.load(loads, unheard).in_flight);
-                fullness.slots += busy.unwrap_or(slots).min(slots);
+            if candidate.is_usable() && self.backoffs.until(candidate.incarnation, now).is_none() {
+                let slots = f64::from(candidate.state.server.slots);
+                let saturated = throttles
+                    .rate(candidate.incarnation)
+                    .map(|rate| rate * REQUEST_DURATION.as_secs_f64());
+                fullness.in_flight += f64::from(candidate.load(loads, unreported_boxes).in_flight);
+                fullness.slots += saturated.unwrap_or(slots).min(slots);
             }
         }
         fullness
@@ -38,22 +40,22 @@
     /// Whether no server takes anything now by its own word: it leaves, rests, or names a rate of which nothing is
     /// left.
     pub fn is_closed(&mut self, loads: &Loads, throttles: &Throttles, now: Instant) -> bool {
-        let unheard = self.sharers.saturating_sub(1 + loads.heard());
-        let (mut resting, mut throttled, mut busy) = (false, false, false);
+        let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
+        let (mut backing_off, mut throttled, mut saturated) = (false, false, false);
         for candidate in self.servers.values_mut().filter(|candidate| candidate.is_usable()) {
-            let load = candidate.load(loads, unheard);
-            if self.rests.until(candidate.life, now).is_some() {
-                resting = true;
-            } else if !candidate.is_sound(now) || !candidate.has_room(load, false, now) {
-                busy = true;
-            } else if throttles.has_left(candidate.life, now) {
+            let load = candidate.load(loads, unreported_boxes);
+            if self.backoffs.until(candidate.incarnation, now).is_some() {
+                backing_off = true;
+            } else if !candidate.is_healthy(now) || !candidate.has_room(load, false, now) {
+                saturated = true;
+            } else if throttles.has_left(candidate.incarnation, now) {
                 return false;
             } else {
                 throttled = true;
             }
         }
-        let leaving = || self.servers.values().any(Candidate::is_leaving);
+        let any_leaving = || self.servers.values().any(Candidate::is_leaving);
         // Servers that are only busy may have room by the time that a request arrives.
-        throttled || (!busy && (resting || leaving()))
+        throttled || (!saturated && (backing_off || any_leaving()))
     }
 }
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -13,6 +13,7 @@
 
 use rand::Rng;
 
+use super::backoff::Backoffs;
 use super::bucket::Bucket;
 use super::invariant;
 use super::invariant::Invariant;
@@ -22,10 +23,9 @@
 use super::queue::Queue;
 use super::queue::RequestId;
 use super::queue::Waiting;
-use super::rest::Rests;
-use super::returns::Returns;
-pub use super::server::Lane;
+use super::retry_spread::RetrySpread;
 use super::server::Server;
+pub use super::server::ServerSnapshot;
 use super::server::smooth;
 use crate::error::Kind;
 use crate::protocol::RegionId;
@@ -128,8 +128,8 @@
     service_time: Option<Duration>,
     retries: Bucket,
     boxes: usize,
-    rests: Rests,
-    returns: Returns,
+    rests: Backoffs,
+    returns: RetrySpread,
 }
 
 /// What the configuration says of a pool.
@@ -156,8 +156,8 @@
             service_time: None,
             retries: Bucket::new(0.0, RETRY_BURST, now),
             boxes: limits.boxes.max(1),
-            rests: Rests::default(),
-            returns: Returns::default(),
+            rests: Backoffs::default(),
+            returns: RetrySpread::default(),
         }
     }
 
@@ -166,7 +166,7 @@
     pub fn update(
         &mut self,
         limits: Limits,
-        lanes: BTreeMap<ServerId, Lane>,
+        lanes: BTreeMap<ServerId, ServerSnapshot>,
         regions_with_servers: BTreeSet<RegionId>,
     ) {
         self.queue.set_limits(limits.queue, limits.bytes);
@@ -195,7 +195,7 @@
             return 0;
         }
         let free = |server: &Server| (server.usable_slots(now) - server.load(now)).max(0.0);
-        self.servers.values().filter(|server| server.up()).map(free).sum::<f64>() as u32
+        self.servers.values().filter(|server| server.is_available()).map(free).sum::<f64>() as u32
     }
 
     /// Requests waiting.
@@ -271,7 +271,8 @@
         let in_time = |server: &Server| {
             self.rests.until(server.hash, now).is_none_or(|until| until < arrival.deadline)
         };
-        let mut up = self.servers.iter().filter(|(_, server)| server.up() && in_time(server));
+        let mut up =
+            self.servers.iter().filter(|(_, server)| server.is_available() && in_time(server));
         up.any(|(id, _)| !arrival.tried.contains(id))
     }
 
@@ -280,13 +281,13 @@
         if let Some(region) = arrival.elsewhere.iter().find(|region| regions.contains(*region)) {
             return Placement::Region(region.clone());
         }
-        let come_back = self.first_rest_ends(now).map(|until| self.returns.next(until, now));
+        let come_back = self.first_rest_ends(now).map(|until| self.returns.retry_after(until, now));
         Placement::Refused(Kind::NoServer, come_back.unwrap_or(NO_SERVER_RETRY))
     }
 
     /// When the first of the servers takes requests again, if all rest.
     fn first_rest_ends(&self, now: Instant) -> Option<Instant> {
-        let up = self.servers.values().filter(|server| server.up());
+        let up = self.servers.values().filter(|server| server.is_available());
         let ends: Option<Vec<Instant>> =
             up.map(|server| self.rests.until(server.hash, now)).collect();
         ends?.into_iter().min()
@@ -306,7 +307,7 @@
         let slots: f64 = self
             .servers
             .values()
-            .filter(|server| server.up() && !server.health.ejected(now))
+            .filter(|server| server.is_available() && !server.health.is_ejected(now))
             .map(|server| server.usable_slots(now))
             .sum();
         let service_time = self.service_time.unwrap_or_default();
@@ -318,7 +319,7 @@
         let (mut load, mut slots) = (0.0, 0.0);
         for (id, server) in &self.servers {
             let rests = !self.rests.admits(server.hash, server.in_flight, now);
-            if !server.up() || server.health.ejected(now) || rests {
+            if !server.is_available() || server.health.is_ejected(now) || rests {
                 continue;
             }
             let candidate = server.candidate(id, now);
@@ -341,11 +342,11 @@
         let chosen = self.policy.choose(request, &candidates, rng)?;
         let id = candidates[chosen].server.to_owned();
         let server = self.servers.get_mut(&id)?;
-        invariant::check(Invariant::NoWorkToLeaving, !server.lane.leaving, || {
+        invariant::check(Invariant::NoWorkToLeaving, !server.snapshot.leaving, || {
             format!("server={id}")
         });
         server.in_flight += 1;
-        let address = server.lane.address;
+        let address = server.snapshot.address;
         Some(Placement::Server(id, address))
     }
 
@@ -378,17 +379,17 @@
         let Some(server) = self.servers.get_mut(id) else { return };
         match outcome {
             Outcome::Answered { first_byte, total } => {
-                server.answered(first_byte, now);
+                server.record_answer(first_byte, now);
                 self.service_time = Some(smooth(self.service_time, total));
             }
             Outcome::Failed => {
-                if server.health.failed() && self.may_eject(now) {
+                if server.health.record_failure() && self.may_eject(now) {
                     self.eject(id, now);
                 }
             }
             // A server that says how it is has not failed.
             Outcome::Rests(rest) => {
-                self.rests.ask(server.hash, rest, now);
+                self.rests.record(server.hash, rest, now);
                 log::info!("event=server_rests server={id} rest_ms={}", rest.as_millis());
             }
             Outcome::Withdrawn => {}
@@ -396,7 +397,7 @@
     }
 
     fn may_eject(&self, now: Instant) -> bool {
-        let out = self.servers.values().filter(|server| server.health.ejected(now)).count();
+        let out = self.servers.values().filter(|server| server.health.is_ejected(now)).count();
         (out + 1) as f64 <= self.servers.len() as f64 * MOST_EJECTED
     }
 
--- a/lib/src/coordination/kept.rs
+++ b/lib/src/coordination/prefix_cache.rs
@@ -8,27 +8,27 @@
 use crate::protocol::adapter::Part;
 
 /// Part of an engine's memory that shared parts are taken to fill; running requests need the rest.
-const SHARED_MEMORY: f64 = 0.6;
+const SHARED_MEMORY_FRACTION: f64 = 0.6;
 /// Age at which a part counts as gone: other boxes fill the same memory unseen.
-const LIFE: Duration = Duration::from_secs(60);
+const ENTRY_TTL: Duration = Duration::from_secs(60);
 
 /// Shared parts at one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PrefixCache {
     parts: HashMap<u64, (u32, Instant)>,
     tokens: u64,
     capacity: u64,
 }
 
-impl Kept {
+impl PrefixCache {
     /// An engine with so much memory.
-    pub fn new(memory_tokens: u64) -> Kept {
-        let capacity = (memory_tokens as f64 * SHARED_MEMORY) as u64;
-        Kept { capacity, ..Kept::default() }
+    pub fn new(memory_tokens: u64) -> PrefixCache {
+        let capacity = (memory_tokens as f64 * SHARED_MEMORY_FRACTION) as u64;
+        PrefixCache { capacity, ..PrefixCache::default() }
     }
 
     /// A request with these parts goes there; its last part is its own and not shared.
-    pub fn read(&mut self, parts: &[Part], now: Instant) {
+    pub fn insert(&mut self, parts: &[Part], now: Instant) {
         let Some((_, shared)) = parts.split_last() else { return };
         for part in shared {
             if self.parts.insert(part.id, (part.tokens, now)).is_none() {
@@ -44,9 +44,10 @@
     }
 
     /// Tokens at the beginning of a prompt that need not be read again.
-    pub fn tokens(&self, parts: &[Part], now: Instant) -> u64 {
+    pub fn cached_tokens(&self, parts: &[Part], now: Instant) -> u64 {
         let Some((_, shared)) = parts.split_last() else { return 0 };
-        let kept = |part: &&Part| self.parts.get(&part.id).is_some_and(|(_, at)| now < *at + LIFE);
-        shared.iter().take_while(kept).map(|part| u64::from(part.tokens)).sum()
+        let is_cached =
+            |part: &&Part| self.parts.get(&part.id).is_some_and(|(_, at)| now < *at + ENTRY_TTL);
+        shared.iter().take_while(is_cached).map(|part| u64::from(part.tokens)).sum()
     }
 }
--- a/lib/src/coordination/presence.rs
+++ b/lib/src/coordination/presence.rs
@@ -15,18 +15,18 @@
 
 /// How long a box that leaves is still worth naming: it accepts for 2.5 s after it said so, and
 /// callers keep the answer for another second.
-const ACCEPTS: Duration = Duration::from_millis(1500);
+const ACCEPTS_AFTER_LEAVING: Duration = Duration::from_millis(1500);
 
 /// How long a word about leaving counts: the longest stop and a start. Incarnations follow the
 /// clock, so after a jump back of the clock a newer life looks older, and only time heals it.
-const LIFE: Duration = Duration::from_secs(15);
+const LEAVING_TTL: Duration = Duration::from_secs(15);
 
 /// How long a box counts as heard after its last datagram: with five a second to each box of the
 /// region, some have been lost by then.
-const HEARD: Duration = Duration::from_secs(2);
+const HEARD_TTL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Announcement {
     incarnation: Incarnation,
     /// Since when it leaves.
     leaving_since: Option<Instant>,
@@ -35,7 +35,7 @@
 /// The newest word of each box.
 #[derive(Debug, Default)]
 pub struct Presence {
-    words: HashMap<u64, Word>,
+    announcements: HashMap<u64, Announcement>,
     heard_at: HashMap<u64, Instant>,
 }
 
@@ -46,63 +46,69 @@
 
 impl Presence {
     /// A box says whether it leaves. Says whether that is news.
-    pub fn hear(
+    pub fn record_announcement(
         &mut self,
         sender: u64,
         incarnation: Incarnation,
         leaving: bool,
         now: Instant,
     ) -> bool {
-        let known = self.words.get(&sender).copied();
-        let same_life = known.filter(|word| word.incarnation == incarnation);
-        let older = known.is_some_and(|word| word.incarnation > incarnation);
+        let previous = self.announcements.get(&sender).copied();
+        let same_incarnation =
+            previous.filter(|announcement| announcement.incarnation == incarnation);
+        let is_older = previous.is_some_and(|announcement| announcement.incarnation > incarnation);
         // A stop is never taken back, and datagrams may overtake each other.
-        let settled = same_life.is_some_and(|word| !leaving || word.leaving_since.is_some());
-        if older || settled {
+        let is_known = same_incarnation
+            .is_some_and(|announcement| !leaving || announcement.leaving_since.is_some());
+        if is_older || is_known {
             return false;
         }
-        self.words.insert(sender, Word { incarnation, leaving_since: leaving.then_some(now) });
+        self.announcements
+            .insert(sender, Announcement { incarnation, leaving_since: leaving.then_some(now) });
         true
     }
 
     /// A datagram of a box has come.
-    pub fn heard(&mut self, sender: u64, now: Instant) {
+    pub fn record_datagram(&mut self, sender: u64, now: Instant) {
         self.heard_at.insert(sender, now);
     }
 
     /// Whether a box was heard lately.
-    pub fn is_heard(&self, name: &str, now: Instant) -> bool {
+    pub fn was_heard_recently(&self, name: &str, now: Instant) -> bool {
         let at = self.heard_at.get(&box_hash(name));
-        at.is_some_and(|at| now < *at + HEARD)
+        at.is_some_and(|at| now < *at + HEARD_TTL)
     }
 
     /// Drops old words.
     pub fn expire(&mut self, now: Instant) {
-        self.heard_at.retain(|_, at| now < *at + HEARD);
-        let counts = |word: &Word| word.leaving_since.is_none_or(|since| now < since + LIFE);
-        self.words.retain(|_, word| counts(word));
+        self.heard_at.retain(|_, at| now < *at + HEARD_TTL);
+        let is_valid = |announcement: &Announcement| {
+            announcement.leaving_since.is_none_or(|since| now < since + LEAVING_TTL)
+        };
+        self.announcements.retain(|_, announcement| is_valid(announcement));
     }
 
     /// Whether callers may be sent to a box.
     pub fn serves(&self, record: &BoxRecord) -> bool {
-        match self.word(record) {
-            Some(word) => word.leaving_since.is_none(),
+        match self.announcement(record) {
+            Some(announcement) => announcement.leaving_since.is_none(),
             None => !record.leaving,
         }
     }
 
     /// Whether a box that leaves still accepts requests: it has only just said so.
     pub fn accepts(&self, record: &BoxRecord, now: Instant) -> bool {
-        let since = self.word(record).and_then(|word| word.leaving_since);
-        since.is_some_and(|since| now < since + ACCEPTS)
+        let since = self.announcement(record).and_then(|announcement| announcement.leaving_since);
+        since.is_some_and(|since| now < since + ACCEPTS_AFTER_LEAVING)
     }
 
     /// The word that counts against a record: one of the same life says more only when it
     /// leaves, and one of a newer life says all.
-    fn word(&self, record: &BoxRecord) -> Option<Word> {
-        let word = *self.words.get(&box_hash(&record.name))?;
-        let counts = word.incarnation > record.incarnation
-            || (word.incarnation == record.incarnation && word.leaving_since.is_some());
-        counts.then_some(word)
+    fn announcement(&self, record: &BoxRecord) -> Option<Announcement> {
+        let announcement = *self.announcements.get(&box_hash(&record.name))?;
+        let is_valid = announcement.incarnation > record.incarnation
+            || (announcement.incarnation == record.incarnation
+                && announcement.leaving_since.is_some());
+        is_valid.then_some(announcement)
     }
 }
--- a/lib/src/coordination/quarantine/evidence.rs
+++ b/lib/src/coordination/quarantine/evidence.rs
@@ -8,37 +8,37 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::coordination::broken::Life;
 use crate::coordination::fingerprint::CallerHash;
+use crate::coordination::interrupted::ServerIncarnation;
 
 /// Most ends that are kept of one request: more than are ever needed to be certain.
-const MOST_ENDS: usize = 12;
+const MAX_CRASHES: usize = 12;
 
 /// Ends that are no further apart have one cause: machines of one failure domain lose power within some
 /// milliseconds, and boxes hear of it by as much later as the way to them takes.
-const TOGETHER: Duration = Duration::from_millis(40);
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(40);
 
 /// The end of a server under a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct End {
+pub(super) struct Crash {
     /// Which life of which server.
-    pub life: Life,
+    pub incarnation: ServerIncarnation,
     /// Whose request it was.
     pub caller: CallerHash,
     /// When it was sent there.
     pub sent_at: Instant,
     /// When its answer broke off.
-    pub ended_at: Instant,
+    pub crashed_at: Instant,
     /// Whether this box has seen it.
-    pub own: bool,
+    pub observed_here: bool,
 }
 
-impl End {
+impl Crash {
     /// Whether it has not the same cause as an earlier one, unless that is the request: it was sent
     /// there after the earlier one, or the two lie apart.
-    fn follows(&self, earlier: &End) -> bool {
-        let apart = self.ended_at >= earlier.ended_at + TOGETHER;
-        self.life != earlier.life && (self.sent_at >= earlier.ended_at || apart)
+    fn is_independent_of(&self, earlier: &Crash) -> bool {
+        let is_later = self.crashed_at >= earlier.crashed_at + COMMON_CAUSE_WINDOW;
+        self.incarnation != earlier.incarnation && (self.sent_at >= earlier.crashed_at || is_later)
     }
 }
 
@@ -46,60 +46,63 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
     /// By the time of the end.
-    ends: Vec<End>,
+    crashes: Vec<Crash>,
 }
 
 impl Evidence {
     /// Adds an end, unless it is known. Says whether it was news.
-    pub fn add(&mut self, end: End) -> bool {
-        let known = |other: &End| other.life == end.life && other.caller == end.caller;
-        if self.ends.iter().any(known) {
+    pub fn add(&mut self, crash: Crash) -> bool {
+        let is_known =
+            |other: &Crash| other.incarnation == crash.incarnation && other.caller == crash.caller;
+        if self.crashes.iter().any(is_known) {
             return false;
         }
-        let place = self.ends.partition_point(|other| other.ended_at <= end.ended_at);
-        self.ends.insert(place, end);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.remove(0);
+        let index = self.crashes.partition_point(|other| other.crashed_at <= crash.crashed_at);
+        self.crashes.insert(index, crash);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
         true
     }
 
     /// Drops what speaks against a caller.
-    pub fn acquit(&mut self, caller: CallerHash) {
-        self.ends.retain(|end| end.caller != caller);
+    pub fn clear(&mut self, caller: CallerHash) {
+        self.crashes.retain(|crash| crash.caller != caller);
     }
 
     /// Who sent it.
     pub fn callers(&self) -> BTreeSet<CallerHash> {
-        self.ends.iter().map(|end| end.caller).collect()
+        self.crashes.iter().map(|crash| crash.caller).collect()
     }
 
     /// All ends.
-    pub fn ends(&self) -> &[End] {
-        &self.ends
+    pub fn crashes(&self) -> &[Crash] {
+        &self.crashes
     }
 
     /// Servers that ended one after the other under it, as one caller sent it, or all.
-    pub fn in_a_row(&self, caller: Option<CallerHash>) -> usize {
+    pub fn consecutive_crashes(&self, caller: Option<CallerHash>) -> usize {
         let mut count = 0;
-        let mut last: Option<&End> = None;
-        for end in self.ends.iter().filter(|end| caller.is_none_or(|caller| end.caller == caller)) {
-            let follows = last.is_none_or(|last| end.follows(last));
-            if follows {
+        let mut last: Option<&Crash> = None;
+        for crash in
+            self.crashes.iter().filter(|crash| caller.is_none_or(|caller| crash.caller == caller))
+        {
+            let is_independent = last.is_none_or(|last| crash.is_independent_of(last));
+            if is_independent {
                 count += 1;
-                last = Some(end);
+                last = Some(crash);
             }
         }
         count
     }
 
     /// Whether some request here ended with that server.
-    pub fn has(&self, life: Life) -> bool {
-        self.ends.iter().any(|end| end.life == life)
+    pub fn includes_server(&self, server: ServerIncarnation) -> bool {
+        self.crashes.iter().any(|crash| crash.incarnation == server)
     }
 
     /// Life of the server that ended last.
-    pub fn last_life(&self) -> Option<Life> {
-        self.ends.last().map(|end| end.life)
+    pub fn last_crashed_server(&self) -> Option<ServerIncarnation> {
+        self.crashes.last().map(|crash| crash.incarnation)
     }
 }
--- a/lib/src/coordination/quarantine/trials.rs
+++ b/lib/src/coordination/quarantine/executions.rs
@@ -12,21 +12,21 @@
 use crate::protocol::ServerId;
 
 /// How long another box's word counts on where its suspicious requests run: several reports.
-const WORD: Duration = Duration::from_secs(1);
+const RESERVATION_TTL: Duration = Duration::from_secs(1);
 
 /// Requests, and the servers that run them now.
 #[derive(Debug, Default)]
-pub(super) struct Trials {
+pub(super) struct Executions {
     /// This box's: how often each server runs it. Most are on one.
-    here: HashMap<ContentHash, Vec<(ServerId, u32)>>,
+    own: HashMap<ContentHash, Vec<(ServerId, u32)>>,
     /// Suspicious ones of other boxes, by the box that says so, and when it did.
-    elsewhere: HashMap<u64, (Instant, Vec<ServerId>)>,
+    reserved_by_peers: HashMap<u64, (Instant, Vec<ServerId>)>,
 }
 
-impl Trials {
+impl Executions {
     /// A request goes to a server.
     pub fn begin(&mut self, server: ServerId, content: ContentHash) {
-        let servers = self.here.entry(content).or_default();
+        let servers = self.own.entry(content).or_default();
         match servers.iter_mut().find(|(on, _)| *on == server) {
             Some((_, count)) => *count += 1,
             None => servers.push((server, 1)),
@@ -35,44 +35,45 @@
 
     /// It has ended there, one way or the other.
     pub fn finish(&mut self, server: &str, content: ContentHash) {
-        let Some(servers) = self.here.get_mut(&content) else { return };
-        let Some(place) = servers.iter().position(|(on, _)| on == server) else { return };
-        servers[place].1 -= 1;
-        if servers[place].1 == 0 {
-            servers.swap_remove(place);
+        let Some(servers) = self.own.get_mut(&content) else { return };
+        let Some(index) = servers.iter().position(|(on, _)| on == server) else { return };
+        servers[index].1 -= 1;
+        if servers[index].1 == 0 {
+            servers.swap_remove(index);
         }
         if servers.is_empty() {
-            self.here.remove(&content);
+            self.own.remove(&content);
         }
     }
 
     /// Servers that run a request of this box now.
     pub fn width(&self, content: ContentHash) -> usize {
-        self.here.get(&content).map_or(0, Vec::len)
+        self.own.get(&content).map_or(0, Vec::len)
     }
 
     /// Servers that run a request of this box.
     pub fn servers(&self, content: ContentHash) -> impl Iterator<Item = &ServerId> {
-        self.here.get(&content).into_iter().flatten().map(|(server, _)| server)
+        self.own.get(&content).into_iter().flatten().map(|(server, _)| server)
     }
 
     /// Another box says where its suspicious requests run.
-    pub fn hear(&mut self, sender: u64, servers: &[ServerId], now: Instant) {
+    pub fn receive(&mut self, sender: u64, servers: &[ServerId], now: Instant) {
         if servers.is_empty() {
-            self.elsewhere.remove(&sender);
+            self.reserved_by_peers.remove(&sender);
         } else {
-            self.elsewhere.insert(sender, (now, servers.to_vec()));
+            self.reserved_by_peers.insert(sender, (now, servers.to_vec()));
         }
     }
 
     /// Servers that run a suspicious request of another box.
-    pub fn elsewhere(&self, now: Instant) -> impl Iterator<Item = &ServerId> {
-        let fresh = self.elsewhere.values().filter(move |(at, _)| now < *at + WORD);
-        fresh.flat_map(|(_, servers)| servers)
+    pub fn reserved_by_peers(&self, now: Instant) -> impl Iterator<Item = &ServerId> {
+        let current =
+            self.reserved_by_peers.values().filter(move |(at, _)| now < *at + RESERVATION_TTL);
+        current.flat_map(|(_, servers)| servers)
     }
 
     /// Drops what is old.
-    pub fn tick(&mut self, now: Instant) {
-        self.elsewhere.retain(|_, (at, _)| now < *at + WORD);
+    pub fn expire(&mut self, now: Instant) {
+        self.reserved_by_peers.retain(|_, (at, _)| now < *at + RESERVATION_TTL);
     }
 }
--- a/lib/src/coordination/quarantine/told.rs
+++ b/lib/src/coordination/quarantine/wire.rs
@@ -3,7 +3,7 @@
 
 /// An end, as boxes tell each other.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct End {
+pub struct CrashReport {
     /// What the request said.
     #[prost(fixed64, tag = "1")]
     pub content: u64,
@@ -23,7 +23,7 @@
 
 /// A verdict, as boxes tell each other.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Verdict {
+pub struct VerdictReport {
     /// The content.
     #[prost(fixed64, tag = "1")]
     pub content: u64,
--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -261,7 +261,7 @@
             let own = account.demand.get(now);
             account.silent = heard.silent.min(1.0);
             account.region_demand = own + heard.beside;
-            account.region_usual = account.usual.since_start(now) + heard.usual_beside;
+            account.region_usual = account.usual.bias_corrected(now) + heard.usual_beside;
             account.all_demand = account.region_demand + heard.elsewhere;
             let by_demand = if account.all_demand > 0.0 { own / account.all_demand } else { 0.0 };
             account.part = (even + (1.0 - EVEN) * by_demand) * (1.0 - account.silent);
@@ -322,7 +322,7 @@
         let total = |(team, account): (&TeamHash, &Account)| {
             let sources = self.boxes.values().chain(self.regions.values());
             let others: f64 = sources.map(|source| source.usual(*team, now)).sum();
-            (*team, account.usual.since_start(now) + others)
+            (*team, account.usual.bias_corrected(now) + others)
         };
         self.accounts.iter().map(total).collect()
     }
@@ -344,7 +344,7 @@
         let count = |(team, account): (&TeamHash, &mut Account)| {
             account.tell -= 1;
             let demand = account.demand.get(now) as u64;
-            let usual = account.usual.since_start(now) as u64;
+            let usual = account.usual.bias_corrected(now) as u64;
             Count { team: *team, admitted: account.admitted as u64, demand, usual }
         };
         changed.take(TOLD).map(count).collect()
--- a/lib/src/coordination/rate.rs
+++ b/lib/src/coordination/rate.rs
@@ -4,26 +4,26 @@
 use std::time::Instant;
 
 /// Least part of a smoothed rate that a young box's figure is scaled up from.
-const LEAST_SEEN: f64 = 0.1;
+const MIN_OBSERVED_WEIGHT: f64 = 0.1;
 
 /// A smoothed rate: each unit counts with a weight that decays, and once in all.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     per_second: f64,
     smoothing: Duration,
-    began_at: Instant,
+    started_at: Instant,
     at: Instant,
 }
 
 impl Rate {
     /// Nothing yet.
     pub fn new(smoothing: Duration, now: Instant) -> Rate {
-        Rate { per_second: 0.0, smoothing, began_at: now, at: now }
+        Rate { per_second: 0.0, smoothing, started_at: now, at: now }
     }
 
     fn decay(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.per_second *= (-passed / self.smoothing.as_secs_f64()).exp();
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.per_second *= (-elapsed / self.smoothing.as_secs_f64()).exp();
         self.at = self.at.max(now);
     }
 
@@ -40,9 +40,9 @@
     }
 
     /// The same, reckoned with the time since it began as if it had been as long as the smoothing.
-    pub fn since_start(self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.began_at).as_secs_f64();
-        let seen = 1.0 - (-age / self.smoothing.as_secs_f64()).exp();
-        self.get(now) / seen.max(LEAST_SEEN)
+    pub fn bias_corrected(self, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.started_at).as_secs_f64();
+        let observed_weight = 1.0 - (-age / self.smoothing.as_secs_f64()).exp();
+        self.get(now) / observed_weight.max(MIN_OBSERVED_WEIGHT)
     }
 }
--- a/lib/src/coordination/returns.rs
+++ b/lib/src/coordination/retry_spread.rs
@@ -7,28 +7,28 @@
 use std::time::Instant;
 
 /// Time for each caller.
-const EACH: Duration = Duration::from_millis(10);
+const SPREAD_PER_CALLER: Duration = Duration::from_millis(10);
 /// Longest time over which callers are spread.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_SPREAD: Duration = Duration::from_secs(1);
 /// Multiples of the golden ratio, without their whole parts, are spread evenly however many there are.
-const TURN: f64 = 0.618_033_988_749_894_9;
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
 /// Callers that were told to come back after one moment.
 #[derive(Debug, Default)]
-pub struct Returns {
-    room_at: Option<Instant>,
+pub struct RetrySpread {
+    available_at: Option<Instant>,
     callers: u32,
 }
 
-impl Returns {
+impl RetrySpread {
     /// When the next one should come back.
-    pub fn next(&mut self, room_at: Instant, now: Instant) -> Duration {
-        if self.room_at != Some(room_at) {
-            *self = Returns { room_at: Some(room_at), callers: 0 };
+    pub fn retry_after(&mut self, available_at: Instant, now: Instant) -> Duration {
+        if self.available_at != Some(available_at) {
+            *self = RetrySpread { available_at: Some(available_at), callers: 0 };
         }
         self.callers = self.callers.saturating_add(1);
-        let spread = EACH.saturating_mul(self.callers).min(LONGEST);
-        let turn = (f64::from(self.callers) * TURN).fract();
-        (room_at + spread.mul_f64(turn)).saturating_duration_since(now)
+        let spread = SPREAD_PER_CALLER.saturating_mul(self.callers).min(MAX_SPREAD);
+        let fraction = (f64::from(self.callers) * GOLDEN_RATIO).fract();
+        (available_at + spread.mul_f64(fraction)).saturating_duration_since(now)
     }
 }
--- a/lib/src/coordination/server.rs
+++ b/lib/src/coordination/server.rs
@@ -11,13 +11,13 @@
 use crate::protocol::ServerId;
 
 /// Age at which a load report says nothing any more.
-const REPORT_LIFE: Duration = Duration::from_secs(10);
+const REPORT_TTL: Duration = Duration::from_secs(10);
 /// Weight of the latest observation in smoothed times.
 const SMOOTHING: f64 = 0.1;
 
 /// A backend server as the configuration and the observations give it.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct ServerSnapshot {
     /// Address.
     pub address: SocketAddr,
     /// Requests it runs at once.
@@ -31,10 +31,10 @@
 }
 
 pub(super) struct Server {
-    pub(super) lane: Lane,
+    pub(super) snapshot: ServerSnapshot,
     pub(super) in_flight: u32,
-    others: f64,
-    others_at: Option<Instant>,
+    other_load: f64,
+    other_load_at: Option<Instant>,
     pub(super) health: Health,
     first_byte: Option<Duration>,
     /// What stands for it where prefixes find their homes, and where it rests.
@@ -42,12 +42,12 @@
 }
 
 impl Server {
-    pub(super) fn new(id: &ServerId, lane: Lane) -> Server {
+    pub(super) fn new(id: &ServerId, snapshot: ServerSnapshot) -> Server {
         Server {
-            lane,
+            snapshot,
             in_flight: 0,
-            others: 0.0,
-            others_at: None,
+            other_load: 0.0,
+            other_load_at: None,
             health: Health::default(),
             first_byte: None,
             hash: rapidhash_v3(id.as_bytes()),
@@ -55,17 +55,17 @@
     }
 
     pub(super) fn load(&self, now: Instant) -> f64 {
-        let age = self.others_at.map_or(REPORT_LIFE, |at| now.saturating_duration_since(at));
-        let trust = 1.0 - age.as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        f64::from(self.in_flight) + self.others * trust.max(0.0)
+        let age = self.other_load_at.map_or(REPORT_TTL, |at| now.saturating_duration_since(at));
+        let weight = 1.0 - age.as_secs_f64() / REPORT_TTL.as_secs_f64();
+        f64::from(self.in_flight) + self.other_load * weight.max(0.0)
     }
 
     pub(super) fn usable_slots(&self, now: Instant) -> f64 {
-        (f64::from(self.lane.slots) * self.health.share(now)).max(1.0)
+        (f64::from(self.snapshot.slots) * self.health.usable_share(now)).max(1.0)
     }
 
-    pub(super) fn up(&self) -> bool {
-        !self.lane.leaving && self.lane.reachable
+    pub(super) fn is_available(&self) -> bool {
+        !self.snapshot.leaving && self.snapshot.reachable
     }
 
     /// The server as a candidate for a request.
@@ -81,27 +81,27 @@
     }
 
     /// A request was answered.
-    pub(super) fn answered(&mut self, first_byte: Duration, now: Instant) {
-        self.health.succeeded(now);
+    pub(super) fn record_answer(&mut self, first_byte: Duration, now: Instant) {
+        self.health.record_success(now);
         self.first_byte = Some(smooth(self.first_byte, first_byte));
     }
 
     /// Takes in what the configuration and the observations say now.
-    pub(super) fn observe(&mut self, lane: Lane) {
-        if let Some((load, at)) = lane.report
-            && self.others_at.is_none_or(|known| at > known)
+    pub(super) fn observe(&mut self, snapshot: ServerSnapshot) {
+        if let Some((load, at)) = snapshot.report
+            && self.other_load_at.is_none_or(|smoothed| at > smoothed)
         {
-            self.others = (f64::from(load) - f64::from(self.in_flight)).max(0.0);
-            self.others_at = Some(at);
+            self.other_load = (f64::from(load) - f64::from(self.in_flight)).max(0.0);
+            self.other_load_at = Some(at);
         }
-        self.lane = lane;
+        self.snapshot = snapshot;
     }
 }
 
 /// A smoothed time after one more observation.
-pub(super) fn smooth(known: Option<Duration>, latest: Duration) -> Duration {
-    match known {
+pub(super) fn smooth(smoothed: Option<Duration>, latest: Duration) -> Duration {
+    match smoothed {
         None => latest,
-        Some(known) => known.mul_f64(1.0 - SMOOTHING) + latest.mul_f64(SMOOTHING),
+        Some(smoothed) => smoothed.mul_f64(1.0 - SMOOTHING) + latest.mul_f64(SMOOTHING),
     }
 }
--- a/lib/src/coordination/text.rs
+++ b/lib/src/coordination/shared_prefix.rs
@@ -15,24 +15,24 @@
 /// association, 0.540 instead of 0.644 at the utility and 0.775 instead of 0.833 at the ticket
 /// host. Texts of 90 tokens are read in 2 ms; between 100 and 1,500 the bound made no difference of
 /// 0.01 there, and 100 instead of 500 gained 0.007 at the association's 90 engines.
-const TRAVELS: u32 = 100;
+const CROSS_REGION_MIN_TOKENS: u32 = 100;
 
 /// A text that prompts share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Text {
+pub struct SharedPrefix {
     /// Id of its last part.
     id: u64,
     /// Length of all its parts, tokens.
     tokens: u32,
 }
 
-impl Text {
+impl SharedPrefix {
     /// The shared text of a prompt; its last part is the request's own.
-    pub fn of(parts: &[Part]) -> Option<Text> {
+    pub fn of(parts: &[Part]) -> Option<SharedPrefix> {
         let (_, shared) = parts.split_last()?;
         let last = shared.last()?;
         let tokens = shared.iter().fold(0, |sum: u32, part| sum.saturating_add(part.tokens));
-        Some(Text { id: last.id, tokens })
+        Some(SharedPrefix { id: last.id, tokens })
     }
 
     /// Id of its last part, which stands for the whole.
@@ -41,8 +41,8 @@
     }
 
     /// Whether its home is worth a way to another region.
-    pub fn travels(&self) -> bool {
-        self.tokens >= TRAVELS
+    pub fn crosses_regions(&self) -> bool {
+        self.tokens >= CROSS_REGION_MIN_TOKENS
     }
 
     /// What an engine weighs for it; the one that weighs most is its home.
--- a/lib/src/coordination/restored.rs
+++ b/lib/src/coordination/store_rollback.rs
@@ -14,12 +14,12 @@
 use crate::protocol::platform::Revision;
 
 /// How long after the store's return entries may be missing that will be written again.
-pub const RETURN_GRACE: Duration = Duration::from_millis(2200);
+pub const ROLLBACK_GRACE: Duration = Duration::from_millis(2200);
 /// Age of the oldest copy that a store comes back from: some seconds, and as long again for drills that follow
 /// each other.
-pub const COPY_AGE: Duration = Duration::from_secs(30);
+pub const MAX_ROLLBACK_AGE: Duration = Duration::from_secs(30);
 /// Most removals that are remembered.
-const REMOVALS: usize = 1024;
+const MAX_REMOVALS: usize = 1024;
 
 /// An entry that was removed.
 #[derive(Clone, Copy, Debug)]
@@ -31,33 +31,33 @@
 
 /// What was known before the store went back, and what its copy shows instead.
 #[derive(Debug, Default)]
-pub struct Restored {
-    since: Option<Instant>,
+pub struct StoreRollback {
+    rolled_back_at: Option<Instant>,
     removals: BTreeMap<Subject, Removal>,
     held_back: BTreeMap<Subject, (Fact, Revision)>,
 }
 
-impl Restored {
+impl StoreRollback {
     /// The store came back from an older copy then.
-    pub fn begin(&mut self, at: Instant) {
-        self.since = self.since.max(Some(at));
+    pub fn record_rollback(&mut self, at: Instant) {
+        self.rolled_back_at = self.rolled_back_at.max(Some(at));
     }
 
     /// Whether what the store lost may still be written again.
     pub fn is_settling(&self, now: Instant) -> bool {
-        self.since.is_some_and(|since| now < since + RETURN_GRACE)
+        self.rolled_back_at.is_some_and(|rolled_back_at| now < rolled_back_at + ROLLBACK_GRACE)
     }
 
     /// An entry was removed that stood under a revision.
-    pub fn note_removal(&mut self, subject: Subject, revision: Revision, now: Instant) {
-        self.removals.retain(|_, removal| now < removal.at + COPY_AGE);
-        if self.removals.len() < REMOVALS {
+    pub fn record_removal(&mut self, subject: Subject, revision: Revision, now: Instant) {
+        self.removals.retain(|_, removal| now < removal.at + MAX_ROLLBACK_AGE);
+        if self.removals.len() < MAX_REMOVALS {
             self.removals.insert(subject, Removal { revision, at: now });
         }
     }
 
     /// Whether an entry is the one that this box has seen removed.
-    pub fn is_removed(&self, subject: &Subject, revision: Revision) -> bool {
+    pub fn was_removed(&self, subject: &Subject, revision: Revision) -> bool {
         self.removals.get(subject).is_some_and(|removal| removal.revision == revision)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// The store tells something else of that.
-    pub fn drop_held(&mut self, subject: &Subject) {
+    pub fn discard_held(&mut self, subject: &Subject) {
         self.held_back.remove(subject);
     }
 
--- a/lib/src/coordination/throttle/demand.rs
+++ b/lib/src/coordination/throttle/demand.rs
@@ -54,7 +54,7 @@
 
     /// What this box is asked for.
     pub fn own(&self, now: Instant) -> Asked {
-        Asked { lately: self.lately.get(now), usual: self.usual.since_start(now) }
+        Asked { lately: self.lately.get(now), usual: self.usual.bias_corrected(now) }
     }
 
     /// What the others are taken to be asked for now, requests a second. News of it is some tenths of a
--- a/lib/src/coordination/unlisted.rs
+++ b/lib/src/coordination/unlisted.rs
@@ -15,12 +15,12 @@
 
 /// How long a box counts after it was last heard by anyone: fifty datagrams, some of which go to
 /// boxes elsewhere, drawn at random.
-const LIFE: Duration = Duration::from_secs(10);
+const NEIGHBOR_TTL: Duration = Duration::from_secs(10);
 /// Time after which a box that is still not shown is named: when a whole fleet starts, the store
 /// shows all of it by then, and nobody need be named.
-const UNSHOWN: Duration = Duration::from_secs(1);
+const LISTING_GRACE: Duration = Duration::from_secs(1);
 /// Most boxes that a datagram names: some 700 bytes, which one packet holds.
-pub const NAMED: usize = 16;
+pub const MAX_NAMED: usize = 16;
 
 /// A box that is heard.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -35,7 +35,7 @@
 
 /// A box as it is named in a datagram.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Named {
+pub struct NeighborRecord {
     /// What stands for it.
     #[prost(fixed64, tag = "1")]
     pub box_hash: u64,
@@ -51,43 +51,46 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct HeardNeighbor {
     neighbor: Neighbor,
     /// When it was first heard.
-    since: Instant,
+    first_heard_at: Instant,
     /// When it was last heard.
-    at: Instant,
+    last_heard_at: Instant,
 }
 
 /// The boxes that are heard and not shown by the store.
 #[derive(Debug, Default)]
 pub struct Unlisted {
     listed: HashSet<u64>,
-    heard: HashMap<u64, Heard>,
+    heard: HashMap<u64, HeardNeighbor>,
 }
 
 impl Unlisted {
     /// The store shows these boxes, the own one among them.
-    pub fn list(&mut self, listed: HashSet<u64>) {
+    pub fn set_listed(&mut self, listed: HashSet<u64>) {
         self.heard.retain(|hash, _| !listed.contains(hash));
         self.listed = listed;
     }
 
     /// A box was heard then, here or by the box that names it.
-    pub fn hear(&mut self, neighbor: Neighbor, at: Instant) {
+    pub fn record(&mut self, neighbor: Neighbor, last_heard_at: Instant) {
         if self.listed.contains(&neighbor.box_hash) {
             return;
         }
-        let known = self.heard.get(&neighbor.box_hash);
-        let since = known.map_or(at, |known| known.since);
-        if known.is_none_or(|known| known.at < at) {
-            self.heard.insert(neighbor.box_hash, Heard { neighbor, since, at });
+        let previous = self.heard.get(&neighbor.box_hash);
+        let first_heard_at = previous.map_or(last_heard_at, |previous| previous.first_heard_at);
+        if previous.is_none_or(|previous| previous.last_heard_at < last_heard_at) {
+            self.heard.insert(
+                neighbor.box_hash,
+                HeardNeighbor { neighbor, first_heard_at, last_heard_at },
+            );
         }
     }
 
     /// Drops boxes that were not heard for long.
     pub fn expire(&mut self, now: Instant) {
-        self.heard.retain(|_, heard| now < heard.at + LIFE);
+        self.heard.retain(|_, heard| now < heard.last_heard_at + NEIGHBOR_TTL);
     }
 
     /// The boxes.
@@ -97,25 +100,33 @@
 
     /// Boxes of other regions that were heard after a moment and have not been shown for a while: they
     /// are answered.
-    pub fn heard_after(&self, since: Instant, region: &str, now: Instant) -> Vec<SocketAddr> {
-        let heard = self.heard.values().filter(|heard| heard.at > since);
-        let unshown = heard.filter(|heard| now >= heard.since + UNSHOWN);
-        let away = unshown.filter(|heard| heard.neighbor.region != region);
-        away.map(|heard| heard.neighbor.address).collect()
+    pub fn remote_heard_after(
+        &self,
+        first_heard_at: Instant,
+        region: &str,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
+        let heard = self.heard.values().filter(|heard| heard.last_heard_at > first_heard_at);
+        let unlisted = heard.filter(|heard| now >= heard.first_heard_at + LISTING_GRACE);
+        let remote = unlisted.filter(|heard| heard.neighbor.region != region);
+        remote.map(|heard| heard.neighbor.address).collect()
     }
 
     /// Those heard last, as a datagram names them. An age goes with each name, so that boxes which
     /// name a box to each other do not keep it for ever.
-    pub fn named(&self, now: Instant) -> Vec<Named> {
-        let unshown = self.heard.values().filter(|heard| now >= heard.since + UNSHOWN);
-        let mut newest: Vec<&Heard> = unshown.collect();
-        newest.sort_by_key(|heard| std::cmp::Reverse(heard.at));
-        let named = newest.into_iter().take(NAMED).map(|Heard { neighbor, at, .. }| Named {
-            box_hash: neighbor.box_hash,
-            region: neighbor.region.clone(),
-            address: neighbor.address.to_string(),
-            heard_ms: now.saturating_duration_since(*at).as_millis() as u32,
-        });
-        named.collect()
+    pub fn neighbor_records(&self, now: Instant) -> Vec<NeighborRecord> {
+        let unlisted =
+            self.heard.values().filter(|heard| now >= heard.first_heard_at + LISTING_GRACE);
+        let mut newest: Vec<&HeardNeighbor> = unlisted.collect();
+        newest.sort_by_key(|heard| std::cmp::Reverse(heard.last_heard_at));
+        let records = newest.into_iter().take(MAX_NAMED).map(
+            |HeardNeighbor { neighbor, last_heard_at, .. }| NeighborRecord {
+                box_hash: neighbor.box_hash,
+                region: neighbor.region.clone(),
+                address: neighbor.address.to_string(),
+                heard_ms: now.saturating_duration_since(*last_heard_at).as_millis() as u32,
+            },
+        );
+        records.collect()
     }
 }
--- a/lib/src/coordination/urgency.rs
+++ b/lib/src/coordination/urgency.rs
@@ -6,15 +6,17 @@
 //! equal.
 
 /// Ranks that an engine tells apart, 0 the most urgent.
-const RANKS: u8 = 10;
+const ENGINE_RANKS: u8 = 10;
 /// Ranks of routes within one rank of teams: three ranks of teams fit.
-const ROUTE_RANKS: u8 = 3;
+const RANKS_PER_TEAM_RANK: u8 = 3;
 
 /// The rank of a request of a route, and of a team if that has one.
 pub fn rank(team: Option<u8>, route: u8) -> u8 {
     let rank = match team {
-        Some(team) => team.saturating_mul(ROUTE_RANKS).saturating_add(route.min(ROUTE_RANKS - 1)),
+        Some(team) => team
+            .saturating_mul(RANKS_PER_TEAM_RANK)
+            .saturating_add(route.min(RANKS_PER_TEAM_RANK - 1)),
         None => route,
     };
-    rank.min(RANKS - 1)
+    rank.min(ENGINE_RANKS - 1)
 }
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 /// Span over which the rate is counted, longer than a second by what sends may be delayed.
-const WINDOW: Duration = Duration::from_millis(1200);
+const RATE_WINDOW: Duration = Duration::from_millis(1200);
 /// Part of the bound that is used, so that boxes which do not yet know of each other stay within it.
-const USED: f64 = 0.8;
+const SAFETY_FACTOR: f64 = 0.8;
 
 /// What all boxes together may send to one cold server in any second.
 #[derive(Clone, Copy, Debug)]
@@ -24,29 +24,29 @@
 }
 
 /// Longest time between questions to a server whether it is cold, by one box.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(150);
+pub const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// Shortest such time: some answers' time, so that questions do not fill the server.
-pub const SHORTEST_PAUSE: Duration = Duration::from_millis(10);
+pub const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(10);
 /// Part of a cold server's rate that may pass between two questions; the rest is for the time
 /// that its word takes to all boxes.
-const UNHEARD: f64 = 0.4;
+const UNOBSERVED_FRACTION: f64 = 0.4;
 
 /// Time between questions to a server that bears `rate` requests a second while it is cold and is
 /// used at `used` requests a second by all boxes. At 300 a second, with 150 ms between questions,
 /// servers got 20 to 68 requests in the second in which they turned cold, where 17 are allowed.
-pub fn pause(rate: f64, used: f64) -> Duration {
-    let seconds = rate * UNHEARD / used.max(f64::MIN_POSITIVE);
-    let longest = LONGEST_PAUSE.as_secs_f64();
-    Duration::from_secs_f64(seconds.min(longest)).max(SHORTEST_PAUSE)
+pub fn probe_interval(rate: f64, used: f64) -> Duration {
+    let seconds = rate * UNOBSERVED_FRACTION / used.max(f64::MIN_POSITIVE);
+    let longest = MAX_PROBE_INTERVAL.as_secs_f64();
+    Duration::from_secs_f64(seconds.min(longest)).max(MIN_PROBE_INTERVAL)
 }
 
 impl Bound {
     /// The share of the box that is `rank`th of `sharers` for the server: an even part,
     /// or one request for the first boxes where there is less than one for each.
     pub fn share(&self, sharers: usize, rank: usize) -> u32 {
-        let total = ((self.rate * self.excess + self.slack) * USED).floor();
-        let even = (total / sharers.max(1) as f64).floor();
-        if even >= 1.0 { even as u32 } else { u32::from((rank as f64) < total) }
+        let total = ((self.rate * self.excess + self.slack) * SAFETY_FACTOR).floor();
+        let even_share = (total / sharers.max(1) as f64).floor();
+        if even_share >= 1.0 { even_share as u32 } else { u32::from((rank as f64) < total) }
     }
 }
 
@@ -64,30 +64,30 @@
     /// serve again within half a second; with a share for each life, a server that all boxes may
     /// send 6 requests in a second got 7 when these were killed twice within a second.
     pub fn new(unknown_before: Option<Instant>) -> Warmup {
-        let unknown_until = unknown_before.map(|before| before + WINDOW);
+        let unknown_until = unknown_before.map(|before| before + RATE_WINDOW);
         Warmup { unknown_until, sent: VecDeque::new() }
     }
 
     /// Whether another request may be sent now under a share of so many in a second.
     pub fn admits(&mut self, share: u32, now: Instant) -> bool {
-        self.forget(now);
+        self.expire(now);
         self.unknown_until.is_none_or(|until| now >= until) && self.sent.len() < share as usize
     }
 
     /// Requests a second that were sent lately.
     pub fn sent_per_second(&mut self, now: Instant) -> f64 {
-        self.forget(now);
-        self.sent.len() as f64 / WINDOW.as_secs_f64()
+        self.expire(now);
+        self.sent.len() as f64 / RATE_WINDOW.as_secs_f64()
     }
 
     /// A request is sent now.
-    pub fn sent(&mut self, now: Instant) {
-        self.forget(now);
+    pub fn record_send(&mut self, now: Instant) {
+        self.expire(now);
         self.sent.push_back(now);
     }
 
-    fn forget(&mut self, now: Instant) {
-        while self.sent.front().is_some_and(|sent| now >= *sent + WINDOW) {
+    fn expire(&mut self, now: Instant) {
+        while self.sent.front().is_some_and(|sent| now >= *sent + RATE_WINDOW) {
             self.sent.pop_front();
         }
     }
--- a/lib/src/coordination/watchers.rs
+++ b/lib/src/coordination/watchers.rs
@@ -15,25 +15,26 @@
 
 /// Boxes of a region that watch: with one that has stopped, and one that has lost the store without
 /// knowing it, a third one still tells the others at once.
-const WATCHING: usize = 3;
+const WATCHERS_PER_REGION: usize = 3;
 
 /// Whether a box is among those that watch for its region. The strongest do, since all others ask
 /// them; among equals, the first by rendezvous.
-pub fn watches<'a>(own: &BoxRecord, others: impl Iterator<Item = &'a BoxRecord>) -> bool {
+pub fn is_watcher<'a>(own: &BoxRecord, others: impl Iterator<Item = &'a BoxRecord>) -> bool {
     let rank = |record: &BoxRecord| {
-        let duty = rendezvous::weight(&record.region, "watch");
-        (record.weight, rendezvous::mix(presence::box_hash(&record.name), duty))
+        let key = rendezvous::weight(&record.region, "watch");
+        (record.weight, rendezvous::mix(presence::box_hash(&record.name), key))
     };
     let own_rank = rank(own);
-    let beside = others.filter(|other| other.region == own.region && !other.leaving);
-    beside.filter(|other| rank(other) > own_rank).take(WATCHING).count() < WATCHING
+    let same_region = others.filter(|other| other.region == own.region && !other.leaving);
+    same_region.filter(|other| rank(other) > own_rank).take(WATCHERS_PER_REGION).count()
+        < WATCHERS_PER_REGION
 }
 
 /// Most boxes of all regions that watch, the own one among them.
-pub fn most(others: &[BoxRecord]) -> usize {
+pub fn max_watchers(others: &[BoxRecord]) -> usize {
     let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
     for record in others {
         *regions.entry(&record.region).or_default() += 1;
     }
-    1 + regions.values().map(|boxes| (*boxes).min(WATCHING)).sum::<usize>()
+    1 + regions.values().map(|boxes| (*boxes).min(WATCHERS_PER_REGION)).sum::<usize>()
 }
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -109,7 +109,7 @@
         let region = &self.shared.settings.region;
         let names =
             self.exchange.membership.live_in(region, now).map(|member| member.name.as_str());
-        let watches = rendezvous::holds(&self.shared.settings.name, names, "watch", WATCHERS);
+        let watches = rendezvous::is_selected(&self.shared.settings.name, names, "watch", WATCHERS);
         self.watching.store(watches, Ordering::Relaxed);
     }
 
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -69,7 +69,7 @@
         let region = &self.shared.settings.region;
         let members = self.exchange.membership.live_in(region, now);
         let names = members.map(|member| member.name.as_str());
-        rendezvous::holds(&self.shared.settings.name, names, "orders", CANDIDATES)
+        rendezvous::is_selected(&self.shared.settings.name, names, "orders", CANDIDATES)
     }
 
     /// Word on the lease came in.
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -11,7 +11,7 @@
 use super::Control;
 use super::Event;
 use crate::coordination::pool;
-use crate::coordination::pool::Lane;
+use crate::coordination::pool::ServerSnapshot;
 use crate::coordination::rendezvous;
 use crate::protocol::ServerId;
 use crate::protocol::config;
@@ -75,12 +75,12 @@
         self.exchange.membership.live_in(&self.shared.settings.region, now).count() + 1
     }
 
-    fn lanes(&self, pool: &config::Pool, now: Instant) -> BTreeMap<ServerId, Lane> {
+    fn lanes(&self, pool: &config::Pool, now: Instant) -> BTreeMap<ServerId, ServerSnapshot> {
         let region = &self.shared.settings.region;
         let here = pool.servers.iter().filter(|(_, server)| server.region == *region);
         let lane = |id: &ServerId, server: &config::Server| {
             let observed = self.exchange.load.get(id);
-            Lane {
+            ServerSnapshot {
                 address: server.address,
                 slots: server.slots,
                 leaving: server.leaving || self.exchange.load.leaving(id, now),
@@ -92,7 +92,7 @@
     }
 
     /// Logs backend servers that turned, once each.
-    fn log_servers(&mut self, lanes: &BTreeMap<ServerId, Lane>) {
+    fn log_servers(&mut self, lanes: &BTreeMap<ServerId, ServerSnapshot>) {
         for (id, lane) in lanes {
             let state = (lane.reachable, lane.leaving);
             let before = self.servers_seen.insert(id.clone(), state).unwrap_or((true, false));
@@ -116,7 +116,7 @@
         for (pool_id, pool) in &self.configuration.pools {
             let is_service = self.configuration.services.contains_key(pool_id);
             for (id, server) in pool.servers.iter().filter(|(_, server)| server.region == *region) {
-                if rendezvous::holds(own, peers.iter().copied(), id, PROBERS) {
+                if rendezvous::is_selected(own, peers.iter().copied(), id, PROBERS) {
                     probes.push(Probe { server: id.clone(), address: server.address, is_service });
                 }
             }
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -22,8 +22,8 @@
 use super::shared::Held;
 use super::shared::Shared;
 use super::stream::Stream;
-use crate::coordination::attempt::Event;
-use crate::coordination::attempt::Report;
+use crate::coordination::attempt::AttemptEvent;
+use crate::coordination::attempt::AttemptReport;
 use crate::error::Failure;
 use crate::error::Kind;
 use crate::error::Ran;
@@ -125,7 +125,7 @@
 
 /// A send without an answer.
 struct Unanswered {
-    event: Event,
+    event: AttemptEvent,
     message: String,
 }
 
@@ -133,10 +133,10 @@
     fn into_tried<A: Adapter>(self, target: &str) -> Tried<A> {
         let message = format!("{target}: {}", self.message);
         match self.event {
-            Event::Unreachable | Event::Withheld => {
+            AttemptEvent::Unreachable | AttemptEvent::NotSent => {
                 Tried::Unsent(Failure::new(Kind::NoServer, message))
             }
-            Event::Silent => {
+            AttemptEvent::TimedOut => {
                 Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
             }
             _ => Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown)),
@@ -155,15 +155,19 @@
     let exchange = client.exchange_if(address, request, fresh, admits);
     match timer::timeout_at(job.deadline, exchange).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(Attempt::Unsent(message))) => Err(Unanswered { event: Event::Unreachable, message }),
+        Ok(Err(Attempt::Unsent(message))) => {
+            Err(Unanswered { event: AttemptEvent::Unreachable, message })
+        }
         Ok(Err(Attempt::Withheld)) => {
             let message = "the server takes nothing by now".to_owned();
-            Err(Unanswered { event: Event::Withheld, message })
+            Err(Unanswered { event: AttemptEvent::NotSent, message })
+        }
+        Ok(Err(Attempt::Lost(message))) => {
+            Err(Unanswered { event: AttemptEvent::Interrupted, message })
         }
-        Ok(Err(Attempt::Lost(message))) => Err(Unanswered { event: Event::BrokenOff, message }),
         Err(_) => {
             let message = "no answer before the deadline".to_owned();
-            Err(Unanswered { event: Event::Silent, message })
+            Err(Unanswered { event: AttemptEvent::TimedOut, message })
         }
     }
 }
@@ -205,25 +209,25 @@
     };
     if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
         let message = "the answer is that of another request";
-        return lost(&mut held, Event::Invalid, Kind::BackendFailed, message);
+        return lost(&mut held, AttemptEvent::Invalid, Kind::BackendFailed, message);
     }
     let event = event(&verdict);
     if let Some(held) = held.as_ref().filter(|_| verdict.words.says_something()) {
         record::server_said(job, &held.place.server, &verdict.words, head.status);
     }
-    learning::report(shared, job, &mut held, &Report::head(event, verdict.words));
+    learning::report(shared, job, &mut held, &AttemptReport::head(event, verdict.words));
     match event {
-        Event::Replaced => {
+        AttemptEvent::Replaced => {
             let message = "another instance has the address";
             return Tried::Refused(Failure::new(Kind::NoServer, message));
         }
-        Event::Refused => {
+        AttemptEvent::Refused => {
             exchange.finished_for(idle_time(verdict.keep_alive));
             let failure = Failure::new(Kind::QueueFull, "the backend server refused");
             let rests = verdict.words.rest.is_some_and(|rest| !rest.is_zero());
             return if rests { Tried::Rests(failure) } else { Tried::Refused(failure) };
         }
-        Event::Invalid => {
+        AttemptEvent::Invalid => {
             let message = "the answer has no mark of its server";
             return Tried::Lost(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown));
         }
@@ -245,37 +249,37 @@
             Tried::Answered(Reply { status: head.status, headers, payload })
         }
         Ok(Err(error)) => {
-            lost(&mut held, Event::BrokenOff, Kind::BackendFailed, &error.to_string())
+            lost(&mut held, AttemptEvent::Interrupted, Kind::BackendFailed, &error.to_string())
         }
         Err(_) => {
             let message = "the answer did not end in time";
-            lost(&mut held, Event::Invalid, Kind::BackendTimeout, message)
+            lost(&mut held, AttemptEvent::Invalid, Kind::BackendTimeout, message)
         }
     }
 }
 
 /// What the head of an answer says became of the send so far.
-fn event(verdict: &Verdict) -> Event {
+fn event(verdict: &Verdict) -> AttemptEvent {
     if verdict.other_instance {
-        Event::Replaced
+        AttemptEvent::Replaced
     } else if verdict.not_run {
-        Event::Refused
+        AttemptEvent::Refused
     } else if verdict.sealed {
-        Event::Begun
+        AttemptEvent::HeadReceived
     } else {
-        Event::Invalid
+        AttemptEvent::Invalid
     }
 }
 
 /// What a whole answer says.
-fn whole(status: StatusCode) -> Event {
+fn whole(status: StatusCode) -> AttemptEvent {
     if status.is_success() {
-        Event::Answered
+        AttemptEvent::Answered
     } else if status.is_server_error() {
         // A server's own failure does not show that the request is sound.
-        Event::Failed
+        AttemptEvent::Failed
     } else {
-        Event::Rejected
+        AttemptEvent::Rejected
     }
 }
 
@@ -293,11 +297,11 @@
             Tried::Answered(Reply { status, headers, payload })
         }
         Ok(Err(cut)) => {
-            learning::end(shared, job, stream.held(), Event::BrokenOff);
+            learning::end(shared, job, stream.held(), AttemptEvent::Interrupted);
             Tried::Lost(Failure::new(Kind::BackendFailed, cut.to_string()).with_ran(Ran::Unknown))
         }
         Err(_) => {
-            learning::end(shared, job, stream.held(), Event::Silent);
+            learning::end(shared, job, stream.held(), AttemptEvent::TimedOut);
             let message = "no event before the deadline";
             Tried::Lost(Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown))
         }
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -185,7 +185,7 @@
         if !self.facts.is_listed(&self.own.name) {
             return self.is_seed();
         }
-        watchers::watches(&self.own, snapshot.boxes.iter())
+        watchers::is_watcher(&self.own, snapshot.boxes.iter())
     }
 
     /// Whether other boxes ask this one when they start.
@@ -298,7 +298,7 @@
         let beside = beside.map(|other| other.box_hash);
         let new = self.facts.hear_boxes(lock(&self.shared.loads).senders().chain(beside), now);
         let presence = lock(&self.shared.presence);
-        self.facts.keep_lost(|name| presence.is_heard(name, now), now);
+        self.facts.keep_lost(|name| presence.was_heard_recently(name, now), now);
         new
     }
 
@@ -315,7 +315,7 @@
         let fleet = self.facts.fleet(&view);
         let now = clock::now();
         let departures = lock(&self.shared.departures);
-        self.facts.set_leaving(|life| departures.leaves(life));
+        self.facts.set_leaving(|life| departures.is_leaving(life));
         drop(departures);
         let mut known = self.facts.known(&view);
         if let Some(routing) = &self.facts.routing {
@@ -330,13 +330,13 @@
                 state.placement.update(servers, sharers, service, now);
                 // Under the lock of the services: a word that comes meanwhile is set after this.
                 let departures = lock(&self.shared.departures);
-                state.placement.set_leaving(|life| departures.leaves(life));
+                state.placement.set_leaving(|life| departures.is_leaving(life));
             }
         }
         let (boxes, lost) = (self.facts.others(&self.own), self.facts.lost(&self.own));
         let listed = boxes.iter().chain(&lost).chain([&self.own]);
         let listed = listed.map(|record| presence::box_hash(&record.name)).collect();
-        lock(&self.shared.unlisted).list(listed);
+        lock(&self.shared.unlisted).set_listed(listed);
         self.shared.snapshot.store(Arc::new(Snapshot {
             routing: self.facts.routing.clone(),
             boxes,
--- a/lib/src/gateway/control/follow.rs
+++ b/lib/src/gateway/control/follow.rs
@@ -10,7 +10,7 @@
 
 use super::Control;
 use super::Event;
-use crate::coordination::freshness::LOOK_AGAIN;
+use crate::coordination::freshness::CHECK_INTERVAL;
 use crate::coordination::watchers;
 use crate::gateway::keys::BOXES;
 use crate::gateway::keys::QUARANTINE;
@@ -186,7 +186,7 @@
             let mut drawn = self.is_due_to_look(now);
             if now >= draw_at {
                 drawn |= self.must_look();
-                draw_at = now + LOOK_AGAIN;
+                draw_at = now + CHECK_INTERVAL;
             }
             let watching = self.store_away_since.is_none() && self.watches();
             self.note_watching(watching);
@@ -205,7 +205,7 @@
                 Following::Watch(_) if !watching => Following::Idle,
                 as_before => as_before,
             };
-            let tick = if watching { self.watch_gap().min(LOOK_AGAIN) } else { LOOK_AGAIN };
+            let tick = if watching { self.watch_gap().min(CHECK_INTERVAL) } else { CHECK_INTERVAL };
             let answer = tokio::select! {
                 answer = following.answer() => Some(answer),
                 Some(event) = events.recv() => {
@@ -233,7 +233,7 @@
     /// need not fail: the new history may have passed the revision that is known of the old one.
     pub(super) fn is_superseded(&self) -> bool {
         let mut freshness = lock(&self.shared.freshness);
-        freshness.hear_era(self.store.era());
+        freshness.observe_era(self.store.era());
         freshness.is_superseded()
     }
 
@@ -298,7 +298,7 @@
     fn followed(&self) {
         let version = lock(&self.shared.replica).version();
         let now = clock::now();
-        lock(&self.shared.freshness).taken(version, Some(now), now);
+        lock(&self.shared.freshness).record_state(version, Some(now), now);
     }
 
     /// Whether this box should look for changes: a watch that waits may have died unnoticed, and no
@@ -309,8 +309,8 @@
         let fleet = self.shared.snapshot.load().fleet;
         let freshness = lock(&self.shared.freshness);
         let likely = match self.store_away_since {
-            Some(_) => freshness.knock(fleet),
-            None => freshness.look(fleet, clock::now()),
+            Some(_) => freshness.reconnect_probability(fleet),
+            None => freshness.check_probability(fleet, clock::now()),
         };
         rand::rng().random::<f64>() < likely
     }
@@ -325,7 +325,7 @@
     /// Least time from one watch to the next.
     pub(super) fn watch_gap(&self) -> Duration {
         let settings = &self.shared.settings;
-        let watching = watchers::most(&self.shared.snapshot.load().boxes) as f64;
+        let watching = watchers::max_watchers(&self.shared.snapshot.load().boxes) as f64;
         let by_rate = watching / (settings.store_reads * WATCH_PART).max(1.0);
         let longest = settings.follow_within.mul_f64(LONGEST_WATCH_GAP);
         Duration::from_secs_f64(by_rate).max(SHORTEST_WATCH_GAP).min(longest)
--- a/lib/src/gateway/control/others.rs
+++ b/lib/src/gateway/control/others.rs
@@ -87,7 +87,7 @@
         // If what was written since does not make the same state, all that differs does.
         for _ in 0..2 {
             let Some(state) = handover::ask(&peers, address, &wanted, None).await else {
-                lock(&self.shared.freshness).forget_ahead();
+                lock(&self.shared.freshness).forget_newer_peer();
                 return;
             };
             if self.take(state) {
@@ -111,20 +111,20 @@
             None if self.watching => self.watch_gap() + LAG,
             _ => Duration::ZERO,
         };
-        lock(&self.shared.freshness).ahead(patience, now)
+        lock(&self.shared.freshness).peer_to_ask(patience, now)
     }
 
     /// Takes in what another box has. Says whether this box has the same state now.
     fn take(&mut self, state: State) -> bool {
         let State { told_by, version, age, returned, written, gone, verdicts } = state;
         let mut quarantine = lock(&self.shared.quarantine);
-        verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, clock::now()));
+        verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, clock::now()));
         drop(quarantine);
         let position = version.position;
         let before = self.position();
         if position < before {
             // The box has started anew since, and knows less.
-            lock(&self.shared.freshness).forget_ahead();
+            lock(&self.shared.freshness).forget_newer_peer();
             return true;
         }
         let removed = match &gone {
@@ -153,7 +153,7 @@
         written.into_iter().for_each(|item| self.changed(Change::Written(item)));
         lock(&self.shared.replica).reached(position);
         let reached = lock(&self.shared.replica).version();
-        lock(&self.shared.freshness).taken(reached, now.checked_sub(age), now);
+        lock(&self.shared.freshness).record_state(reached, now.checked_sub(age), now);
         self.publish();
         if reached != version {
             log::warn!(
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/elsewhere.rs
@@ -15,7 +15,7 @@
 use super::shared::lock;
 use crate::coordination::regions::Fullness;
 use crate::coordination::rendezvous;
-use crate::coordination::text::Text;
+use crate::coordination::shared_prefix::SharedPrefix;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::fleet::BoxRecord;
 use crate::state::clock;
@@ -72,8 +72,8 @@
 /// The box beside the home of the request's text, if that stands in another region. Only the
 /// first send follows the text; after that any place will do.
 pub fn home<A: Adapter>(shared: &Shared<A>, job: &Job, course: &Course) -> Option<SocketAddr> {
-    let text = Text::of(&job.ask.parts)?;
-    if !is_first_send(job, course) || !text.travels() {
+    let text = SharedPrefix::of(&job.ask.parts)?;
+    if !is_first_send(job, course) || !text.crosses_regions() {
         return None;
     }
     let servers = job.snapshot.servers.get(&job.service)?;
@@ -100,7 +100,7 @@
     course: &Course,
     now: Instant,
 ) -> Option<(SocketAddr, Reason)> {
-    let has_home = Text::of(&job.ask.parts).is_some_and(|text| text.travels());
+    let has_home = SharedPrefix::of(&job.ask.parts).is_some_and(|text| text.crosses_regions());
     if !is_first_send(job, course) || has_home {
         return None;
     }
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -10,14 +10,14 @@
 use std::time::Instant;
 use std::time::SystemTime;
 
-use crate::coordination::broken::Life;
 use crate::coordination::candidate;
-use crate::coordination::candidate::Known;
+use crate::coordination::candidate::ServerState;
 use crate::coordination::departures;
+use crate::coordination::interrupted::ServerIncarnation;
 use crate::coordination::presence;
 use crate::coordination::rendezvous;
-use crate::coordination::restored::RETURN_GRACE;
-use crate::coordination::restored::Restored;
+use crate::coordination::store_rollback::ROLLBACK_GRACE;
+use crate::coordination::store_rollback::StoreRollback;
 use crate::coordination::warmup;
 use crate::protocol::BoxId;
 use crate::protocol::RegionId;
@@ -56,7 +56,7 @@
     /// Since when it is missing, while its absence is not yet believed.
     missing_since: Option<Instant>,
     /// Which life of the server it is about.
-    life: Life,
+    life: ServerIncarnation,
     /// Whether the server has said that it leaves.
     said_leaving: bool,
     /// When this box saw it change, unless it has seen only one.
@@ -88,7 +88,7 @@
     /// Region of each failure domain that is known.
     regions: HashMap<FailureDomainId, RegionId>,
     store_back_at: Option<Instant>,
-    restored: Restored,
+    restored: StoreRollback,
 }
 
 /// What is decided from the place of one box.
@@ -127,7 +127,7 @@
             self.restored.hold_back(subject, fact, revision);
             return false;
         }
-        self.restored.drop_held(&subject);
+        self.restored.discard_held(&subject);
         match fact {
             Fact::Routing(routing) => {
                 let known = self.routing.as_ref().map_or(0, |routing| routing.version);
@@ -171,7 +171,7 @@
         {
             return entry.missing_since.take().is_some();
         }
-        let life = candidate::life_hash(&server);
+        let life = candidate::incarnation_hash(&server);
         let mut changed_at = (known_life == Some(life)).then_some(now);
         let mut cold_until = (!server.cold_left.is_zero()).then(|| now + server.cold_left);
         if let Some(before) = self.servers.get(&server.id)
@@ -248,7 +248,7 @@
 
     /// Something that was written is gone.
     pub fn forget(&mut self, subject: &Subject, now: Instant) {
-        self.restored.drop_held(subject);
+        self.restored.discard_held(subject);
         match subject {
             Subject::Server(id) => self.forget_server(id, now),
             Subject::Evacuation(domain) => self.forget_evacuation(domain, now),
@@ -264,7 +264,7 @@
     }
 
     fn forget_server(&mut self, id: &ServerId, now: Instant) {
-        let returned = |at: Instant| now < at + RETURN_GRACE;
+        let returned = |at: Instant| now < at + ROLLBACK_GRACE;
         if self.store_back_at.is_some_and(returned) {
             if let Some(entry) = self.servers.get_mut(id) {
                 log::info!("event=server_missing server={id} reason=\"the store was away\"");
@@ -274,7 +274,7 @@
         }
         if let Some(entry) = self.servers.remove(id) {
             log::info!("event=server_gone server={id}");
-            self.restored.note_removal(Subject::Server(id.clone()), entry.revision, now);
+            self.restored.record_removal(Subject::Server(id.clone()), entry.revision, now);
         }
     }
 
@@ -311,7 +311,7 @@
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.servers.len() + self.gone_boxes.len() + self.heard.len();
         self.servers.retain(|id, entry| {
-            let keep = entry.missing_since.is_none_or(|since| now < since + RETURN_GRACE);
+            let keep = entry.missing_since.is_none_or(|since| now < since + ROLLBACK_GRACE);
             if !keep {
                 log::info!(
                     "event=server_gone server={id} reason=\"missing since the store is back\""
@@ -353,13 +353,13 @@
     }
 
     /// What the store shows of a life of a server.
-    pub fn departure_entry(&self, life: Life) -> Option<departures::Entry> {
+    pub fn departure_entry(&self, life: ServerIncarnation) -> Option<departures::StoreEntry> {
         let entry = self.servers.values().find(|entry| entry.life == life)?;
-        Some(departures::Entry { leaving: entry.server.leaving, changed_at: entry.changed_at })
+        Some(departures::StoreEntry { leaving: entry.server.leaving, changed_at: entry.changed_at })
     }
 
     /// Takes in which servers have said that they leave.
-    pub fn set_leaving(&mut self, leaves: impl Fn(Life) -> bool) {
+    pub fn set_leaving(&mut self, leaves: impl Fn(ServerIncarnation) -> bool) {
         for entry in self.servers.values_mut() {
             entry.said_leaving = leaves(entry.life);
         }
@@ -420,9 +420,9 @@
     }
 
     /// The servers of this region by service.
-    pub fn known(&self, view: &View<'_>) -> HashMap<ServiceId, Vec<Known>> {
+    pub fn known(&self, view: &View<'_>) -> HashMap<ServiceId, Vec<ServerState>> {
         let sharers = self.sharers(view);
-        let mut known: HashMap<ServiceId, Vec<Known>> = HashMap::new();
+        let mut known: HashMap<ServiceId, Vec<ServerState>> = HashMap::new();
         let Some(routing) = &self.routing else { return known };
         for entry in self.servers.values() {
             let server = &entry.server;
@@ -430,12 +430,12 @@
                 continue;
             }
             let Some(service) = routing.services.get(&server.service) else { continue };
-            known.entry(server.service.clone()).or_default().push(Known {
+            known.entry(server.service.clone()).or_default().push(ServerState {
                 server: Arc::clone(server),
                 usable: self.is_usable(entry),
                 cold_until: entry.cold_until,
                 cold_share: cold_share(view, service, server, &sharers),
-                near: server.failure_domain == view.own.failure_domain,
+                same_failure_domain: server.failure_domain == view.own.failure_domain,
             });
         }
         known
--- a/lib/src/gateway/facts/settling.rs
+++ b/lib/src/gateway/facts/settling.rs
@@ -14,7 +14,7 @@
 impl Facts {
     /// The store came back from an older copy then.
     pub fn store_is_restored(&mut self, at: Instant) {
-        self.restored.begin(at);
+        self.restored.record_rollback(at);
         self.store_is_back(at);
     }
 
@@ -40,13 +40,13 @@
             Fact::Routing(_) => false,
             Fact::Server(server) => match self.servers.get(&server.id) {
                 Some(entry) => {
-                    let same_life = entry.life == candidate::life_hash(server);
+                    let same_life = entry.life == candidate::incarnation_hash(server);
                     same_life && entry.server.leaving && !server.leaving
                 }
-                None => self.restored.is_removed(subject, revision),
+                None => self.restored.was_removed(subject, revision),
             },
             Fact::Evacuated(domain) => {
-                !self.evacuated.contains_key(domain) && self.restored.is_removed(subject, revision)
+                !self.evacuated.contains_key(domain) && self.restored.was_removed(subject, revision)
             }
         }
     }
@@ -63,7 +63,7 @@
         if let Some(evacuation) = self.evacuated.remove(domain) {
             log::info!("event=evacuation_over failure_domain={domain}");
             let subject = Subject::Evacuation(domain.clone());
-            self.restored.note_removal(subject, evacuation.revision, now);
+            self.restored.record_removal(subject, evacuation.revision, now);
             self.cool(domain, now);
         }
     }
--- a/lib/src/gateway/handover.rs
+++ b/lib/src/gateway/handover.rs
@@ -26,8 +26,8 @@
 use super::shared::Shared;
 use super::shared::lock;
 use crate::coordination::freshness::Version;
-use crate::coordination::quarantine::told;
-use crate::coordination::restored::RETURN_GRACE;
+use crate::coordination::quarantine::wire;
+use crate::coordination::store_rollback::ROLLBACK_GRACE;
 use crate::coordination::unlisted::Neighbor;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::Item;
@@ -96,7 +96,7 @@
     returned_ms: Option<u64>,
     /// Requests that are refused because servers end under them; for a box that has nothing yet.
     #[prost(message, repeated, tag = "9")]
-    verdicts: Vec<told::Verdict>,
+    verdicts: Vec<wire::VerdictReport>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -130,7 +130,7 @@
     /// Keys that are gone.
     pub gone: Gone,
     /// Requests that are refused because servers end under them, if this box had nothing yet.
-    pub verdicts: Vec<told::Verdict>,
+    pub verdicts: Vec<wire::VerdictReport>,
 }
 
 /// What is asked of another box.
@@ -174,7 +174,7 @@
     request: Request<Incoming>,
 ) -> Response<Passed> {
     if let Some(asker) = asker(request.headers()) {
-        lock(&shared.unlisted).hear(asker, clock::now());
+        lock(&shared.unlisted).record(asker, clock::now());
     }
     let Some(question) = read(request.into_body()).await else {
         let mut refusal = Response::new(Answer::whole(Bytes::new()));
@@ -215,11 +215,14 @@
     let same = known.digest == version.digest;
     let position = if same { version.position.max(known.position) } else { version.position };
     let returned = *lock(&shared.store_back_at);
-    let returned = returned.map(clock::since).filter(|ago| *ago < RETURN_GRACE);
+    let returned = returned.map(clock::since).filter(|ago| *ago < ROLLBACK_GRACE);
     let returned_ms = returned.map(|ago| ago.as_millis() as u64);
     // Others hear of verdicts by datagram and from the store.
-    let verdicts =
-        if knows_nothing { lock(&shared.quarantine).verdicts(clock::now()) } else { Vec::new() };
+    let verdicts = if knows_nothing {
+        lock(&shared.quarantine).active_verdicts(clock::now())
+    } else {
+        Vec::new()
+    };
     Reply {
         era: position.era,
         revision: position.revision,
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -245,8 +245,8 @@
     let host = text(&header::HOST).unwrap_or_default();
     let address = head.extensions.get::<http1::Origin>().map(|origin| origin.0);
     Fingerprint {
-        content: fingerprint::content(&head.method, host, &head.uri, body),
-        caller: fingerprint::caller(ask.key.as_ref(), address),
+        content: fingerprint::content_hash(&head.method, host, &head.uri, body),
+        caller: fingerprint::caller_hash(ask.key.as_ref(), address),
     }
 }
 
--- a/lib/src/gateway/learning.rs
+++ b/lib/src/gateway/learning.rs
@@ -11,15 +11,15 @@
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
-use crate::coordination::attempt::Event;
-use crate::coordination::attempt::Report;
-use crate::coordination::departures::told::Word;
-use crate::coordination::learning::Learner;
-use crate::coordination::learning::Lesson;
-use crate::coordination::learning::Note;
-use crate::coordination::learning::Sent;
+use crate::coordination::attempt::AttemptEvent;
+use crate::coordination::attempt::AttemptReport;
+use crate::coordination::departures::wire::DepartureNotice;
+use crate::coordination::feedback::Effects;
+use crate::coordination::feedback::FeedbackHandler;
+use crate::coordination::feedback::Observation;
+use crate::coordination::feedback::SentRequest;
 use crate::coordination::placement::Place;
-use crate::coordination::quarantine::Reach;
+use crate::coordination::quarantine::Audience;
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -29,17 +29,18 @@
     shared: &Arc<Shared<A>>,
     job: &Job,
     held: &mut Option<Held<A>>,
-    report: &Report,
+    report: &AttemptReport,
 ) {
     let Some(held) = held else { return };
     held.set_outcome(report.event.outcome());
-    let sent = Sent {
+    let sent = SentRequest {
         place: &held.place,
         service: throttle::service_hash(&job.service),
         request: job.fingerprint,
     };
     let now = clock::now();
-    let lesson = with_learner(shared, &job.service, |learner| learner.learn(sent, report, now));
+    let lesson =
+        with_learner(shared, &job.service, |learner| learner.handle_report(sent, report, now));
     follow(shared, &held.place, &lesson);
 }
 
@@ -48,20 +49,20 @@
     shared: &Arc<Shared<A>>,
     job: &Job,
     held: &mut Option<Held<A>>,
-    event: Event,
+    event: AttemptEvent,
 ) {
-    report(shared, job, held, &Report::end(event));
+    report(shared, job, held, &AttemptReport::end(event));
 }
 
 /// Lets all tables of a service learn from one thing.
 pub fn with_learner<A: Adapter, T>(
     shared: &Shared<A>,
     service: &str,
-    learn: impl FnOnce(&mut Learner<'_>) -> T,
+    learn: impl FnOnce(&mut FeedbackHandler<'_>) -> T,
 ) -> T {
     let mut services = lock(&shared.services);
     let placement = services.get_mut(service).map(|Service { placement, .. }| placement);
-    learn(&mut Learner {
+    learn(&mut FeedbackHandler {
         placement,
         throttles: &mut lock(&shared.throttles),
         departures: &mut lock(&shared.departures),
@@ -71,9 +72,9 @@
 }
 
 /// Does what follows from a report on a place.
-fn follow<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Lesson) {
+fn follow<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Effects) {
     announce(shared, &place.server, lesson);
-    if lesson.look {
+    if lesson.probe {
         tokio::spawn(look(Arc::clone(shared), place.clone()));
     }
 }
@@ -81,45 +82,46 @@
 /// Looks whether the server of a place still accepts connections.
 async fn look<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
     if !ended::has_ended(place.address).await {
-        lock(&shared.broken).lives(place.life);
+        lock(&shared.broken).forget(place.incarnation);
         return;
     }
     // No service of its own: an end bears on the requests that the server ran.
-    let lesson = with_learner(&shared, "", |learner| learner.has_ended(place.life, clock::now()));
+    let lesson =
+        with_learner(&shared, "", |learner| learner.handle_crash(place.incarnation, clock::now()));
     announce(&shared, &place.server, &lesson);
 }
 
 /// Writes the log, and tells other boxes what they must hear at once.
-pub fn announce<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Lesson) {
-    for note in &lesson.notes {
-        if let Note::Ended(_) = note {
+pub fn announce<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Effects) {
+    for note in &lesson.observations {
+        if let Observation::Crashed(_) = note {
             shared.counters.count(Counter::ServersEnded);
         }
         record::learned(server, note);
     }
-    match lesson.tell {
-        Some(Reach::Everyone) => {
+    match lesson.notify {
+        Some(Audience::AllRegions) => {
             shared.alarm.notify_one();
             shared.news.notify_one();
         }
-        Some(Reach::Region) => shared.news.notify_one(),
+        Some(Audience::Region) => shared.news.notify_one(),
         None => {}
     }
 }
 
 /// Other boxes told of servers that leave.
-pub fn hear_leaving<A: Adapter>(shared: &Shared<A>, words: &[Word], now: Instant) {
+pub fn hear_leaving<A: Adapter>(shared: &Shared<A>, words: &[DepartureNotice], now: Instant) {
     if words.is_empty() {
         return;
     }
     let mut services = lock(&shared.services);
     let mut departures = lock(&shared.departures);
-    let news = departures.hear(words, now);
+    let news = departures.receive(words, now);
     if news.is_empty() {
         return;
     }
     for service in services.values_mut() {
-        service.placement.set_leaving(|life| departures.leaves(life));
+        service.placement.set_leaving(|life| departures.is_leaving(life));
     }
     for life in news {
         log::info!("event=server_leaves life={life:x} by=box");
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -11,7 +11,7 @@
 
 use super::event::Event;
 use super::keys;
-use crate::coordination::restored::COPY_AGE;
+use crate::coordination::store_rollback::MAX_ROLLBACK_AGE;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::Answer;
 use crate::protocol::adapter::NO_LEASE;
@@ -48,7 +48,7 @@
     /// box's by now, so renewing it proves nothing.
     fn may_be_lost(&self, era: Era) -> bool {
         let age = self.held_at.saturating_duration_since(self.granted_at);
-        era != self.era && age < COPY_AGE
+        era != self.era && age < MAX_ROLLBACK_AGE
     }
 
     /// A call with it succeeded.
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -54,7 +54,7 @@
     let _ = writeln!(text, "copperweir_leaving_servers {leaving}");
     let now = clock::now();
     let services = lock(&shared.services);
-    let resting: usize = services.values().map(|service| service.placement.resting(now)).sum();
+    let resting: usize = services.values().map(|service| service.placement.backing_off(now)).sum();
     drop(services);
     let _ = writeln!(text, "copperweir_resting_servers {resting}");
     shared.latencies.page(&mut text);
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -25,8 +25,8 @@
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
-use crate::coordination::broken::Life;
-use crate::coordination::learning::Speaker;
+use crate::coordination::feedback::ServerRef;
+use crate::coordination::interrupted::ServerIncarnation;
 use crate::coordination::presence;
 use crate::coordination::warmup;
 use crate::protocol::ServerId;
@@ -46,7 +46,7 @@
     service: ServiceId,
     server: ServerId,
     hash: u64,
-    life: Life,
+    life: ServerIncarnation,
     address: SocketAddr,
     path: String,
     /// Time between questions.
@@ -65,7 +65,7 @@
     let mut asked: HashMap<ServerId, Question> = HashMap::new();
     let mut asking = false;
     loop {
-        let tick = if asking { warmup::SHORTEST_PAUSE } else { warmup::LONGEST_PAUSE };
+        let tick = if asking { warmup::MIN_PROBE_INTERVAL } else { warmup::MAX_PROBE_INTERVAL };
         tokio::select! {
             () = timer::sleep(tick) => {}
             _ = stop.wait_for(|stop| *stop != Stop::No) => return,
@@ -98,19 +98,19 @@
     let mut duties = Vec::new();
     for (service, state) in lock(&shared.services).iter_mut() {
         let Some(path) = state.placement.health_path().map(str::to_owned) else { continue };
-        duties.extend(state.placement.turning_cold(now).map(|turning| Duty {
+        duties.extend(state.placement.probe_targets(now).map(|turning| Duty {
             service: service.clone(),
             server: turning.server.clone(),
             hash: turning.hash,
-            life: turning.life,
+            life: turning.incarnation,
             address: turning.address,
             path: path.clone(),
-            pause: turning.pause,
+            pause: turning.probe_interval,
         }));
     }
     let own = presence::box_hash(&shared.settings.name);
     let freshness = lock(&shared.freshness);
-    duties.retain(|duty| freshness.asks(own, duty.hash, now));
+    duties.retain(|duty| freshness.probes_server(own, duty.hash, now));
     duties
 }
 
@@ -123,13 +123,14 @@
     let Duty { service, server, .. } = &duty;
     if verdict.instance.as_deref().is_some_and(|instance| instance != server) {
         log::info!("event=server_replaced server={server} instance={:?}", verdict.instance);
-        shared.with_service(service, |state| state.placement.replaced(server));
+        shared.with_service(service, |state| state.placement.mark_replaced(server));
         return;
     }
-    let speaker = Speaker { server, life: duty.life, service: throttle::service_hash(service) };
+    let speaker =
+        ServerRef { server, incarnation: duty.life, service: throttle::service_hash(service) };
     let refused = answer.status() != StatusCode::OK;
     let lesson = learning::with_learner(&shared, service, |learner| {
-        learner.asked(speaker, &verdict.words, refused, now)
+        learner.handle_probe_answer(speaker, &verdict.words, refused, now)
     });
     learning::announce(&shared, server, &lesson);
 }
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -58,7 +58,7 @@
     if quarantine.is_empty() {
         return Ok(());
     }
-    let Some(left) = quarantine.refuses(job.fingerprint, clock::now()) else { return Ok(()) };
+    let Some(left) = quarantine.refused_for(job.fingerprint, clock::now()) else { return Ok(()) };
     drop(quarantine);
     shared.counters.count(Counter::Quarantined);
     shared.verdicts.notify_one();
@@ -82,11 +82,11 @@
     let request = job.fingerprint;
     let quarantine = lock(&shared.quarantine);
     let suspicion = quarantine.suspicion(request);
-    if !quarantine.is_suspicious(request) {
+    if !quarantine.needs_isolation(request) {
         return Trial { suspicion, ..Trial::default() };
     }
-    let occupied = quarantine.occupied(request, now).cloned().collect();
-    let reserved = quarantine.reserved(request, now).cloned().collect();
+    let occupied = quarantine.servers_with_suspects(request, now).cloned().collect();
+    let reserved = quarantine.reserved_servers(request, now).cloned().collect();
     Trial { suspicion, occupied, reserved }
 }
 
@@ -105,7 +105,7 @@
 /// Takes in a key of the store.
 pub fn stored<A: Adapter>(shared: &Shared<A>, value: &[u8]) -> Result<(), serde_json::Error> {
     let Record { content, caller } = serde_json::from_slice(value)?;
-    lock(&shared.quarantine).stored(Target { content, caller }, clock::now());
+    lock(&shared.quarantine).record_stored_verdict(Target { content, caller }, clock::now());
     Ok(())
 }
 
@@ -124,7 +124,7 @@
     tokio::spawn(async move {
         timer::sleep(WRITE_GAP * rank as u32).await;
         if lock(&shared.replica).get(&key).is_none() {
-            lock(&shared.quarantine).lost(target, clock::now());
+            lock(&shared.quarantine).record_lost_verdict(target, clock::now());
             shared.verdicts.notify_one();
         }
     });
@@ -147,7 +147,7 @@
         shared.verdicts.notified().await;
         let mut pause = store::RETRY_PAUSE;
         loop {
-            let targets = lock(&shared.quarantine).unwritten(BATCH);
+            let targets = lock(&shared.quarantine).unwritten_verdicts(BATCH);
             if targets.is_empty() {
                 break;
             }
@@ -155,7 +155,9 @@
                 Ok(()) => {
                     let now = clock::now();
                     let mut quarantine = lock(&shared.quarantine);
-                    targets.iter().for_each(|target| quarantine.stored(*target, now));
+                    targets
+                        .iter()
+                        .for_each(|target| quarantine.record_stored_verdict(*target, now));
                 }
                 Err(error) => {
                     log::warn!(
@@ -175,7 +177,7 @@
     store: &store::Client<A>,
     targets: &[Target],
 ) -> Result<(), PlatformError> {
-    let grant = Operation::Grant { life: quarantine::LIFE };
+    let grant = Operation::Grant { life: quarantine::VERDICT_TTL };
     let Answer::Lease(lease) = store.call(&grant).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/record.rs
@@ -9,12 +9,12 @@
 use super::elsewhere::Reason;
 use super::job::Job;
 use super::pace::Pace;
-use crate::coordination::broken::Run;
-use crate::coordination::freshness::Standing;
-use crate::coordination::learning::Note;
+use crate::coordination::feedback::Observation;
+use crate::coordination::freshness::StateSummary;
+use crate::coordination::interrupted::InterruptedRequest;
 use crate::coordination::placement::Place;
 use crate::coordination::quarantine::Suspicion;
-use crate::coordination::text::Text;
+use crate::coordination::shared_prefix::SharedPrefix;
 use crate::error::Failure;
 use crate::protocol::words::Words;
 use crate::state::clock;
@@ -33,7 +33,7 @@
 
 /// What stands for the shared text of the prompt; 0 where there is none.
 fn text(job: &Job) -> u64 {
-    Text::of(&job.ask.parts).map_or(0, |text| text.id())
+    SharedPrefix::of(&job.ask.parts).map_or(0, |text| text.id())
 }
 
 /// A request under which servers have ended goes to one.
@@ -49,7 +49,7 @@
 }
 
 /// A backend server was chosen.
-pub fn placed(job: &Job, course: &Course, place: &Place, state: Standing) {
+pub fn placed(job: &Job, course: &Course, place: &Place, state: StateSummary) {
     log::info!(
         target: TARGET,
         "event=placed request={} route={} team={} service={} server={} send={} in_flight={} others={} unread={:.0} \
@@ -61,7 +61,7 @@
         place.server,
         course.arrivals() + 1,
         place.in_flight,
-        place.others,
+        place.others_in_flight,
         place.unread,
         place.candidates,
         place.at_home,
@@ -174,27 +174,29 @@
 const NAMED: usize = 16;
 
 /// Something was learned of a server, or of a request that it ran.
-pub fn learned(server: &str, note: &Note) {
+pub fn learned(server: &str, note: &Observation) {
     match note {
-        Note::Leaves => log::info!("event=server_leaves server={server} by=answer"),
-        Note::Rests(rest) => {
+        Observation::Leaving => log::info!("event=server_leaves server={server} by=answer"),
+        Observation::RequestedBackoff(rest) => {
             log::info!(target: TARGET, "event=server_rests server={server} rest_ms={}", rest.as_millis());
         }
-        Note::TurnedCold(left) => {
+        Observation::TurnedCold(left) => {
             log::info!("event=server_says server={server} cold_ms={}", left.as_millis());
         }
-        Note::Rate { before, after } => {
+        Observation::Rate { before, after } => {
             log::info!(
                 "event=server_rate server={server} rate={after:?} before={before:?} by=answer"
             );
         }
-        Note::Ended(runs) => server_ended(server, runs),
-        Note::Acquitted(request) => log::info!("event=acquitted server={server} content={request}"),
+        Observation::Crashed(runs) => server_ended(server, runs),
+        Observation::Cleared(request) => {
+            log::info!("event=acquitted server={server} content={request}")
+        }
     }
 }
 
 /// A server that broke answers off no longer accepts connections: it has ended, under whatever ran there.
-fn server_ended(server: &str, runs: &[Run]) {
+fn server_ended(server: &str, runs: &[InterruptedRequest]) {
     let named: Vec<String> = runs.iter().take(NAMED).map(|run| run.request.to_string()).collect();
     log::info!(
         "event=server_ended server={server} lost={} running={}",
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use super::shared::Progress;
 use super::shared::Shared;
 use super::stream::Stream;
-use crate::coordination::attempt::Event;
+use crate::coordination::attempt::AttemptEvent;
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -87,11 +87,21 @@
                     }
                 }
                 Ok(None) => {
-                    learning::end(&self.shared, &self.job, self.stream.held(), Event::Answered);
+                    learning::end(
+                        &self.shared,
+                        &self.job,
+                        self.stream.held(),
+                        AttemptEvent::Answered,
+                    );
                     return Ok(());
                 }
                 Err(cut) => {
-                    learning::end(&self.shared, &self.job, self.stream.held(), Event::BrokenOff);
+                    learning::end(
+                        &self.shared,
+                        &self.job,
+                        self.stream.held(),
+                        AttemptEvent::Interrupted,
+                    );
                     self.stream = self.resume(last_id, cut).await?;
                 }
             }
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -19,11 +19,11 @@
 use super::shared::Shared;
 use super::shared::lock;
 use crate::coordination::drain::Stage;
+use crate::coordination::freshness::PeerState;
 use crate::coordination::freshness::Version;
-use crate::coordination::freshness::Word;
-use crate::coordination::loads::Report;
+use crate::coordination::loads::BoxReport;
 use crate::coordination::presence;
-use crate::coordination::quarantine::Reach;
+use crate::coordination::quarantine::Audience;
 use crate::coordination::quota::Fleet;
 use crate::coordination::quota::Teller;
 use crate::coordination::regions::Fullness;
@@ -98,7 +98,7 @@
 fn hear<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, buffer: &mut [u8]) {
     let now = clock::now();
     while let Ok((length, from)) = socket.try_recv_from(buffer) {
-        match Report::decode(&buffer[..length]) {
+        match BoxReport::decode(&buffer[..length]) {
             Ok(report) if report.number == UNNUMBERED => {
                 learning::hear_leaving(shared, &report.leaving_servers, now);
                 let news = report.throttle.unwrap_or_default();
@@ -110,7 +110,7 @@
                 hear_unlisted(shared, &report, from, now);
                 hear_quarantine(shared, &report, now);
                 if report.region == shared.settings.region {
-                    lock(&shared.loads).hear(&report, now);
+                    lock(&shared.loads).receive(&report, now);
                     hear_servers(shared, &report, now);
                     learning::hear_leaving(shared, &report.leaving_servers, now);
                     hear_counts(shared, &report, now);
@@ -124,17 +124,17 @@
     }
 }
 
-fn hear_presence<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
-    let Report { sender, incarnation, .. } = *report;
+fn hear_presence<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
+    let BoxReport { sender, incarnation, .. } = *report;
     let mut presence = lock(&shared.presence);
-    presence.heard(sender, now);
+    presence.record_datagram(sender, now);
     let Some(leaving) = report.leaving else { return };
-    if presence.hear(sender, incarnation, leaving, now) {
+    if presence.record_announcement(sender, incarnation, leaving, now) {
         log::info!("event=box_says box={sender:x} incarnation={incarnation:x} leaving={leaving}");
     }
 }
 
-fn hear_state<A: Adapter>(shared: &Shared<A>, report: &Report, from: SocketAddr, now: Instant) {
+fn hear_state<A: Adapter>(shared: &Shared<A>, report: &BoxReport, from: SocketAddr, now: Instant) {
     let same_region = report.region == shared.settings.region;
     let age = match report.state_age_ms {
         Some(age_ms) => Duration::from_millis(age_ms),
@@ -145,17 +145,17 @@
     let Ok(port) = u16::try_from(report.handover_port) else { return };
     let position = Position { era: report.state_era, revision: report.state_revision };
     let version = Version { position, digest: report.state_digest };
-    let word = Word {
+    let word = PeerState {
         sender: report.sender,
         address: beside(from, port),
         version,
         age,
-        beside: same_region,
+        is_same_region: same_region,
     };
     shared.eras.hear(position.era, from);
     let mut freshness = lock(&shared.freshness);
-    freshness.hear_era(shared.eras.newest());
-    if freshness.hear(&word, now) {
+    freshness.observe_era(shared.eras.newest());
+    if freshness.record_peer(&word, now) {
         shared.behind.notify_one();
     }
 }
@@ -163,10 +163,15 @@
 /// Takes in that a box is heard, and which others the sender has heard, that the store does not
 /// show. Two boxes that each took themselves for alone in their region gave a cold server 28
 /// requests in a second, where 17 are allowed.
-fn hear_unlisted<A: Adapter>(shared: &Shared<A>, report: &Report, from: SocketAddr, now: Instant) {
+fn hear_unlisted<A: Adapter>(
+    shared: &Shared<A>,
+    report: &BoxReport,
+    from: SocketAddr,
+    now: Instant,
+) {
     let mut unlisted = lock(&shared.unlisted);
     let region = report.region.clone();
-    unlisted.hear(Neighbor { box_hash: report.sender, region, address: from }, now);
+    unlisted.record(Neighbor { box_hash: report.sender, region, address: from }, now);
     for named in &report.unlisted {
         let Ok(address) = named.address.parse() else {
             log::warn!("event=unreadable_name from={from} address={:?}", named.address);
@@ -175,23 +180,23 @@
         let age = Duration::from_millis(u64::from(named.heard_ms));
         let Some(at) = now.checked_sub(age) else { continue };
         let (box_hash, region) = (named.box_hash, named.region.clone());
-        unlisted.hear(Neighbor { box_hash, region, address }, at);
+        unlisted.record(Neighbor { box_hash, region, address }, at);
     }
 }
 
-fn hear_quarantine<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn hear_quarantine<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
     let mut quarantine = lock(&shared.quarantine);
     if quarantine.is_empty() && report.ends.is_empty() && report.verdicts.is_empty() {
         return;
     }
     if report.region == shared.settings.region {
-        quarantine.hear_trials(report.sender, &report.trials, now);
+        quarantine.receive_reserved_servers(report.sender, &report.trials, now);
     }
-    report.ends.iter().for_each(|end| quarantine.hear_end(end, now));
-    report.verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, now));
+    report.ends.iter().for_each(|end| quarantine.receive_crash(end, now));
+    report.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
 }
 
-fn hear_servers<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn hear_servers<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
     let said = report.cold_ms.iter().zip(&report.asked_ms);
     for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(said) {
         let left = Duration::from_millis(u64::from(*cold_ms));
@@ -199,13 +204,13 @@
             continue;
         };
         for service in lock(&shared.services).values_mut() {
-            service.placement.said_elsewhere(*server, left, at);
+            service.placement.record_peer_cold_report(*server, left, at);
         }
     }
 }
 
-fn hear_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
-    let Report { sender, incarnation, number, .. } = *report;
+fn hear_counts<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
+    let BoxReport { sender, incarnation, number, .. } = *report;
     let teller = Teller { sender, incarnation, number };
     lock(&shared.quotas).hear_box(teller, &report.counts, now);
 }
@@ -215,33 +220,33 @@
 fn hear_throttle<A: Adapter>(
     shared: &Shared<A>,
     socket: &UdpSocket,
-    report: &Report,
+    report: &BoxReport,
     from: SocketAddr,
     now: Instant,
 ) {
-    let Report { sender, incarnation, number, .. } = *report;
+    let BoxReport { sender, incarnation, number, .. } = *report;
     let teller = Teller { sender, incarnation, number };
     let news = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
     let is_new = throttles.hear(teller, &news, now);
-    let leaving_servers = lock(&shared.departures).all_words(now);
+    let leaving_servers = lock(&shared.departures).all_notices(now);
     if !is_new || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
     }
-    let mut answer = Report {
+    let mut answer = BoxReport {
         number: UNNUMBERED,
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
         region: shared.settings.region.clone(),
         throttle: Some(throttles.all_words(now)),
         leaving_servers,
-        ..Report::default()
+        ..BoxReport::default()
     };
     drop(throttles);
     send(socket, &encode(&mut answer), std::iter::once(&from));
 }
 
-fn hear_region<A: Adapter>(shared: &Shared<A>, report: Report, now: Instant) {
+fn hear_region<A: Adapter>(shared: &Shared<A>, report: BoxReport, now: Instant) {
     lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
     regions.hear_closed(report.region.clone(), report.closed.clone(), now);
@@ -308,13 +313,13 @@
     report.state_age_ms = None;
     let now = clock::now();
     let since = now.checked_sub(PERIOD).unwrap_or(now);
-    let away = lock(&shared.unlisted).heard_after(since, &shared.settings.region, now);
+    let away = lock(&shared.unlisted).remote_heard_after(since, &shared.settings.region, now);
     send(socket, &encode(&mut report), away.iter().take(MOST));
 }
 
 /// Makes a report one for boxes of other regions: they hear how full this region is, not of the
 /// single servers here, and only of ends that are suspicious.
-fn for_elsewhere<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn for_elsewhere<A: Adapter>(shared: &Shared<A>, report: &mut BoxReport) {
     let now = clock::now();
     report.servers.clear();
     report.in_flight.clear();
@@ -326,7 +331,7 @@
     report.throttle = None;
     report.leaving_servers.clear();
     report.flows = lock(&shared.quotas).flows(now);
-    report.ends = lock(&shared.quarantine).told_ends(Reach::Everyone, now);
+    report.ends = lock(&shared.quarantine).crash_reports(Audience::AllRegions, now);
     describe_region(shared, report);
 }
 
@@ -347,8 +352,9 @@
         let boxes = snapshot.boxes.iter().chain(&snapshot.lost);
         let region = boxes.filter(|other| other.region == shared.settings.region);
         // A box that has left no longer sends, once it is silent.
-        let sends =
-            |other: &&BoxRecord| presence.serves(other) || presence.is_heard(&other.name, now);
+        let sends = |other: &&BoxRecord| {
+            presence.serves(other) || presence.was_heard_recently(&other.name, now)
+        };
         others.extend(region.filter(sends).map(|other| presence::box_hash(&other.name)));
     }
     let unlisted = lock(&shared.unlisted);
@@ -357,7 +363,7 @@
     drop(unlisted);
     let rounds = others.len().div_ceil(MOST) as u32;
     lock(&shared.throttles).tick(&others, rounds, now);
-    lock(&shared.departures).set_rounds(rounds);
+    lock(&shared.departures).set_reports_per_round(rounds);
 }
 
 /// How many boxes there are, and in how many reports those of this region are told.
@@ -367,8 +373,8 @@
 }
 
 /// A report as it goes out.
-fn encode(report: &mut Report) -> Vec<u8> {
-    report.fit(DATAGRAM);
+fn encode(report: &mut BoxReport) -> Vec<u8> {
+    report.truncate_to(DATAGRAM);
     report.encode_to_vec()
 }
 
@@ -381,7 +387,7 @@
     }
 }
 
-fn describe_region<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn describe_region<A: Adapter>(shared: &Shared<A>, report: &mut BoxReport) {
     let now = clock::now();
     for (name, service) in lock(&shared.services).iter_mut() {
         let (loads, throttles) = (lock(&shared.loads), lock(&shared.throttles));
@@ -407,11 +413,11 @@
     region.map(|other| other.peers).chain(unlisted).collect()
 }
 
-fn report<A: Adapter>(shared: &Shared<A>, number: u64) -> Report {
+fn report<A: Adapter>(shared: &Shared<A>, number: u64) -> BoxReport {
     let now = clock::now();
     let version = lock(&shared.freshness).version();
     let snapshot = shared.snapshot.load();
-    let mut report = Report {
+    let mut report = BoxReport {
         leaving: snapshot.routing.is_some().then_some(snapshot.stage != Stage::Serving),
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
@@ -422,17 +428,17 @@
         state_digest: version.digest,
         state_age_ms: u64::try_from(shared.state_age_ms()).ok(),
         handover_port: u32::from(shared.settings.listen.handover.port()),
-        unlisted: lock(&shared.unlisted).named(now),
+        unlisted: lock(&shared.unlisted).neighbor_records(now),
         counts: lock(&shared.quotas).counts(now),
         throttle: Some(lock(&shared.throttles).news(now)).filter(|news| !news.is_empty()),
-        leaving_servers: lock(&shared.departures).news(now),
-        ..Report::default()
+        leaving_servers: lock(&shared.departures).next_notices(now),
+        ..BoxReport::default()
     };
     let quarantine = lock(&shared.quarantine);
     if !quarantine.is_empty() {
-        report.ends = quarantine.told_ends(Reach::Region, now);
-        report.verdicts = quarantine.told_verdicts(now, &mut rand::rng());
-        report.trials = quarantine.trials();
+        report.ends = quarantine.crash_reports(Audience::Region, now);
+        report.verdicts = quarantine.verdict_reports(now, &mut rand::rng());
+        report.trials = quarantine.own_reserved_servers();
     }
     drop(quarantine);
     for service in lock(&shared.services).values() {
@@ -441,7 +447,7 @@
             report.in_flight.push(load.in_flight);
             report.unread.push(load.unread);
         }
-        for (server, left, at) in service.placement.words(now) {
+        for (server, left, at) in service.placement.cold_reports(now) {
             report.asked.push(server);
             report.cold_ms.push(left.as_millis() as u32);
             report.asked_ms.push(now.saturating_duration_since(at).as_millis() as u32);
--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/run.rs
@@ -24,9 +24,9 @@
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
-use crate::coordination::placement::Among;
 use crate::coordination::placement::Blocked;
-use crate::coordination::placement::Demand;
+use crate::coordination::placement::Eligible;
+use crate::coordination::placement::PlacementRequest;
 use crate::error::Failure;
 use crate::error::Kind;
 use crate::error::Ran;
@@ -125,7 +125,7 @@
     let tried = match target(shared, job, course).map_err(Step::Stop)? {
         Target::Server(held) => {
             course.tried.push(held.place.server.clone());
-            let state = lock(&shared.freshness).standing(clock::now());
+            let state = lock(&shared.freshness).summary(clock::now());
             record::placed(job, course, &held.place, state);
             attempt::to_server(shared, job, *held, after).await
         }
@@ -181,7 +181,7 @@
         return Ok(Target::Peer(address, reason));
     }
     lock(&shared.throttles).asked(throttle::service_hash(&job.service), clock::now());
-    let blocked = match place(shared, job, course, Among::Sound) {
+    let blocked = match place(shared, job, course, Eligible::Healthy) {
         Ok(held) => return Ok(Target::Server(held)),
         Err(blocked) => blocked,
     };
@@ -194,7 +194,7 @@
         return Ok(Target::Peer(address, Reason::NoPlace));
     }
     if blocked == Blocked::Failing
-        && let Ok(held) = place(shared, job, course, Among::Any)
+        && let Ok(held) = place(shared, job, course, Eligible::Any)
     {
         return Ok(Target::Server(held));
     }
@@ -206,7 +206,7 @@
     shared: &Arc<Shared<A>>,
     job: &Job,
     course: &Course,
-    among: Among,
+    eligible: Eligible,
 ) -> Result<Box<Held<A>>, Blocked> {
     if !job.allows(&shared.settings.region) {
         return Err(Blocked::NoServer);
@@ -217,10 +217,16 @@
         let chosen = shared.with_service(&job.service, |service| {
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
-            let demand =
-                Demand { parts: &job.ask.parts, tried, loads, throttles: &throttles, among, stale };
+            let demand = PlacementRequest {
+                parts: &job.ask.parts,
+                tried,
+                loads,
+                throttles: &throttles,
+                eligible,
+                stale,
+            };
             let place = service.placement.choose(demand, now, &mut rand::rng())?;
-            throttles.sent(place.life, now);
+            throttles.sent(place.incarnation, now);
             Ok(place)
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
@@ -246,7 +252,7 @@
         Blocked::NoServer => {
             Failure::new(Kind::NoServer, "no backend server may run the request now")
         }
-        Blocked::Resting { until } => return rest_refusal(shared, job, until),
+        Blocked::BackingOff { until } => return rest_refusal(shared, job, until),
         Blocked::Leaving => {
             let message = "the backend servers leave";
             return Failure::new(Kind::NoServer, message).with_retry_after(REPLACED_AFTER);
@@ -263,7 +269,7 @@
     let failure = Failure::new(Kind::QueueFull, message);
     let now = clock::now();
     let come_back =
-        shared.with_service(&job.service, |service| service.placement.come_back(until, now));
+        shared.with_service(&job.service, |service| service.placement.retry_after(until, now));
     match come_back {
         Some(come_back) => failure.with_retry_after(come_back),
         None => failure,
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -16,12 +16,12 @@
 use super::facts::Located;
 use super::replica::Replica;
 use super::settings::Settings;
-use crate::coordination::broken::Broken;
 use crate::coordination::candidate::Outcome;
 use crate::coordination::departures::Departures;
 use crate::coordination::drain::Stage;
 use crate::coordination::fingerprint::Fingerprint;
 use crate::coordination::freshness::Freshness;
+use crate::coordination::interrupted::InterruptedRequests;
 use crate::coordination::loads::Loads;
 use crate::coordination::placement::Place;
 use crate::coordination::placement::Placement;
@@ -102,7 +102,7 @@
     /// How recent the state from the store is.
     pub freshness: Mutex<Freshness>,
     /// Answers that broke off lately.
-    pub broken: Mutex<Broken>,
+    pub broken: Mutex<InterruptedRequests>,
     /// Requests that end servers.
     pub quarantine: Mutex<Quarantine>,
     /// When the store answered this box again after it did not.
@@ -183,8 +183,8 @@
     ) -> Held<A> {
         let shared = Arc::clone(shared);
         let mut quarantine = lock(&shared.quarantine);
-        quarantine.begin_trial(place.server.clone(), request);
-        let suspicious = quarantine.is_suspicious(request);
+        quarantine.begin_execution(place.server.clone(), request);
+        let suspicious = quarantine.needs_isolation(request);
         drop(quarantine);
         if suspicious {
             shared.news.notify_one();
@@ -219,8 +219,8 @@
         self.shared
             .with_service(&self.service, |service| service.placement.finish(place, outcome, now));
         let mut quarantine = lock(&self.shared.quarantine);
-        let suspicious = quarantine.is_suspicious(self.request);
-        quarantine.finish_trial(&self.place.server, self.request);
+        let suspicious = quarantine.needs_isolation(self.request);
+        quarantine.finish_execution(&self.place.server, self.request);
         drop(quarantine);
         if suspicious {
             self.shared.news.notify_one();
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -42,7 +42,7 @@
     shared.counters.count(Counter::Throttled);
     let come_back = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
-        lock(&shared.throttles).come_back(service, placement.lives(), clock::now())
+        lock(&shared.throttles).come_back(service, placement.usable_incarnations(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
     let failure = Failure::new(Kind::Throttled, message);
--- a/lib/tests/common/news.rs
+++ b/lib/tests/common/news.rs
@@ -10,9 +10,9 @@
 use std::time::Instant;
 
 use bytes::Bytes;
+use copperweir_lib::coordination::freshness::CHECK_INTERVAL;
 use copperweir_lib::coordination::freshness::Freshness;
-use copperweir_lib::coordination::freshness::LOOK_AGAIN;
-use copperweir_lib::coordination::freshness::Word;
+use copperweir_lib::coordination::freshness::PeerState;
 use copperweir_lib::coordination::watchers;
 use copperweir_lib::gateway::replica::Replica;
 use copperweir_lib::protocol::adapter::Item;
@@ -141,8 +141,8 @@
         let records: Vec<BoxRecord> = boxes.iter().map(|one| one.record.clone()).collect();
         for one in &mut boxes {
             let others = records.iter().filter(|other| other.name != one.record.name);
-            one.watches = watchers::watches(&one.record, others);
-            one.freshness.taken(old.version(), Some(now), now);
+            one.watches = watchers::is_watcher(&one.record, others);
+            one.freshness.record_state(old.version(), Some(now), now);
         }
         let mut store = old;
         if setting.restored {
@@ -157,7 +157,7 @@
         for number in 0..setting.boxes {
             let phase = PERIOD.mul_f64(play.rng.random());
             play.after(phase, Event::Report { from: number, number: 0 });
-            let phase = LOOK_AGAIN.mul_f64(play.rng.random());
+            let phase = CHECK_INTERVAL.mul_f64(play.rng.random());
             play.after(phase, Event::Draw(number));
         }
         play
@@ -246,24 +246,25 @@
                 self.after(PERIOD, Event::Report { from, number: number + 1 });
             }
             Event::Heard { from, to, version, age } => {
-                let word = Word {
+                let word = PeerState {
                     sender: from as u64,
                     address: address(from),
                     version: self.versions[version],
                     age,
-                    beside: from % REGIONS == to % REGIONS,
+                    is_same_region: from % REGIONS == to % REGIONS,
                 };
-                if self.boxes[to].freshness.hear(&word, self.now) {
+                if self.boxes[to].freshness.record_peer(&word, self.now) {
                     self.ask(to);
                 }
             }
             Event::Draw(number) => {
-                let likely = self.boxes[number].freshness.look(self.boxes.len(), self.now);
+                let likely =
+                    self.boxes[number].freshness.check_probability(self.boxes.len(), self.now);
                 if self.rng.random::<f64>() < likely {
                     self.read_store(number);
                 }
                 self.ask(number);
-                self.after(LOOK_AGAIN, Event::Draw(number));
+                self.after(CHECK_INTERVAL, Event::Draw(number));
             }
             Event::Ask(number) => self.ask(number),
             Event::Told { from, to } => {
@@ -305,7 +306,7 @@
     fn ask(&mut self, number: usize) {
         let one = &self.boxes[number];
         let patience = if one.watches { Duration::from_millis(1200) } else { Duration::ZERO };
-        let Some(address) = one.freshness.ahead(patience, self.now) else { return };
+        let Some(address) = one.freshness.peer_to_ask(patience, self.now) else { return };
         if one.asking {
             return;
         }
@@ -335,7 +336,7 @@
     let written: Vec<Item> = ahead.written_beside(&held).collect();
     written.iter().for_each(|item| one.replica.insert(item));
     one.replica.reached(ahead.version().position);
-    one.freshness.taken(one.replica.version(), at, now);
+    one.freshness.record_state(one.replica.version(), at, now);
     if one.replica.get(KEY).is_some_and(|value| value == "leaves") {
         one.knows_at.get_or_insert(now);
     }
--- a/lib/tests/test_broken.rs
+++ b/lib/tests/test_broken.rs
@@ -3,46 +3,53 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::broken::Broken;
-use copperweir_lib::coordination::broken::Next;
-use copperweir_lib::coordination::broken::Run;
 use copperweir_lib::coordination::fingerprint::Fingerprint;
+use copperweir_lib::coordination::interrupted::InterruptedRequest;
+use copperweir_lib::coordination::interrupted::InterruptedRequests;
+use copperweir_lib::coordination::interrupted::NextStep;
 
 const SERVER: u64 = 1;
 
-fn run(content: u64, broke_at: Instant) -> Run {
-    Run { request: Fingerprint { content, caller: 0 }, sent_at: broke_at, broke_at }
+fn interrupted(content: u64, interrupted_at: Instant) -> InterruptedRequest {
+    InterruptedRequest {
+        request: Fingerprint { content, caller: 0 },
+        sent_at: interrupted_at,
+        interrupted_at,
+    }
 }
 
 #[test]
 fn one_broken_answer_is_looked_into_and_the_others_wait() {
-    let (mut broken, now) = (Broken::default(), Instant::now());
-    assert_eq!(broken.note(SERVER, run(1, now), now), Next::Look);
-    assert_eq!(broken.note(SERVER, run(2, now), now), Next::Wait);
-    assert_eq!(broken.note(SERVER + 1, run(3, now), now), Next::Look);
-    assert_eq!(broken.ended(SERVER, now), [run(1, now), run(2, now)]);
-    assert_eq!(broken.note(SERVER, run(4, now), now), Next::Ended(vec![run(4, now)]));
+    let (mut tracker, now) = (InterruptedRequests::default(), Instant::now());
+    assert_eq!(tracker.record(SERVER, interrupted(1, now), now), NextStep::Probe);
+    assert_eq!(tracker.record(SERVER, interrupted(2, now), now), NextStep::AwaitProbe);
+    assert_eq!(tracker.record(SERVER + 1, interrupted(3, now), now), NextStep::Probe);
+    assert_eq!(tracker.record_crash(SERVER, now), [interrupted(1, now), interrupted(2, now)]);
+    assert_eq!(
+        tracker.record(SERVER, interrupted(4, now), now),
+        NextStep::ServerCrashed(vec![interrupted(4, now)])
+    );
 }
 
 #[test]
 fn several_at_one_moment_need_no_look() {
-    let (mut broken, now) = (Broken::default(), Instant::now());
-    broken.note(SERVER, run(1, now), now);
-    broken.note(SERVER, run(2, now), now);
-    let all = vec![run(1, now), run(2, now), run(3, now)];
-    assert_eq!(broken.note(SERVER, run(3, now), now), Next::Ended(all));
-    assert!(broken.ended(SERVER, now).is_empty());
+    let (mut tracker, now) = (InterruptedRequests::default(), Instant::now());
+    tracker.record(SERVER, interrupted(1, now), now);
+    tracker.record(SERVER, interrupted(2, now), now);
+    let all = vec![interrupted(1, now), interrupted(2, now), interrupted(3, now)];
+    assert_eq!(tracker.record(SERVER, interrupted(3, now), now), NextStep::ServerCrashed(all));
+    assert!(tracker.record_crash(SERVER, now).is_empty());
 }
 
 #[test]
 fn several_over_time_are_those_of_a_faulty_server() {
-    let (mut broken, start) = (Broken::default(), Instant::now());
+    let (mut tracker, start) = (InterruptedRequests::default(), Instant::now());
     for number in 0..10 {
         let now = start + Duration::from_millis(100) * number;
-        let next = broken.note(SERVER, run(number.into(), now), now);
-        assert!(!matches!(next, Next::Ended(_)), "{number}");
+        let next = tracker.record(SERVER, interrupted(number.into(), now), now);
+        assert!(!matches!(next, NextStep::ServerCrashed(_)), "{number}");
     }
-    broken.lives(SERVER);
+    tracker.forget(SERVER);
     let now = start + Duration::from_secs(2);
-    assert_eq!(broken.note(SERVER, run(11, now), now), Next::Look);
+    assert_eq!(tracker.record(SERVER, interrupted(11, now), now), NextStep::Probe);
 }
--- a/lib/tests/test_coordination.rs
+++ b/lib/tests/test_coordination.rs
@@ -27,11 +27,11 @@
 use copperweir_lib::coordination::policy::Estimate;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
-use copperweir_lib::coordination::pool::Lane;
 use copperweir_lib::coordination::pool::Limits;
 use copperweir_lib::coordination::pool::Outcome;
 use copperweir_lib::coordination::pool::Placement;
 use copperweir_lib::coordination::pool::Pool;
+use copperweir_lib::coordination::pool::ServerSnapshot;
 use copperweir_lib::coordination::pool::Wake;
 use copperweir_lib::coordination::rollout::Offer;
 use copperweir_lib::coordination::rollout::Rollout;
@@ -65,8 +65,8 @@
 const SERVERS: usize = 4;
 const SLOTS: u32 = 2;
 
-fn lanes(leaving: &[bool], reachable: &[bool]) -> BTreeMap<String, Lane> {
-    let lane = |index: usize| Lane {
+fn lanes(leaving: &[bool], reachable: &[bool]) -> BTreeMap<String, ServerSnapshot> {
+    let lane = |index: usize| ServerSnapshot {
         address: SocketAddr::from(([127, 0, 0, 1], 9000 + index as u16)),
         slots: SLOTS,
         leaving: leaving[index],
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -128,17 +128,26 @@
     let snapshot = snapshot(boxes, &[]);
     let now = Instant::now();
     let mut presence = Presence::default();
-    assert!(presence.hear(box_hash("b2"), 1, true, now));
-    assert!(!presence.hear(box_hash("b2"), 1, false, now), "an older datagram that came late");
+    assert!(presence.record_announcement(box_hash("b2"), 1, true, now));
+    assert!(
+        !presence.record_announcement(box_hash("b2"), 1, false, now),
+        "an older datagram that came late"
+    );
     let named = |presence: &Presence, now| {
         let own = record(1, "south", false);
         directory::addresses(&snapshot, presence, &own, &question("north"), now).0
     };
     assert_eq!(named(&presence, now), vec![address(3)]);
-    assert!(presence.hear(box_hash("b2"), 2, false, now), "it is back in a new life");
+    assert!(
+        presence.record_announcement(box_hash("b2"), 2, false, now),
+        "it is back in a new life"
+    );
     assert_eq!(named(&presence, now), vec![address(2), address(3)]);
-    assert!(!presence.hear(box_hash("b2"), 1, true, now), "a word of the life before");
-    presence.hear(box_hash("b3"), 1, true, now);
+    assert!(
+        !presence.record_announcement(box_hash("b2"), 1, true, now),
+        "a word of the life before"
+    );
+    presence.record_announcement(box_hash("b3"), 1, true, now);
     presence.expire(now + Duration::from_secs(60));
     assert_eq!(named(&presence, now), vec![address(2), address(3)], "old words no longer count");
 }
@@ -150,7 +159,7 @@
     let snapshot = snapshot(boxes, &["north", "south"]);
     let (now, own) = (Instant::now(), record(1, "west", false));
     let mut presence = Presence::default();
-    presence.hear(box_hash("b3"), 1, true, now);
+    presence.record_announcement(box_hash("b3"), 1, true, now);
     let named = |now| directory::addresses(&snapshot, &presence, &own, &question("north"), now);
     assert_eq!(named(now), (vec![address(3)], false));
     let later = now + Duration::from_secs(2);
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use copperweir_lib::coordination::freshness::Freshness;
+use copperweir_lib::coordination::freshness::PeerState;
 use copperweir_lib::coordination::freshness::Version;
-use copperweir_lib::coordination::freshness::Word;
 use copperweir_lib::gateway::replica::Replica;
 use copperweir_lib::protocol::adapter::Item;
 use copperweir_lib::protocol::platform::Position;
@@ -18,14 +18,14 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// How long a word may have been under way, from a box of the same region.
-const WAY: Duration = Duration::from_millis(10);
+const LATENCY: Duration = Duration::from_millis(10);
 
-fn at(revision: Revision) -> Position {
+fn position(revision: Revision) -> Position {
     Position { era: 1, revision }
 }
 
 fn version(revision: Revision) -> Version {
-    Version { position: at(revision), digest: revision }
+    Version { position: position(revision), digest: revision }
 }
 
 /// Where a box can be asked.
@@ -34,12 +34,12 @@
 }
 
 /// A state was read from the store, or nothing has changed since.
-fn followed(freshness: &mut Freshness, version: Version, now: Instant) {
-    freshness.taken(version, Some(now), now);
+fn confirmed_by_store(freshness: &mut Freshness, version: Version, now: Instant) {
+    freshness.record_state(version, Some(now), now);
 }
 
-fn word(sender: u64, version: Version, age: Duration) -> Word {
-    Word { sender, address: address(sender), version, age, beside: true }
+fn peer(sender: u64, version: Version, age: Duration) -> PeerState {
+    PeerState { sender, address: address(sender), version, age, is_same_region: true }
 }
 
 #[test]
@@ -47,9 +47,9 @@
     let now = Instant::now();
     let mut freshness = Freshness::default();
     assert_eq!(freshness.age(now), None);
-    followed(&mut freshness, version(5), now);
+    confirmed_by_store(&mut freshness, version(5), now);
     assert_eq!(freshness.age(now + SECOND), Some(SECOND));
-    followed(&mut freshness, version(5), now + SECOND);
+    confirmed_by_store(&mut freshness, version(5), now + SECOND);
     assert_eq!(freshness.age(now + SECOND), Some(Duration::ZERO));
 }
 
@@ -57,14 +57,15 @@
 fn few_boxes_look_for_changes_and_all_if_none_of_them_tells() {
     let now = Instant::now();
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version(5), now);
-    let likely = |boxes, ms| freshness.look(boxes, now + Duration::from_millis(ms));
-    assert_eq!(likely(1, 700), 0.0);
-    assert_eq!(likely(1, 900), 1.0);
+    confirmed_by_store(&mut freshness, version(5), now);
+    let probability =
+        |boxes, ms| freshness.check_probability(boxes, now + Duration::from_millis(ms));
+    assert_eq!(probability(1, 700), 0.0);
+    assert_eq!(probability(1, 900), 1.0);
     for boxes in [9, 340] {
-        let looking = boxes as f64 * likely(boxes, 900);
+        let looking = boxes as f64 * probability(boxes, 900);
         assert!((1.9..=2.1).contains(&looking), "{looking} of {boxes}");
-        assert_eq!(likely(boxes, 2500), 1.0);
+        assert_eq!(probability(boxes, 2500), 1.0);
     }
 }
 
@@ -72,29 +73,29 @@
 fn a_box_that_knows_nothing_newer_vouches_for_the_state() {
     let now = Instant::now() + 10 * SECOND;
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version(5), now);
+    confirmed_by_store(&mut freshness, version(5), now);
     let later = now + 9 * SECOND;
-    freshness.hear(&word(1, version(5), SECOND), later);
-    assert_eq!(freshness.age(later), Some(SECOND + WAY));
-    freshness.hear(&word(2, version(4), Duration::ZERO), later);
-    assert_eq!(freshness.age(later), Some(WAY));
-    assert_eq!(freshness.ahead(Duration::ZERO, later), None);
+    freshness.record_peer(&peer(1, version(5), SECOND), later);
+    assert_eq!(freshness.age(later), Some(SECOND + LATENCY));
+    freshness.record_peer(&peer(2, version(4), Duration::ZERO), later);
+    assert_eq!(freshness.age(later), Some(LATENCY));
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, later), None);
 }
 
 #[test]
 fn a_box_that_knows_more_is_asked_and_nothing_vouches_for_the_state_until_then() {
     let now = Instant::now() + 10 * SECOND;
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version(5), now);
-    freshness.hear(&word(1, version(7), Duration::ZERO), now);
-    freshness.hear(&word(2, version(6), Duration::ZERO), now);
-    freshness.hear(&word(3, version(5), Duration::ZERO), now + SECOND);
+    confirmed_by_store(&mut freshness, version(5), now);
+    freshness.record_peer(&peer(1, version(7), Duration::ZERO), now);
+    freshness.record_peer(&peer(2, version(6), Duration::ZERO), now);
+    freshness.record_peer(&peer(3, version(5), Duration::ZERO), now + SECOND);
     let later = now + 2 * SECOND;
     assert_eq!(freshness.age(later), Some(2 * SECOND));
-    assert_eq!(freshness.ahead(3 * SECOND, later), None);
-    assert_eq!(freshness.ahead(2 * SECOND, later), Some(address(1)));
-    freshness.taken(version(7), Some(now), later);
-    assert_eq!(freshness.ahead(Duration::ZERO, later), None);
+    assert_eq!(freshness.peer_to_ask(3 * SECOND, later), None);
+    assert_eq!(freshness.peer_to_ask(2 * SECOND, later), Some(address(1)));
+    freshness.record_state(version(7), Some(now), later);
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, later), None);
 }
 
 #[test]
@@ -102,10 +103,10 @@
     let mut now = Instant::now();
     let mut freshness = Freshness::default();
     for revision in 1..10 {
-        followed(&mut freshness, version(revision), now);
-        freshness.hear(&word(1, version(revision + 1), Duration::ZERO), now);
+        confirmed_by_store(&mut freshness, version(revision), now);
+        freshness.record_peer(&peer(1, version(revision + 1), Duration::ZERO), now);
         now += SECOND;
-        assert_eq!(freshness.ahead(2 * SECOND, now), None);
+        assert_eq!(freshness.peer_to_ask(2 * SECOND, now), None);
     }
 }
 
@@ -113,12 +114,12 @@
 fn a_box_that_is_ahead_and_does_not_answer_is_not_asked_again_at_once() {
     let now = Instant::now();
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version(5), now);
-    freshness.hear(&word(1, version(7), Duration::ZERO), now);
-    freshness.forget_ahead();
-    assert_eq!(freshness.ahead(Duration::ZERO, now), None);
-    freshness.hear(&word(2, version(6), Duration::ZERO), now);
-    assert_eq!(freshness.ahead(Duration::ZERO, now), Some(address(2)));
+    confirmed_by_store(&mut freshness, version(5), now);
+    freshness.record_peer(&peer(1, version(7), Duration::ZERO), now);
+    freshness.forget_newer_peer();
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), None);
+    freshness.record_peer(&peer(2, version(6), Duration::ZERO), now);
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
 }
 
 fn item(key: &str, revision: Revision) -> Item {
@@ -132,13 +133,13 @@
     one.insert(&item("b", 2));
     one.insert(&item("a", 3));
     one.remove("b");
-    one.reached(at(4));
+    one.reached(position(4));
     let mut other = Replica::default();
     other.insert(&item("gone", 1));
     other.insert(&item("a", 3));
     other.keep_only(&BTreeSet::from(["a".to_owned()]));
     // The store's revision may grow without a change of a key.
-    other.reached(at(6));
+    other.reached(position(6));
     assert_eq!(one.version().digest, other.version().digest);
     assert!(!other.version().is_ahead_of(&one.version()));
     other.insert(&item("b", 6));
@@ -153,18 +154,18 @@
     for replica in [&mut one, &mut other] {
         replica.insert(&item("a", 1));
         replica.insert(&item("b", 2));
-        replica.reached(at(2));
+        replica.reached(position(2));
     }
     other.remove("a");
     other.insert(&item("c", 4));
-    other.reached(at(4));
+    other.reached(position(4));
     for key in one.keys_not_in(&other.key_hashes().collect()) {
         one.remove(&key);
     }
     let written: Vec<Item> = other.written_after(one.version().position).collect();
     assert_eq!(written, [item("c", 4)]);
     written.iter().for_each(|item| one.insert(item));
-    one.reached(at(4));
+    one.reached(position(4));
     assert_eq!(one.version(), other.version());
 }
 
@@ -185,8 +186,8 @@
         changes in prop::collection::vec((0..6u8, any::<bool>(), any::<bool>(), any::<bool>()), 0..60)
     ) {
         let (mut ahead, mut behind) = (Replica::default(), Replica::default());
-        ahead.reached(at(1));
-        behind.reached(at(1));
+        ahead.reached(position(1));
+        behind.reached(position(1));
         let mut revision = 1;
         for (key, written, end_of_batch, asks) in changes {
             revision += 1;
@@ -197,14 +198,14 @@
                 ahead.remove(&key);
             }
             if end_of_batch {
-                ahead.reached(at(revision));
+                ahead.reached(position(revision));
                 if asks {
                     catch_up(&mut behind, &ahead);
                     prop_assert_eq!(behind.version(), ahead.version());
                 }
             }
         }
-        ahead.reached(at(revision));
+        ahead.reached(position(revision));
         catch_up(&mut behind, &ahead);
         prop_assert_eq!(behind.version(), ahead.version());
     }
@@ -215,28 +216,28 @@
 fn a_removal_is_told_alone() {
     let mut replica = Replica::default();
     (0..3000).for_each(|number| replica.insert(&item(&format!("k{number}"), 1)));
-    replica.reached(at(1));
+    replica.reached(position(1));
     replica.remove("k7");
-    replica.reached(at(2));
-    let told = |after| replica.removed_after(at(after)).map(|removed| removed.count());
+    replica.reached(position(2));
+    let told = |after| replica.removed_after(position(after)).map(|removed| removed.count());
     assert_eq!([told(0), told(1), told(2)], [None, Some(1), Some(0)]);
 }
 
 #[test]
 fn a_replica_says_so_when_it_no_longer_knows_what_was_removed() {
     let mut replica = Replica::default();
-    replica.reached(at(1));
+    replica.reached(position(1));
     for number in 0..2000 {
         replica.insert(&item(&format!("k{number}"), 2));
         replica.remove(&format!("k{number}"));
-        replica.reached(at(3 + number));
+        replica.reached(position(3 + number));
     }
-    assert!(replica.removed_after(at(1)).is_none());
-    assert_eq!(replica.removed_after(at(2001)).map(|removed| removed.count()), Some(1));
+    assert!(replica.removed_after(position(1)).is_none());
+    assert_eq!(replica.removed_after(position(2001)).map(|removed| removed.count()), Some(1));
     // Nor does it after a whole read.
     replica.keep_only(&BTreeSet::new());
-    replica.reached(at(3000));
-    assert!(replica.removed_after(at(2999)).is_none());
+    replica.reached(position(3000));
+    assert!(replica.removed_after(position(2999)).is_none());
 }
 
 #[test]
@@ -244,7 +245,7 @@
     let now = Instant::now();
     let mut freshness = Freshness::default();
     assert!(freshness.is_stale(now));
-    followed(&mut freshness, version(5), now);
+    confirmed_by_store(&mut freshness, version(5), now);
     let later = |ms| now + Duration::from_millis(ms);
     assert!(!freshness.is_aging(later(1900)));
     assert!(freshness.is_aging(later(2100)) && !freshness.is_stale(later(2100)));
@@ -255,23 +256,26 @@
 fn each_server_is_asked_by_two_of_the_boxes_without_the_store() {
     let now = Instant::now();
     let boxes: Vec<u64> = (1..=7).collect();
-    let knows = |own: &u64| {
+    let freshness_of = |own: &u64| {
         let mut freshness = Freshness::default();
-        followed(&mut freshness, version(5), now);
+        confirmed_by_store(&mut freshness, version(5), now);
         for other in boxes.iter().filter(|other| *other != own) {
-            freshness.hear(&word(*other, version(5), 3 * SECOND), now);
+            freshness.record_peer(&peer(*other, version(5), 3 * SECOND), now);
         }
         // One box still has the store, and another is of another region.
-        freshness.hear(&word(8, version(5), SECOND), now);
-        freshness.hear(&Word { beside: false, ..word(9, version(5), 3 * SECOND) }, now);
+        freshness.record_peer(&peer(8, version(5), SECOND), now);
+        freshness.record_peer(
+            &PeerState { is_same_region: false, ..peer(9, version(5), 3 * SECOND) },
+            now,
+        );
         freshness
     };
     for server in 100..200 {
-        let asking = boxes.iter().filter(|own| knows(own).asks(**own, server, now));
+        let asking = boxes.iter().filter(|own| freshness_of(own).probes_server(**own, server, now));
         assert_eq!(asking.count(), 2);
     }
-    let alone = knows(&1);
-    assert!((100..200).all(|server| alone.asks(1, server, now + 2 * SECOND)));
+    let alone = freshness_of(&1);
+    assert!((100..200).all(|server| alone.probes_server(1, server, now + 2 * SECOND)));
 }
 
 fn version_in(era: u64, revision: Revision) -> Version {
@@ -282,13 +286,13 @@
 fn a_later_era_is_ahead_whatever_its_revision_and_an_earlier_one_never() {
     let now = Instant::now();
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version_in(1, 9), now);
-    assert!(!freshness.hear(&word(1, version_in(0, 20), Duration::ZERO), now));
-    assert!(freshness.hear(&word(2, version_in(2, 7), Duration::ZERO), now));
-    assert_eq!(freshness.ahead(Duration::ZERO, now), Some(address(2)));
+    confirmed_by_store(&mut freshness, version_in(1, 9), now);
+    assert!(!freshness.record_peer(&peer(1, version_in(0, 20), Duration::ZERO), now));
+    assert!(freshness.record_peer(&peer(2, version_in(2, 7), Duration::ZERO), now));
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
     // Between two that are ahead, the later era counts as well.
-    freshness.hear(&word(3, version_in(1, 12), Duration::ZERO), now);
-    assert_eq!(freshness.ahead(Duration::ZERO, now), Some(address(2)));
+    freshness.record_peer(&peer(3, version_in(1, 12), Duration::ZERO), now);
+    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
 }
 
 #[test]
@@ -296,15 +300,15 @@
     let start = Instant::now();
     let now = start + 10 * SECOND;
     let mut freshness = Freshness::default();
-    followed(&mut freshness, version_in(1, 9), start);
-    freshness.hear_era(2);
+    confirmed_by_store(&mut freshness, version_in(1, 9), start);
+    freshness.observe_era(2);
     assert!(freshness.is_superseded());
-    freshness.hear(&word(1, version_in(1, 9), Duration::ZERO), now);
+    freshness.record_peer(&peer(1, version_in(1, 9), Duration::ZERO), now);
     assert_eq!(freshness.age(now), Some(10 * SECOND));
-    followed(&mut freshness, version_in(2, 7), now);
+    confirmed_by_store(&mut freshness, version_in(2, 7), now);
     assert!(!freshness.is_superseded());
     let later = now + SECOND;
-    freshness.hear(&word(1, version_in(1, 9), Duration::ZERO), later);
+    freshness.record_peer(&peer(1, version_in(1, 9), Duration::ZERO), later);
     assert_eq!(
         freshness.age(later),
         Some(SECOND),
@@ -340,13 +344,13 @@
 fn words_that_boxes_tell_each_other_make_a_state_no_younger() {
     let start = Instant::now();
     let (mut one, mut other) = (Freshness::default(), Freshness::default());
-    followed(&mut one, version(5), start);
-    followed(&mut other, version(5), start);
+    confirmed_by_store(&mut one, version(5), start);
+    confirmed_by_store(&mut other, version(5), start);
     let mut now = start;
     for _ in 0..500 {
         let age = one.age(now).expect("a state");
         now += Duration::from_millis(8);
-        other.hear(&word(1, version(5), age), now);
+        other.record_peer(&peer(1, version(5), age), now);
         std::mem::swap(&mut one, &mut other);
     }
     assert_eq!([one.age(now), other.age(now)], [Some(now - start); 2]);
