--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::attempt::Event;
-use copperweir_lib::coordination::attempt::Report;
-use copperweir_lib::coordination::broken::Broken;
-use copperweir_lib::coordination::candidate::Known;
+use copperweir_lib::coordination::attempt::AttemptEvent;
+use copperweir_lib::coordination::attempt::AttemptReport;
+use copperweir_lib::coordination::candidate::ServerState;
 use copperweir_lib::coordination::departures::Departures;
+use copperweir_lib::coordination::feedback::Effects;
+use copperweir_lib::coordination::feedback::FeedbackHandler;
+use copperweir_lib::coordination::feedback::Observation;
+use copperweir_lib::coordination::feedback::SentRequest;
+use copperweir_lib::coordination::feedback::ServerRef;
 use copperweir_lib::coordination::fingerprint::Fingerprint;
-use copperweir_lib::coordination::learning::Learner;
-use copperweir_lib::coordination::learning::Lesson;
-use copperweir_lib::coordination::learning::Note;
-use copperweir_lib::coordination::learning::Sent;
-use copperweir_lib::coordination::learning::Speaker;
+use copperweir_lib::coordination::interrupted::InterruptedRequests;
 use copperweir_lib::coordination::loads::Loads;
-use copperweir_lib::coordination::placement::Among;
 use copperweir_lib::coordination::placement::Blocked;
-use copperweir_lib::coordination::placement::Demand;
+use copperweir_lib::coordination::placement::Eligible;
 use copperweir_lib::coordination::placement::Place;
 use copperweir_lib::coordination::placement::Placement;
+use copperweir_lib::coordination::placement::PlacementRequest;
+use copperweir_lib::coordination::quarantine::Audience;
 use copperweir_lib::coordination::quarantine::Quarantine;
-use copperweir_lib::coordination::quarantine::Reach;
 use copperweir_lib::coordination::throttle::Throttles;
 use copperweir_lib::protocol::fleet::Server;
 use copperweir_lib::protocol::routing::Service;
@@ -34,31 +34,32 @@
 use rand::rngs::SmallRng;
 
 const SERVICE: u64 = 7;
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 const COLD: Duration = Duration::from_secs(5);
 
 /// Kinds of answer whose head has come, each with what the server says on them.
-const HEADS: [Event; 3] = [Event::Begun, Event::Refused, Event::Invalid];
+const HEAD_EVENTS: [AttemptEvent; 3] =
+    [AttemptEvent::HeadReceived, AttemptEvent::Refused, AttemptEvent::Invalid];
 
 fn request() -> Fingerprint {
     Fingerprint { content: 1, caller: 2 }
 }
 
 /// One server of one service, and all that learns.
-struct Story {
+struct Scenario {
     placement: Placement,
     throttles: Throttles,
     departures: Departures,
-    broken: Broken,
+    broken: InterruptedRequests,
     quarantine: Quarantine,
     now: Instant,
     rng: SmallRng,
 }
 
-impl Story {
-    fn begin() -> Story {
-        let begin = Instant::now();
-        let now = begin + Duration::from_secs(10);
+impl Scenario {
+    fn new() -> Scenario {
+        let new = Instant::now();
+        let now = new + Duration::from_secs(10);
         let server = Server {
             id: "i-1".to_owned(),
             born: None,
@@ -69,21 +70,21 @@
             leaving: false,
             cold_left: Duration::ZERO,
         };
-        let known = Known {
+        let known = ServerState {
             server: Arc::new(server),
             usable: true,
             cold_until: None,
             cold_share: Some(1),
-            near: true,
+            same_failure_domain: true,
         };
         let service = Service { max_connections: 100, ..Service::default() };
-        let mut placement = Placement::new(begin);
-        placement.update(vec![known], 1, &service, begin);
-        Story {
+        let mut placement = Placement::new(new);
+        placement.update(vec![known], 1, &service, new);
+        Scenario {
             placement,
             throttles: Throttles::new(0.0),
             departures: Departures::default(),
-            broken: Broken::default(),
+            broken: InterruptedRequests::default(),
             quarantine: Quarantine::default(),
             now,
             rng: SmallRng::seed_from_u64(1),
@@ -92,19 +93,19 @@
 
     fn choose(&mut self) -> Result<Place, Blocked> {
         let loads = Loads::default();
-        let demand = Demand {
+        let demand = PlacementRequest {
             parts: &[],
             tried: &[],
             loads: &loads,
             throttles: &self.throttles,
-            among: Among::Sound,
+            eligible: Eligible::Healthy,
             stale: false,
         };
         self.placement.choose(demand, self.now, &mut self.rng)
     }
 
-    fn learner(&mut self) -> Learner<'_> {
-        Learner {
+    fn handler(&mut self) -> FeedbackHandler<'_> {
+        FeedbackHandler {
             placement: Some(&mut self.placement),
             throttles: &mut self.throttles,
             departures: &mut self.departures,
@@ -113,156 +114,191 @@
         }
     }
 
-    fn learn(&mut self, place: &Place, report: Report) -> Lesson {
+    fn handle_report(&mut self, place: &Place, report: AttemptReport) -> Effects {
         let now = self.now;
-        let sent = Sent { place, service: SERVICE, request: request() };
-        self.learner().learn(sent, &report, now)
+        let sent = SentRequest { place, service: SERVICE, request: request() };
+        self.handler().handle_report(sent, &report, now)
     }
 }
 
-fn leaving() -> Words {
+fn leaving_status() -> Words {
     Words { leaving: true, ..Words::default() }
 }
 
-fn resting() -> Words {
-    Words { rest: Some(REST), ..Words::default() }
+fn backoff_status() -> Words {
+    Words { rest: Some(BACKOFF), ..Words::default() }
 }
 
-fn rated() -> Words {
+fn rate_status() -> Words {
     Words { rate: Some(4.0), ..Words::default() }
 }
 
-fn cold() -> Words {
+fn cold_status() -> Words {
     Words { cold_left: Some(COLD), ..Words::default() }
 }
 
 #[test]
 fn that_a_server_leaves_is_learned_from_every_kind_of_answer_and_told() {
-    for event in HEADS {
-        let mut story = Story::begin();
-        let place = story.choose().expect("a place");
-        let lesson = story.learn(&place, Report::head(event, leaving()));
-        assert_eq!((lesson.tell, lesson.notes), (Some(Reach::Region), vec![Note::Leaves]));
-        assert_eq!(story.choose().unwrap_err(), Blocked::Leaving, "after {event:?}");
-        let now = story.now;
-        assert!(!story.placement.still_admits(&place, now), "between choice and send");
-        assert!(story.placement.is_closed(&Loads::default(), &story.throttles, now));
-        let again = story.learn(&place, Report::head(event, leaving()));
-        assert_eq!(again, Lesson::default(), "it is no news any more");
+    for event in HEAD_EVENTS {
+        let mut scenario = Scenario::new();
+        let place = scenario.choose().expect("a place");
+        let effects = scenario.handle_report(&place, AttemptReport::head(event, leaving_status()));
+        assert_eq!(
+            (effects.notify, effects.observations),
+            (Some(Audience::Region), vec![Observation::Leaving])
+        );
+        assert_eq!(scenario.choose().unwrap_err(), Blocked::Leaving, "after {event:?}");
+        let now = scenario.now;
+        assert!(!scenario.placement.still_admits(&place, now), "between choice and send");
+        assert!(scenario.placement.is_closed(&Loads::default(), &scenario.throttles, now));
+        let again = scenario.handle_report(&place, AttemptReport::head(event, leaving_status()));
+        assert_eq!(again, Effects::default(), "it is no news any more");
     }
 }
 
 #[test]
 fn the_rest_that_a_server_wants_is_learned_from_every_kind_of_answer_and_not_told() {
-    for event in HEADS {
-        let mut story = Story::begin();
-        let place = story.choose().expect("a place");
-        let lesson = story.learn(&place, Report::head(event, resting()));
-        assert_eq!((lesson.tell, lesson.notes), (None, vec![Note::Rests(REST)]));
-        let now = story.now;
-        let until = now + REST;
-        assert_eq!(story.choose().unwrap_err(), Blocked::Resting { until }, "after {event:?}");
-        assert!(!story.placement.still_admits(&place, now), "between choice and send");
-        assert!(story.placement.is_closed(&Loads::default(), &story.throttles, now));
-        assert_eq!(story.placement.resting(now), 1);
-        story.now = until;
-        assert!(story.choose().is_ok() && story.placement.still_admits(&place, until));
+    for event in HEAD_EVENTS {
+        let mut scenario = Scenario::new();
+        let place = scenario.choose().expect("a place");
+        let effects = scenario.handle_report(&place, AttemptReport::head(event, backoff_status()));
+        assert_eq!(
+            (effects.notify, effects.observations),
+            (None, vec![Observation::RequestedBackoff(BACKOFF)])
+        );
+        let now = scenario.now;
+        let until = now + BACKOFF;
+        assert_eq!(
+            scenario.choose().unwrap_err(),
+            Blocked::BackingOff { until },
+            "after {event:?}"
+        );
+        assert!(!scenario.placement.still_admits(&place, now), "between choice and send");
+        assert!(scenario.placement.is_closed(&Loads::default(), &scenario.throttles, now));
+        assert_eq!(scenario.placement.backing_off(now), 1);
+        scenario.now = until;
+        assert!(scenario.choose().is_ok() && scenario.placement.still_admits(&place, until));
     }
 }
 
 #[test]
 fn a_rate_is_learned_from_every_kind_of_answer_and_told() {
-    for event in HEADS {
-        let mut story = Story::begin();
-        let place = story.choose().expect("a place");
-        let lesson = story.learn(&place, Report::head(event, rated()));
-        let note = Note::Rate { before: None, after: Some(4.0) };
-        assert_eq!((lesson.tell, lesson.notes), (Some(Reach::Region), vec![note]));
-        assert_eq!(story.throttles.rate(place.life), Some(4.0), "after {event:?}");
+    for event in HEAD_EVENTS {
+        let mut scenario = Scenario::new();
+        let place = scenario.choose().expect("a place");
+        let effects = scenario.handle_report(&place, AttemptReport::head(event, rate_status()));
+        let observation = Observation::Rate { before: None, after: Some(4.0) };
+        assert_eq!(
+            (effects.notify, effects.observations),
+            (Some(Audience::Region), vec![observation])
+        );
+        assert_eq!(scenario.throttles.rate(place.incarnation), Some(4.0), "after {event:?}");
     }
 }
 
 /// An answer that is the server's own and names none says that it names none; a refusal may leave it out.
 #[test]
 fn that_no_rate_is_named_any_more_is_learned_from_answers_that_say_all() {
-    for (event, expected) in
-        [(Event::Begun, None), (Event::Refused, Some(4.0)), (Event::Invalid, Some(4.0))]
-    {
-        let mut story = Story::begin();
-        let place = story.choose().expect("a place");
-        story.learn(&place, Report::head(Event::Begun, rated()));
-        story.learn(&place, Report::head(event, Words::default()));
-        assert_eq!(story.throttles.rate(place.life), expected, "after {event:?}");
+    for (event, expected) in [
+        (AttemptEvent::HeadReceived, None),
+        (AttemptEvent::Refused, Some(4.0)),
+        (AttemptEvent::Invalid, Some(4.0)),
+    ] {
+        let mut scenario = Scenario::new();
+        let place = scenario.choose().expect("a place");
+        scenario
+            .handle_report(&place, AttemptReport::head(AttemptEvent::HeadReceived, rate_status()));
+        scenario.handle_report(&place, AttemptReport::head(event, Words::default()));
+        assert_eq!(scenario.throttles.rate(place.incarnation), expected, "after {event:?}");
     }
 }
 
 #[test]
 fn that_a_server_turned_cold_is_learned_from_every_kind_of_answer_and_told() {
-    for event in HEADS {
-        let mut story = Story::begin();
-        let place = story.choose().expect("a place");
-        let lesson = story.learn(&place, Report::head(event, cold()));
+    for event in HEAD_EVENTS {
+        let mut scenario = Scenario::new();
+        let place = scenario.choose().expect("a place");
+        let effects = scenario.handle_report(&place, AttemptReport::head(event, cold_status()));
         assert_eq!(
-            (lesson.tell, lesson.notes),
-            (Some(Reach::Region), vec![Note::TurnedCold(COLD)])
+            (effects.notify, effects.observations),
+            (Some(Audience::Region), vec![Observation::TurnedCold(COLD)])
         );
-        let told: Vec<_> = story.placement.words(story.now).collect();
-        assert_eq!(told, [(place.life, COLD, story.now)], "after {event:?}");
+        let told: Vec<_> = scenario.placement.cold_reports(scenario.now).collect();
+        assert_eq!(told, [(place.incarnation, COLD, scenario.now)], "after {event:?}");
     }
 }
 
 /// Another instance has the address: it says nothing of the one that was meant.
 #[test]
 fn words_of_another_instance_are_not_the_servers() {
-    let words = Words { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
-    let mut story = Story::begin();
-    let place = story.choose().expect("a place");
-    let lesson = story.learn(&place, Report::head(Event::Replaced, words));
-    assert_eq!(lesson, Lesson::default());
-    assert!(story.departures.is_empty() && story.throttles.is_empty());
-    assert_eq!(story.placement.resting(story.now), 0);
+    let words =
+        Words { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
+    let mut scenario = Scenario::new();
+    let place = scenario.choose().expect("a place");
+    let effects =
+        scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Replaced, words));
+    assert_eq!(effects, Effects::default());
+    assert!(scenario.departures.is_empty() && scenario.throttles.is_empty());
+    assert_eq!(scenario.placement.backing_off(scenario.now), 0);
 }
 
 #[test]
 fn all_words_are_learned_when_a_server_is_asked_how_it_is() {
-    let words = Words { leaving: true, rest: Some(REST), rate: Some(4.0), cold_left: Some(COLD) };
-    let mut story = Story::begin();
-    let place = story.choose().expect("a place");
-    let now = story.now;
-    let speaker = Speaker { server: &place.server, life: place.life, service: SERVICE };
-    let lesson = story.learner().asked(speaker, &words, true, now);
-    assert_eq!((lesson.tell, lesson.notes.len()), (Some(Reach::Region), 4));
-    assert!(story.departures.leaves(place.life) && story.placement.resting(now) == 1);
-    assert_eq!(story.throttles.rate(place.life), Some(4.0));
+    let words =
+        Words { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
+    let mut scenario = Scenario::new();
+    let place = scenario.choose().expect("a place");
+    let now = scenario.now;
+    let speaker =
+        ServerRef { server: &place.server, incarnation: place.incarnation, service: SERVICE };
+    let effects = scenario.handler().handle_probe_answer(speaker, &words, true, now);
+    assert_eq!((effects.notify, effects.observations.len()), (Some(Audience::Region), 4));
+    assert!(
+        scenario.departures.is_leaving(place.incarnation)
+            && scenario.placement.backing_off(now) == 1
+    );
+    assert_eq!(scenario.throttles.rate(place.incarnation), Some(4.0));
 }
 
 #[test]
 fn broken_answers_are_looked_into_and_ends_are_told() {
-    let mut story = Story::begin();
-    let place = story.choose().expect("a place");
-    let lesson = story.learn(&place, Report::end(Event::BrokenOff));
-    assert!(lesson.look && lesson.tell.is_none());
-    story.learn(&place, Report::end(Event::BrokenOff));
-    let lesson = story.learn(&place, Report::end(Event::BrokenOff));
-    assert_eq!(lesson.tell, Some(Reach::Region), "three at once show its end");
-    assert!(matches!(lesson.notes[..], [Note::Ended(ref runs)] if runs.len() == 3));
-    let lesson = story.learn(&place, Report::end(Event::Answered));
-    assert_eq!(lesson.notes, [Note::Acquitted(request())]);
-    for event in [Event::Unreachable, Event::Withheld, Event::Silent, Event::Invalid, Event::Failed]
-    {
-        assert_eq!(story.learn(&place, Report::end(event)), Lesson::default(), "{event:?}");
+    let mut scenario = Scenario::new();
+    let place = scenario.choose().expect("a place");
+    let effects = scenario.handle_report(&place, AttemptReport::end(AttemptEvent::Interrupted));
+    assert!(effects.probe && effects.notify.is_none());
+    scenario.handle_report(&place, AttemptReport::end(AttemptEvent::Interrupted));
+    let effects = scenario.handle_report(&place, AttemptReport::end(AttemptEvent::Interrupted));
+    assert_eq!(effects.notify, Some(Audience::Region), "three at once show its end");
+    assert!(
+        matches!(effects.observations[..], [Observation::Crashed(ref runs)] if runs.len() == 3)
+    );
+    let effects = scenario.handle_report(&place, AttemptReport::end(AttemptEvent::Answered));
+    assert_eq!(effects.observations, [Observation::Cleared(request())]);
+    for event in [
+        AttemptEvent::Unreachable,
+        AttemptEvent::NotSent,
+        AttemptEvent::TimedOut,
+        AttemptEvent::Invalid,
+        AttemptEvent::Failed,
+    ] {
+        assert_eq!(
+            scenario.handle_report(&place, AttemptReport::end(event)),
+            Effects::default(),
+            "{event:?}"
+        );
     }
 }
 
 /// Where a server rests, names a rate and is cold at once, all of it holds.
 #[test]
 fn of_several_words_the_strictest_holds() {
-    let words = Words { rest: Some(REST), rate: Some(0.5), cold_left: Some(COLD), leaving: false };
-    let mut story = Story::begin();
-    let place = story.choose().expect("a place");
-    story.learn(&place, Report::head(Event::Refused, words));
-    assert!(matches!(story.choose().unwrap_err(), Blocked::Resting { .. }));
-    story.now += REST;
-    assert!(story.choose().is_ok(), "the rate has one left by then, and so has its cold share");
-    assert!(story.choose().is_err(), "one request of each");
+    let words =
+        Words { rest: Some(BACKOFF), rate: Some(0.5), cold_left: Some(COLD), leaving: false };
+    let mut scenario = Scenario::new();
+    let place = scenario.choose().expect("a place");
+    scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Refused, words));
+    assert!(matches!(scenario.choose().unwrap_err(), Blocked::BackingOff { .. }));
+    scenario.now += BACKOFF;
+    assert!(scenario.choose().is_ok(), "the rate has one left by then, and so has its cold share");
+    assert!(scenario.choose().is_err(), "one request of each");
 }
--- a/lib/tests/test_quarantine_load.rs
+++ b/lib/tests/test_quarantine_load.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::broken::Run;
 use copperweir_lib::coordination::fingerprint::Fingerprint;
+use copperweir_lib::coordination::interrupted::InterruptedRequest;
+use copperweir_lib::coordination::quarantine::Audience;
 use copperweir_lib::coordination::quarantine::Quarantine;
-use copperweir_lib::coordination::quarantine::Reach;
-use copperweir_lib::coordination::quarantine::told;
+use copperweir_lib::coordination::quarantine::wire;
 use prost::Message;
 use rand::Rng;
 use rand::SeedableRng;
@@ -20,20 +20,20 @@
 
 const STEP: Duration = Duration::from_millis(5);
 /// How long the request comes.
-const LENGTH: Duration = Duration::from_secs(16);
+const DURATION: Duration = Duration::from_secs(16);
 /// Other requests, a second and server.
 const OTHERS_PER_SERVER: f64 = 100.0;
-const FATAL_PER_SECOND: f64 = 2.5;
+const CRASHING_PER_SECOND: f64 = 2.5;
 /// Time that a request takes, and from the send of the fatal one to the server's end.
-const WORK: Duration = Duration::from_millis(2500);
-const FATAL_WORK: Duration = Duration::from_millis(300);
+const REQUEST_TIME: Duration = Duration::from_millis(2500);
+const TIME_TO_CRASH: Duration = Duration::from_millis(300);
 /// Time until a server that ended is back.
-const AWAY: Duration = Duration::from_millis(1400);
+const RESTART_TIME: Duration = Duration::from_millis(1400);
 /// Ways of a datagram within a region and to another one.
-const NEAR: Duration = Duration::from_millis(5);
-const FAR: Duration = Duration::from_millis(60);
+const LATENCY_IN_REGION: Duration = Duration::from_millis(5);
+const LATENCY_BETWEEN_REGIONS: Duration = Duration::from_millis(60);
 /// Time from the third end in which all boxes must know.
-const KNOWN: Duration = Duration::from_secs(5);
+const DETECTION_TIME: Duration = Duration::from_secs(5);
 
 struct Request {
     fingerprint: Fingerprint,
@@ -42,9 +42,9 @@
     tries: u32,
 }
 
-struct Running {
+struct Execution {
     request: Request,
-    of: usize,
+    box_index: usize,
     server: usize,
     sent_at: Instant,
 }
@@ -56,9 +56,9 @@
 }
 
 struct Datagram {
-    of: usize,
-    ends: Vec<told::End>,
-    verdicts: Vec<told::Verdict>,
+    box_index: usize,
+    ends: Vec<wire::CrashReport>,
+    verdicts: Vec<wire::VerdictReport>,
     trials: Vec<String>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Outcome {
+struct Summary {
     ends: Vec<Instant>,
     /// Sends of the fatal request.
     sends: Vec<Instant>,
@@ -80,8 +80,8 @@
     /// Others that were refused for what they had seen.
     refused: usize,
     /// Most bytes of ends, verdicts and trials that went to one box in a second, and in one datagram.
-    second: usize,
-    datagram: usize,
+    bytes_per_second: usize,
+    datagram_bytes: usize,
 }
 
 /// Boxes and servers of each region.
@@ -96,33 +96,34 @@
 
 /// Who sends what.
 #[derive(Clone, Copy, Debug)]
-struct Mix {
+struct Workload {
     /// Callers of the request that ends servers.
-    fatal_callers: u64,
+    crashing_callers: u64,
     /// Its rate, requests a second.
-    fatal_rate: f64,
+    crashing_rate: f64,
     /// Part of the others that are alike among all their callers, as requests without a body are.
-    alike: f64,
+    shared_fraction: f64,
 }
 
 /// One caller, and nothing that is alike.
-const PLAIN: Mix = Mix { fatal_callers: 1, fatal_rate: FATAL_PER_SECOND, alike: 0.0 };
+const SINGLE_CALLER: Workload =
+    Workload { crashing_callers: 1, crashing_rate: CRASHING_PER_SECOND, shared_fraction: 0.0 };
 /// Contents of the others that are alike.
-const ALIKE: u64 = 5;
+const SHARED_CONTENTS: u64 = 5;
 /// Callers of the others.
 const CALLERS: u64 = 50;
 
-struct Load {
-    length: Duration,
+struct Simulation {
+    duration: Duration,
     /// Whether boxes enter what they run, and keep suspects apart by it.
-    enters: bool,
-    mix: Mix,
+    tracks_executions: bool,
+    workload: Workload,
     rng: SmallRng,
     now: Instant,
     boxes: Vec<(usize, Quarantine)>,
     servers: Vec<Server>,
     /// By when they end, and the number of the send.
-    running: BTreeMap<(Instant, u64), Running>,
+    running: BTreeMap<(Instant, u64), Execution>,
     /// When they arrive, and where.
     datagrams: Vec<(Instant, usize, Rc<Datagram>)>,
     /// Sent to each box within the running second.
@@ -131,25 +132,25 @@
     counter: u64,
     sends: u64,
     /// Draws what boxes tell beside the news.
-    told: SmallRng,
-    outcome: Outcome,
+    reports_rng: SmallRng,
+    summary: Summary,
 }
 
-fn is_fatal(request: &Request) -> bool {
+fn is_crashing(request: &Request) -> bool {
     request.fingerprint.content == 0
 }
 
-impl Load {
-    fn new(seed: u64, layout: Layout<'_>, mix: Mix) -> Load {
+impl Simulation {
+    fn new(seed: u64, layout: Layout<'_>, workload: Workload) -> Simulation {
         let now = Instant::now();
         let boxes = layout.boxes.iter().enumerate();
         let boxes = boxes.flat_map(|(region, count)| (0..*count).map(move |_| region));
         let servers = layout.servers.iter().enumerate();
         let servers = servers.flat_map(|(region, count)| (0..*count).map(move |_| region));
-        Load {
-            length: LENGTH,
-            enters: true,
-            mix,
+        Simulation {
+            duration: DURATION,
+            tracks_executions: true,
+            workload,
             rng: SmallRng::seed_from_u64(seed),
             now,
             boxes: boxes.map(|region| (region, Quarantine::default())).collect(),
@@ -163,22 +164,22 @@
             due: BTreeMap::new(),
             counter: 1000,
             sends: 0,
-            told: SmallRng::seed_from_u64(seed),
-            outcome: Outcome::default(),
+            reports_rng: SmallRng::seed_from_u64(seed),
+            summary: Summary::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
-        let end = self.now + self.length;
+    fn simulate(mut self) -> Summary {
+        let end = self.now + self.duration;
         let mut steps = 0;
         while self.now < end {
             let others = OTHERS_PER_SERVER * self.servers.len() as f64;
-            for (rate, fatal) in [(others, false), (self.mix.fatal_rate, true)] {
+            for (rate, crashing) in [(others, false), (self.workload.crashing_rate, true)] {
                 if self.rng.random_bool((rate * STEP.as_secs_f64()).fract()) {
-                    self.arrive(fatal);
+                    self.arrive(crashing);
                 }
                 for _ in 0..(rate * STEP.as_secs_f64()) as usize {
-                    self.arrive(fatal);
+                    self.arrive(crashing);
                 }
             }
             self.step();
@@ -188,28 +189,28 @@
             }
             if steps % 200 == 0 {
                 let most = self.bytes.iter().copied().max().unwrap_or_default();
-                self.outcome.second = self.outcome.second.max(most);
+                self.summary.bytes_per_second = self.summary.bytes_per_second.max(most);
                 self.bytes.fill(0);
             }
         }
-        self.outcome
+        self.summary
     }
 
-    fn arrive(&mut self, fatal: bool) {
+    fn arrive(&mut self, crashing: bool) {
         self.counter += 1;
-        let fingerprint = self.draw(fatal);
+        let fingerprint = self.draw(crashing);
         self.due.insert((self.now, self.counter), Request { fingerprint, sends: 2, tries: 2 });
     }
 
-    fn draw(&mut self, fatal: bool) -> Fingerprint {
-        let Mix { fatal_callers, alike, .. } = self.mix;
-        if fatal {
-            let several = fatal_callers > 1;
-            let caller = if several { self.rng.random_range(0..fatal_callers) } else { 0 };
+    fn draw(&mut self, crashing: bool) -> Fingerprint {
+        let Workload { crashing_callers, shared_fraction, .. } = self.workload;
+        if crashing {
+            let several = crashing_callers > 1;
+            let caller = if several { self.rng.random_range(0..crashing_callers) } else { 0 };
             return Fingerprint { content: 0, caller };
         }
-        if alike > 0.0 && self.rng.random_bool(alike) {
-            let content = self.rng.random_range(1..=ALIKE);
+        if shared_fraction > 0.0 && self.rng.random_bool(shared_fraction) {
+            let content = self.rng.random_range(1..=SHARED_CONTENTS);
             return Fingerprint { content, caller: self.rng.random_range(0..CALLERS) };
         }
         Fingerprint { content: self.counter, caller: self.counter % CALLERS }
@@ -222,41 +223,41 @@
             && *at <= now
         {
             let Some((_, request)) = self.due.pop_first() else { break };
-            let of = self.rng.random_range(0..self.boxes.len());
-            self.place(request, of);
+            let box_index = self.rng.random_range(0..self.boxes.len());
+            self.place(request, box_index);
         }
         let (arrived, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.datagrams).into_iter().partition(|(at, ..)| *at <= now);
         self.datagrams = waiting;
         for (_, to, datagram) in arrived {
             let quarantine = &mut self.boxes[to].1;
-            quarantine.hear_trials(datagram.of as u64, &datagram.trials, now);
-            datagram.ends.iter().for_each(|end| quarantine.hear_end(end, now));
-            datagram.verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, now));
+            quarantine.receive_reserved_servers(datagram.box_index as u64, &datagram.trials, now);
+            datagram.ends.iter().for_each(|end| quarantine.receive_crash(end, now));
+            datagram.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
         }
-        let (mut ended, mut fatal) = (BTreeSet::new(), Vec::new());
+        let (mut ended, mut crashing) = (BTreeSet::new(), Vec::new());
         while let Some(((at, _), _)) = self.running.first_key_value()
             && *at <= now
         {
             let Some((key, run)) = self.running.pop_first() else { break };
-            if is_fatal(&run.request) {
+            if is_crashing(&run.request) {
                 ended.insert(run.server);
-                fatal.push((key, run));
+                crashing.push((key, run));
             } else {
-                self.outcome.served += 1;
+                self.summary.served += 1;
                 self.finish(&run);
-                self.boxes[run.of].1.answered(run.request.fingerprint, now);
+                self.boxes[run.box_index].1.record_success(run.request.fingerprint, now);
             }
         }
         // They end with their servers.
-        self.running.extend(fatal);
+        self.running.extend(crashing);
         ended.into_iter().for_each(|server| self.end(server));
     }
 
-    fn place(&mut self, mut request: Request, of: usize) {
-        let (region, quarantine) = &mut self.boxes[of];
-        if quarantine.refuses(request.fingerprint, self.now).is_some() {
-            self.outcome.refused += usize::from(!is_fatal(&request));
+    fn place(&mut self, mut request: Request, box_index: usize) {
+        let (region, quarantine) = &mut self.boxes[box_index];
+        if quarantine.refused_for(request.fingerprint, self.now).is_some() {
+            self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
         let up = |server: &usize| {
@@ -266,109 +267,121 @@
         if up.is_empty() {
             return;
         }
-        if self.enters && quarantine.is_suspicious(request.fingerprint) {
-            let but = |servers: Vec<&String>| {
+        if self.tracks_executions && quarantine.needs_isolation(request.fingerprint) {
+            let without = |servers: Vec<&String>| {
                 let other = |server: &&usize| !servers.contains(&&server.to_string());
                 up.iter().filter(other).copied().collect::<Vec<usize>>()
             };
-            let apart = but(quarantine.occupied(request.fingerprint, self.now).collect());
-            up = match apart.is_empty() {
-                true => but(quarantine.reserved(request.fingerprint, self.now).collect()),
-                false => apart,
+            let isolated =
+                without(quarantine.servers_with_suspects(request.fingerprint, self.now).collect());
+            up = match isolated.is_empty() {
+                true => {
+                    without(quarantine.reserved_servers(request.fingerprint, self.now).collect())
+                }
+                false => isolated,
             };
         }
         if up.is_empty() {
-            self.outcome.refused += usize::from(!is_fatal(&request));
+            self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
         let server = up[self.rng.random_range(0..up.len())];
         request.sends -= 1;
-        let work = if is_fatal(&request) { FATAL_WORK } else { WORK };
-        if is_fatal(&request) {
-            self.outcome.sends.push(self.now);
+        let work = if is_crashing(&request) { TIME_TO_CRASH } else { REQUEST_TIME };
+        if is_crashing(&request) {
+            self.summary.sends.push(self.now);
         }
         let work = work.mul_f64(self.rng.random_range(0.5..1.5));
-        if self.enters {
-            quarantine.begin_trial(server.to_string(), request.fingerprint);
+        if self.tracks_executions {
+            quarantine.begin_execution(server.to_string(), request.fingerprint);
         }
         self.sends += 1;
-        let run = Running { request, of, server, sent_at: self.now };
+        let run = Execution { request, box_index, server, sent_at: self.now };
         self.running.insert((self.now + work, self.sends), run);
     }
 
-    fn finish(&mut self, run: &Running) {
-        if !self.enters {
+    fn finish(&mut self, run: &Execution) {
+        if !self.tracks_executions {
             return;
         }
-        let quarantine = &mut self.boxes[run.of].1;
-        quarantine.finish_trial(&run.server.to_string(), run.request.fingerprint);
+        let quarantine = &mut self.boxes[run.box_index].1;
+        quarantine.finish_execution(&run.server.to_string(), run.request.fingerprint);
     }
 
     fn end(&mut self, server: usize) {
         let now = self.now;
         self.counter += 1;
         let life = std::mem::replace(&mut self.servers[server].life, self.counter);
-        self.servers[server].back_at = now + AWAY;
-        self.outcome.ends.push(now);
-        let on_it = self.running.iter().filter(|(_, run)| run.server == server);
-        let mut on_it: Vec<(Instant, u64)> = on_it.map(|(key, _)| *key).collect();
-        on_it.sort_by_key(|(_, sent)| *sent);
-        let broken: Vec<Running> =
-            on_it.iter().filter_map(|key| self.running.remove(key)).collect();
-        let mut reached: BTreeMap<usize, Option<Reach>> = BTreeMap::new();
+        self.servers[server].back_at = now + RESTART_TIME;
+        self.summary.ends.push(now);
+        let keys = self.running.iter().filter(|(_, run)| run.server == server);
+        let mut keys: Vec<(Instant, u64)> = keys.map(|(key, _)| *key).collect();
+        keys.sort_by_key(|(_, sent)| *sent);
+        let broken: Vec<Execution> =
+            keys.iter().filter_map(|key| self.running.remove(key)).collect();
+        let mut audiences: BTreeMap<usize, Option<Audience>> = BTreeMap::new();
         broken.iter().for_each(|run| self.finish(run));
-        for Running { request, of, sent_at, .. } in broken {
-            let run = Run { request: request.fingerprint, sent_at, broke_at: now };
-            let reach = self.boxes[of].1.ended(life, run, now);
-            let widest = reached.entry(of).or_default();
-            if *widest != Some(Reach::Everyone) {
-                *widest = reach.or(*widest);
+        for Execution { request, box_index, sent_at, .. } in broken {
+            let run =
+                InterruptedRequest { request: request.fingerprint, sent_at, interrupted_at: now };
+            let audience = self.boxes[box_index].1.record_crash(life, run, now);
+            let widest = audiences.entry(box_index).or_default();
+            if *widest != Some(Audience::AllRegions) {
+                *widest = audience.or(*widest);
             }
             if request.sends > 0 {
-                self.place(request, of);
+                self.place(request, box_index);
             } else if request.tries > 1 {
                 self.counter += 1;
                 let again = Request { sends: 2, tries: request.tries - 1, ..request };
                 self.due.insert((now + Duration::from_millis(60), self.counter), again);
             }
         }
-        for (of, reach) in reached {
-            if let Some(reach) = reach {
-                self.tell(of, reach);
+        for (box_index, audience) in audiences {
+            if let Some(audience) = audience {
+                self.tell(box_index, audience);
             }
         }
     }
 
     fn reports(&mut self) {
-        for of in 0..self.boxes.len() {
-            let judged = !self.boxes[of].1.tick(self.now).is_empty();
-            self.tell(of, if judged { Reach::Everyone } else { Reach::Region });
+        for box_index in 0..self.boxes.len() {
+            let has_new_verdicts = !self.boxes[box_index].1.tick(self.now).is_empty();
+            self.tell(
+                box_index,
+                if has_new_verdicts { Audience::AllRegions } else { Audience::Region },
+            );
         }
     }
 
-    fn tell(&mut self, of: usize, reach: Reach) {
-        let (now, region) = (self.now, self.boxes[of].0);
-        let quarantine = &self.boxes[of].1;
-        let told = &mut self.told;
-        let mut news = |reach| Datagram {
-            of,
-            ends: quarantine.told_ends(reach, now),
-            verdicts: quarantine.told_verdicts(now, told),
-            trials: quarantine.trials(),
+    fn tell(&mut self, box_index: usize, audience: Audience) {
+        let (now, region) = (self.now, self.boxes[box_index].0);
+        let quarantine = &self.boxes[box_index].1;
+        let reports_rng = &mut self.reports_rng;
+        let mut datagram_for = |audience| Datagram {
+            box_index,
+            ends: quarantine.crash_reports(audience, now),
+            verdicts: quarantine.verdict_reports(now, reports_rng),
+            trials: quarantine.own_reserved_servers(),
         };
-        let (near, far) = (Rc::new(news(Reach::Region)), Rc::new(news(Reach::Everyone)));
-        for to in (0..self.boxes.len()).filter(|to| *to != of) {
-            let is_near = self.boxes[to].0 == region;
-            if !is_near && reach == Reach::Region {
+        let (local, remote) =
+            (Rc::new(datagram_for(Audience::Region)), Rc::new(datagram_for(Audience::AllRegions)));
+        for to in (0..self.boxes.len()).filter(|to| *to != box_index) {
+            let is_same_region = self.boxes[to].0 == region;
+            if !is_same_region && audience == Audience::Region {
                 continue;
             }
-            let (datagram, way) = if is_near { (&near, NEAR) } else { (&far, FAR) };
+            let (datagram, latency) = if is_same_region {
+                (&local, LATENCY_IN_REGION)
+            } else {
+                (&remote, LATENCY_BETWEEN_REGIONS)
+            };
             // Some datagrams are lost.
             if self.rng.random_bool(0.98) {
                 let bytes = datagram.bytes();
                 self.bytes[to] += bytes;
-                self.outcome.datagram = self.outcome.datagram.max(bytes);
-                self.datagrams.push((now + way, to, Rc::clone(datagram)));
+                self.summary.datagram_bytes = self.summary.datagram_bytes.max(bytes);
+                self.datagrams.push((now + latency, to, Rc::clone(datagram)));
             }
         }
     }
@@ -380,9 +393,10 @@
 fn a_request_that_ends_servers_is_known_within_seconds() {
     let mut total = 0;
     for seed in 0..20 {
-        let Outcome { ends, sends, served, refused, .. } = Load::new(seed, SMALL, PLAIN).play();
+        let Summary { ends, sends, served, refused, .. } =
+            Simulation::new(seed, SMALL, SINGLE_CALLER).simulate();
         let third = ends[2];
-        let late = sends.iter().filter(|at| **at > third + KNOWN).count();
+        let late = sends.iter().filter(|at| **at > third + DETECTION_TIME).count();
         let last = ends[ends.len() - 1].duration_since(ends[0]);
         assert!(late == 0, "seed {seed}: {late} sends long after the third end");
         assert!(last < Duration::from_secs(2), "seed {seed}: the last end after {last:?}");
@@ -393,21 +407,23 @@
 }
 
 /// Servers that ended, others that were refused and others that were served, in five plays.
-fn five_plays(mix: Mix) -> (usize, usize, usize) {
-    plays(5, mix, true)
+fn simulate_five(workload: Workload) -> (usize, usize, usize) {
+    simulate_many(5, workload, true)
 }
 
-fn plays(count: u64, mix: Mix, enters: bool) -> (usize, usize, usize) {
+fn simulate_many(count: u64, workload: Workload, tracks_executions: bool) -> (usize, usize, usize) {
     let (mut ended, mut refused, mut served) = (0, 0, 0);
     for seed in 0..count {
-        let outcome = Load { enters, ..Load::new(seed, SMALL, mix) }.play();
-        let late = outcome.sends.iter().filter(|at| **at > outcome.ends[2] + KNOWN).count();
-        assert!(late == 0, "seed {seed}: {late} sends long after the third end, {mix:?}");
-        ended += outcome.ends.len();
-        refused += outcome.refused;
-        served += outcome.served;
+        let summary =
+            Simulation { tracks_executions, ..Simulation::new(seed, SMALL, workload) }.simulate();
+        let late =
+            summary.sends.iter().filter(|at| **at > summary.ends[2] + DETECTION_TIME).count();
+        assert!(late == 0, "seed {seed}: {late} sends long after the third end, {workload:?}");
+        ended += summary.ends.len();
+        refused += summary.refused;
+        served += summary.served;
     }
-    println!("{mix:?}: {ended} ended, {refused} others refused, {served} served");
+    println!("{workload:?}: {ended} ended, {refused} others refused, {served} served");
     (ended, refused, served)
 }
 
@@ -415,10 +431,10 @@
 /// makes no difference to the servers.
 #[test]
 fn how_many_callers_send_the_request_makes_no_difference() {
-    for fatal_callers in [1, 10, 100] {
-        let mix = Mix { fatal_callers, fatal_rate: 6.0, alike: 0.0 };
-        let (ended, refused, served) = five_plays(mix);
-        assert!(ended <= 5 * 9, "{fatal_callers} callers: {ended} servers ended in 5 plays");
+    for crashing_callers in [1, 10, 100] {
+        let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.0 };
+        let (ended, refused, served) = simulate_five(workload);
+        assert!(ended <= 5 * 9, "{crashing_callers} callers: {ended} servers ended in 5 plays");
         assert!(refused * 50 <= served, "{refused} others refused, {served} served");
     }
 }
@@ -427,59 +443,63 @@
 /// each end is under them too, and they are answered hundreds of times a second.
 #[test]
 fn requests_that_are_alike_among_callers_are_served_beside_one_that_ends_servers() {
-    let mix = Mix { fatal_callers: 10, fatal_rate: 6.0, alike: 0.5 };
-    let (_, refused, served) = five_plays(mix);
+    let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
+    let (_, refused, served) = simulate_five(workload);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
 #[test]
 fn requests_that_are_alike_are_served_though_nobody_enters_what_runs() {
-    let mix = Mix { fatal_callers: 10, fatal_rate: 6.0, alike: 0.5 };
-    let (_, refused, served) = plays(5, mix, false);
+    let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
+    let (_, refused, served) = simulate_many(5, workload, false);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
 /// Boxes that hear each other know within it.
-const CONTACT: Duration = Duration::from_millis(1500);
+const FAST_DETECTION_TIME: Duration = Duration::from_millis(1500);
 
 const THIRTY: Layout<'static> = Layout { boxes: &[10, 10, 10], servers: &[13, 13, 13] };
 const HUNDRED: Layout<'static> = Layout { boxes: &[34, 33, 33], servers: &[44, 43, 43] };
 
 /// Three regions, and a fifth of the other requests alike; for one caller of the fatal request, ten and a hundred.
-fn plays_at_size(layout: Layout<'_>) -> impl Iterator<Item = Outcome> {
-    [1, 10, 100].into_iter().map(move |fatal_callers| {
-        let mix = Mix { fatal_callers, fatal_rate: 6.0, alike: 0.2 };
-        let load = Load { length: LENGTH / 2, ..Load::new(1, layout, mix) };
-        let outcome = load.play();
-        let Outcome { ends, served, refused, second, datagram, .. } = &outcome;
-        println!("{layout:?} {mix:?}: {} ended, {refused} of {served} refused", ends.len());
-        println!("to one box {second} bytes in a second, {datagram} in a datagram");
-        outcome
+fn simulate_at_size(layout: Layout<'_>) -> impl Iterator<Item = Summary> {
+    [1, 10, 100].into_iter().map(move |crashing_callers| {
+        let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.2 };
+        let simulation =
+            Simulation { duration: DURATION / 2, ..Simulation::new(1, layout, workload) };
+        let summary = simulation.simulate();
+        let Summary { ends, served, refused, bytes_per_second, datagram_bytes, .. } = &summary;
+        println!("{layout:?} {workload:?}: {} ended, {refused} of {served} refused", ends.len());
+        println!("to one box {bytes_per_second} bytes in a second, {datagram_bytes} in a datagram");
+        summary
     })
 }
 
-fn is_known_in_time(outcome: &Outcome) -> bool {
-    let Outcome { ends, sends, datagram, .. } = outcome;
-    let late = sends.iter().filter(|at| **at > ends[2] + CONTACT).count();
-    late <= 3 && *datagram <= 8 << 10
+fn is_known_in_time(summary: &Summary) -> bool {
+    let Summary { ends, sends, datagram_bytes, .. } = summary;
+    let late = sends.iter().filter(|at| **at > ends[2] + FAST_DETECTION_TIME).count();
+    late <= 3 && *datagram_bytes <= 8 << 10
 }
 
-fn others_are_served(outcome: &Outcome) -> bool {
-    outcome.refused * 50 <= outcome.served
+fn others_are_served(summary: &Summary) -> bool {
+    summary.refused * 50 <= summary.served
 }
 
 #[test]
 fn thirty_boxes_of_three_regions_know_as_soon_as_six() {
-    assert!(plays_at_size(THIRTY).all(|play| is_known_in_time(&play) && others_are_served(&play)));
+    assert!(
+        simulate_at_size(THIRTY)
+            .all(|summary| is_known_in_time(&summary) && others_are_served(&summary))
+    );
 }
 
 #[test]
 fn a_hundred_boxes_of_three_regions_know_as_soon_as_six() {
-    assert!(plays_at_size(HUNDRED).all(|play| is_known_in_time(&play)));
+    assert!(simulate_at_size(HUNDRED).all(|summary| is_known_in_time(&summary)));
 }
 
 #[test]
 fn others_are_served_before_a_hundred_boxes() {
-    let are_served = |play: Outcome| play.refused * 45 <= play.served;
-    assert!(plays_at_size(HUNDRED).all(are_served));
+    let are_served = |summary: Summary| summary.refused * 45 <= summary.served;
+    assert!(simulate_at_size(HUNDRED).all(are_served));
 }
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -1,17 +1,17 @@
 //! What boxes tell each other fits into a datagram, however much there is to tell.
 
-use copperweir_lib::coordination::departures::told::Word;
-use copperweir_lib::coordination::loads::Report;
-use copperweir_lib::coordination::quarantine::told::End;
-use copperweir_lib::coordination::quarantine::told::Verdict;
+use copperweir_lib::coordination::departures::wire::DepartureNotice;
+use copperweir_lib::coordination::loads::BoxReport;
+use copperweir_lib::coordination::quarantine::wire::CrashReport;
+use copperweir_lib::coordination::quarantine::wire::VerdictReport;
 use prost::Message;
 
 const DATAGRAM: usize = 8 << 10;
 
-fn report(ends: usize, servers: usize) -> Report {
-    let end = End { content: 1, caller: 2, life: 3, sent_ms: 100_000, ended_ms: 100_000 };
-    let verdict = Verdict { content: 1, caller: Some(2), left_ms: 600_000 };
-    Report {
+fn report(ends: usize, servers: usize) -> BoxReport {
+    let end = CrashReport { content: 1, caller: 2, life: 3, sent_ms: 100_000, ended_ms: 100_000 };
+    let verdict = VerdictReport { content: 1, caller: Some(2), left_ms: 600_000 };
+    BoxReport {
         sender: 1,
         region: "north".to_owned(),
         ends: vec![end; ends],
@@ -22,8 +22,8 @@
         asked: (0..servers as u64).collect(),
         cold_ms: vec![5_000; servers],
         asked_ms: vec![500; servers],
-        leaving_servers: vec![Word { server: 9, said_ms: 1 }; 32],
-        ..Report::default()
+        leaving_servers: vec![DepartureNotice { server: 9, said_ms: 1 }; 32],
+        ..BoxReport::default()
     }
 }
 
@@ -33,9 +33,9 @@
 fn all_lists_together_fit() {
     let mut report = report(128, 200);
     assert!(report.encoded_len() > DATAGRAM);
-    report.fit(DATAGRAM);
+    report.truncate_to(DATAGRAM);
     assert!(report.encoded_len() <= DATAGRAM);
-    let read = Report::decode(report.encode_to_vec().as_slice()).expect("it can be read");
+    let read = BoxReport::decode(report.encode_to_vec().as_slice()).expect("it can be read");
     assert_eq!(read.leaving_servers.len(), 32);
     assert!(read.ends.len() >= 16, "{} ends", read.ends.len());
     assert_eq!(read.servers.len(), read.in_flight.len());
@@ -46,13 +46,13 @@
 fn what_fits_is_left_alone() {
     let mut few = report(3, 10);
     let before = few.clone();
-    few.fit(DATAGRAM);
+    few.truncate_to(DATAGRAM);
     assert_eq!(few, before);
 }
 
 #[test]
 fn a_region_of_a_thousand_servers_is_told_of_in_part() {
     let mut report = report(128, 1000);
-    report.fit(DATAGRAM);
+    report.truncate_to(DATAGRAM);
     assert!(report.encoded_len() <= DATAGRAM && !report.servers.is_empty());
 }
--- a/lib/tests/test_rest.rs
+++ b/lib/tests/test_rest.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::rest::Rests;
-use copperweir_lib::coordination::returns::Returns;
+use copperweir_lib::coordination::backoff::Backoffs;
+use copperweir_lib::coordination::retry_spread::RetrySpread;
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -12,24 +12,24 @@
 #[test]
 fn of_several_rests_the_one_that_ends_last_counts() {
     let now = Instant::now();
-    let mut rests = Rests::default();
-    rests.ask(1, SECOND * 3, now);
-    rests.ask(1, SECOND, now + SECOND);
-    assert_eq!(rests.until(1, now), Some(now + SECOND * 3));
-    rests.ask(1, SECOND * 3, now + SECOND);
-    assert_eq!(rests.until(1, now + SECOND * 3), Some(now + SECOND * 4));
-    assert!(!rests.admits(1, 0, now + SECOND * 3));
-    assert!(rests.admits(2, 50, now + SECOND * 3), "others do not rest");
+    let mut backoffs = Backoffs::default();
+    backoffs.record(1, SECOND * 3, now);
+    backoffs.record(1, SECOND, now + SECOND);
+    assert_eq!(backoffs.until(1, now), Some(now + SECOND * 3));
+    backoffs.record(1, SECOND * 3, now + SECOND);
+    assert_eq!(backoffs.until(1, now + SECOND * 3), Some(now + SECOND * 4));
+    assert!(!backoffs.admits(1, 0, now + SECOND * 3));
+    assert!(backoffs.admits(2, 50, now + SECOND * 3), "others do not rest");
 }
 
 #[test]
 fn after_a_rest_some_requests_come_first_and_then_all() {
     let now = Instant::now();
-    let mut rests = Rests::default();
-    rests.ask(1, SECOND, now);
+    let mut backoffs = Backoffs::default();
+    backoffs.record(1, SECOND, now);
     let admitted = |after: u64| {
         let at = now + SECOND + Duration::from_millis(after);
-        (0..200).take_while(|in_flight| rests.admits(1, *in_flight, at)).count()
+        (0..200).take_while(|in_flight| backoffs.admits(1, *in_flight, at)).count()
     };
     assert_eq!((admitted(0), admitted(250), admitted(1050)), (2, 4, 64));
     assert_eq!(admitted(1500), 200);
@@ -38,22 +38,22 @@
 #[test]
 fn a_rest_without_end_has_one() {
     let now = Instant::now();
-    let mut rests = Rests::default();
-    rests.ask(1, Duration::MAX, now);
-    assert!(!rests.admits(1, 0, now + SECOND * 3000));
-    assert!(rests.admits(1, 0, now + SECOND * 3600));
+    let mut backoffs = Backoffs::default();
+    backoffs.record(1, Duration::MAX, now);
+    assert!(!backoffs.admits(1, 0, now + SECOND * 3000));
+    assert!(backoffs.admits(1, 0, now + SECOND * 3600));
 }
 
 proptest! {
     #[test]
     fn nobody_comes_back_early_or_with_all_others(callers in 1_usize..500, rest in 100_u64..5000) {
-        let begin = Instant::now();
-        let room_at = begin + Duration::from_millis(rest);
-        let mut returns = Returns::default();
+        let new = Instant::now();
+        let room_at = new + Duration::from_millis(rest);
+        let mut retry_spread = RetrySpread::default();
         let mut back: Vec<Instant> = (0..callers)
             .map(|caller| {
-                let now = begin + Duration::from_micros(rest * 1000 * caller as u64 / callers as u64);
-                now + returns.next(room_at, now)
+                let now = new + Duration::from_micros(rest * 1000 * caller as u64 / callers as u64);
+                now + retry_spread.retry_after(room_at, now)
             })
             .collect();
         back.sort();
@@ -82,34 +82,39 @@
     use copperweir_lib::coordination::pool::Outcome;
     use copperweir_lib::coordination::pool::Placement;
     use copperweir_lib::coordination::pool::Pool;
-    use copperweir_lib::coordination::server::Lane;
+    use copperweir_lib::coordination::server::ServerSnapshot;
     use copperweir_lib::protocol::config::Priority;
     use rand::SeedableRng;
     use rand::rngs::SmallRng;
 
     const SECOND: Duration = Duration::from_secs(1);
 
-    struct Story {
+    struct Scenario {
         pool: Pool<Estimate>,
         rng: SmallRng,
         now: Instant,
         next: u64,
     }
 
-    impl Story {
-        fn begin(servers: usize) -> Story {
+    impl Scenario {
+        fn new(servers: usize) -> Scenario {
             let now = Instant::now();
             let limits = Limits { queue: 50, bytes: 1 << 20, boxes: 1 };
             let lane = |number: usize| {
                 let address = ([10, 0, 0, number as u8], 80).into();
-                let lane =
-                    Lane { address, slots: 8, leaving: false, reachable: true, report: None };
+                let lane = ServerSnapshot {
+                    address,
+                    slots: 8,
+                    leaving: false,
+                    reachable: true,
+                    report: None,
+                };
                 (format!("s{number}"), lane)
             };
             let lanes: BTreeMap<_, _> = (1..=servers).map(lane).collect();
             let mut pool = Pool::new(Estimate, limits, now);
             pool.update(limits, lanes, BTreeSet::from(["here".to_owned()]));
-            Story { pool, rng: SmallRng::seed_from_u64(1), now, next: 0 }
+            Scenario { pool, rng: SmallRng::seed_from_u64(1), now, next: 0 }
         }
 
         fn arrive(&mut self, patience: Duration) -> Decision {
@@ -142,36 +147,36 @@
 
     #[test]
     fn a_resting_server_gets_nothing_and_has_not_failed() {
-        let mut story = Story::begin(2);
-        let resting = story.place();
+        let mut scenario = Scenario::new(2);
+        let resting = scenario.place();
         for _ in 0..5 {
-            story.finish(&resting, Outcome::Rests(SECOND * 3));
-            story.place();
-            let other = story.place();
+            scenario.finish(&resting, Outcome::Rests(SECOND * 3));
+            scenario.place();
+            let other = scenario.place();
             assert_ne!(other, resting);
-            story.finish(&other, Outcome::Withdrawn);
-            story.now += Duration::from_millis(100);
-            if story.pool.in_flight() == 0 {
+            scenario.finish(&other, Outcome::Withdrawn);
+            scenario.now += Duration::from_millis(100);
+            if scenario.pool.in_flight() == 0 {
                 break;
             }
         }
-        story.now += SECOND * 4;
-        let placed: BTreeSet<String> = (0..8).map(|_| story.place()).collect();
+        scenario.now += SECOND * 4;
+        let placed: BTreeSet<String> = (0..8).map(|_| scenario.place()).collect();
         assert!(placed.contains(&resting), "it is in use again: nothing failed");
     }
 
     #[test]
     fn where_all_rest_a_caller_waits_only_if_it_can_be_served_in_time() {
-        let mut story = Story::begin(1);
-        let only = story.place();
-        story.finish(&only, Outcome::Rests(SECOND * 3));
-        match story.arrive(SECOND) {
+        let mut scenario = Scenario::new(1);
+        let only = scenario.place();
+        scenario.finish(&only, Outcome::Rests(SECOND * 3));
+        match scenario.arrive(SECOND) {
             Decision::Now(Placement::Refused(_, after)) => assert!(after >= SECOND * 3),
             other => panic!("{other:?}"),
         }
-        assert_eq!(story.arrive(SECOND * 5), Decision::Wait);
-        story.now += SECOND * 3;
-        let wakes = story.pool.pump(story.now, &mut story.rng);
+        assert_eq!(scenario.arrive(SECOND * 5), Decision::Wait);
+        scenario.now += SECOND * 3;
+        let wakes = scenario.pool.pump(scenario.now, &mut scenario.rng);
         assert!(matches!(wakes[..], [ref wake] if matches!(wake.placement, Placement::Server(..))));
     }
 }
--- a/lib/tests/test_unlisted.rs
+++ b/lib/tests/test_unlisted.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::unlisted::NAMED;
+use copperweir_lib::coordination::unlisted::MAX_NAMED;
 use copperweir_lib::coordination::unlisted::Neighbor;
 use copperweir_lib::coordination::unlisted::Unlisted;
 
@@ -13,9 +13,9 @@
 
 /// Takes in what another box names, as a datagram does.
 fn tell(from: &Unlisted, to: &mut Unlisted, now: Instant) {
-    for named in from.named(now) {
+    for named in from.neighbor_records(now) {
         let at = now.checked_sub(Duration::from_millis(u64::from(named.heard_ms)));
-        to.hear(neighbor(named.box_hash), at.expect("a moment"));
+        to.record(neighbor(named.box_hash), at.expect("a moment"));
     }
 }
 
@@ -23,11 +23,11 @@
 fn boxes_that_name_a_dead_box_to_each_other_do_not_keep_it() {
     let begin = Instant::now() + Duration::from_secs(60);
     let (mut first, mut second) = (Unlisted::default(), Unlisted::default());
-    first.hear(neighbor(7), begin);
+    first.record(neighbor(7), begin);
     for number in 0..100 {
         let now = begin + Duration::from_millis(200) * number;
         if number == 5 {
-            first.hear(neighbor(7), begin + Duration::from_secs(1));
+            first.record(neighbor(7), begin + Duration::from_secs(1));
         }
         tell(&first, &mut second, now);
         tell(&second, &mut first, now);
@@ -47,10 +47,10 @@
 fn a_box_that_the_store_shows_is_not_unlisted() {
     let now = Instant::now();
     let mut unlisted = Unlisted::default();
-    unlisted.hear(neighbor(7), now);
-    unlisted.list([7].into());
+    unlisted.record(neighbor(7), now);
+    unlisted.set_listed([7].into());
     assert_eq!(unlisted.neighbors().count(), 0);
-    unlisted.hear(neighbor(7), now);
+    unlisted.record(neighbor(7), now);
     assert_eq!(unlisted.neighbors().count(), 0);
 }
 
@@ -59,9 +59,9 @@
     let begin = Instant::now();
     let mut unlisted = Unlisted::default();
     for number in 0..100 {
-        unlisted.hear(neighbor(number), begin + Duration::from_millis(number));
+        unlisted.record(neighbor(number), begin + Duration::from_millis(number));
     }
-    let named = unlisted.named(begin + Duration::from_millis(1100));
+    let named = unlisted.neighbor_records(begin + Duration::from_millis(1100));
     let hashes: Vec<u64> = named.iter().map(|named| named.box_hash).collect();
-    assert_eq!(hashes, (0..100).rev().take(NAMED).collect::<Vec<u64>>());
+    assert_eq!(hashes, (0..100).rev().take(MAX_NAMED).collect::<Vec<u64>>());
 }
