--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -62,7 +62,8 @@
     placement
 }
 
-/// Time from a box's start to a test's first request: its former life counts no longer.
+/// Time from the start of the box to the first request of a test: requests of its earlier
+/// incarnation count no longer.
 const SINCE_START: Duration = Duration::from_secs(10);
 
 struct Fixture {
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn what_others_have_on_a_server_counts() {
+fn load_from_other_boxes_counts() {
     let mut fixture = Fixture::new(placement(2, 8, 2));
     let report = BoxReport {
         sender: 1,
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn reports_supersede_each_other_and_age() {
+fn reports_supersede_each_other_and_expire() {
     let mut loads = Loads::default();
     let now = Instant::now();
     let report = |number, in_flight| BoxReport {
@@ -174,30 +175,30 @@
 }
 
 #[test]
-fn requests_in_flight_leave_room_under_the_connections_that_a_server_takes() {
+fn requests_use_only_a_part_of_a_servers_connections() {
     let mut fixture = Fixture::new(placement(1, 64, 1));
     let places = std::iter::from_fn(|| fixture.choose_without_prompt().ok()).count();
     assert_eq!(places, 80, "of 100 connections and 192 by slots");
 }
 
 #[test]
-fn a_shared_text_stays_at_its_home() {
+fn a_shared_prefix_stays_at_its_home() {
     let mut fixture = Fixture::new(placement(5, 64, 1));
     for shared in 1..20 {
         let parts = prompt(shared);
         let home = fixture.choose(&parts).expect("a place").server;
         for _ in 0..2 {
             let mut place = fixture.choose(&parts).expect("a place");
-            assert_eq!(place.server, home, "shared text {shared}");
+            assert_eq!(place.server, home, "shared prefix {shared}");
             assert!(place.at_home);
             fixture.placement.first_byte(&mut place);
         }
     }
 }
 
-/// Prompts whose texts begin alike: the first part has one value, the second many.
+/// The prefixes begin alike: the first part has one value, the second many.
 #[test]
-fn texts_that_begin_alike_have_homes_of_their_own() {
+fn prefixes_that_begin_alike_have_different_homes() {
     let mut fixture = Fixture::new(placement(12, 64, 1));
     let mut homes = std::collections::BTreeSet::new();
     for text in 1..60u64 {
@@ -207,26 +208,27 @@
         homes.insert(place.server.clone());
         fixture.placement.finish(&mut place, Outcome::Answered, fixture.now);
     }
-    assert!(homes.len() >= 10, "59 texts at 12 servers: {homes:?}");
+    assert!(homes.len() >= 10, "59 prefixes at 12 servers: {homes:?}");
 }
 
 #[test]
-fn a_text_is_read_elsewhere_only_when_its_home_has_much_more_to_read() {
+fn a_prefix_is_computed_elsewhere_only_if_its_home_is_much_busier() {
     let mut fixture = Fixture::new(placement(6, 64, 1));
     let parts = prompt(5);
     let home = fixture.choose(&parts).expect("a place").server;
     let stayed = (0..100).take_while(|_| fixture.choose(&parts).expect("a place").server == home);
     let stayed = stayed.count();
-    // Reading 13,000 tokens again counts eleven times; each request adds 3,000 to what waits at home.
+    // Computing 13,000 tokens again counts eleven times; each request adds 3,000 tokens to the
+    // queue at home.
     assert!((20..60).contains(&stayed), "{stayed}");
 }
 
 #[test]
-fn only_texts_that_are_long_to_read_travel() {
+fn only_long_prefixes_cross_regions() {
     let parts = |shared: u32| [Part { id: 1, tokens: shared }, Part { id: 2, tokens: 9_000 }];
     assert!(!SharedPrefix::of(&parts(90)).expect("a text").crosses_regions());
     assert!(SharedPrefix::of(&parts(13_000)).expect("a text").crosses_regions());
-    assert_eq!(SharedPrefix::of(&parts(90)[1..]), None, "a prompt of its own shares nothing");
+    assert_eq!(SharedPrefix::of(&parts(90)[1..]), None, "a prompt of one part shares nothing");
     assert_eq!(SharedPrefix::of(&[]), None);
 }
 
@@ -235,7 +237,7 @@
     let mut fixture = Fixture::new(placement(12, 64, 1));
     let parts = prompt(5);
     let mut failed: Vec<String> = Vec::new();
-    // As long as any server is sound, the next choice is one that has not failed.
+    // While any server is healthy, the next choice is one that has not failed.
     for _ in 0..12 {
         let mut place = fixture.choose(&parts).expect("a place");
         assert!(!failed.contains(&place.server), "{} after {failed:?}", place.server);
@@ -245,13 +247,16 @@
     assert_eq!(
         fixture.choose(&parts).unwrap_err(),
         Blocked::Failing,
-        "another region may do better"
+        "another region may be preferable"
+    );
+    assert!(
+        fixture.choose_among(&parts, Eligible::Any).is_ok(),
+        "a failed server is better than none"
     );
-    assert!(fixture.choose_among(&parts, Eligible::Any).is_ok(), "any is better than none");
 }
 
 #[test]
-fn an_unreachable_server_is_left_out_and_tried_again() {
+fn an_unreachable_server_is_ejected_and_tried_again() {
     let mut fixture = Fixture::new(placement(2, 8, 1));
     let mut place = loop {
         let place = fixture.choose_without_prompt().expect("a place");
@@ -265,7 +270,7 @@
     }
     fixture.now += Duration::from_secs(3);
     let back = (0..20).any(|_| fixture.choose_without_prompt().expect("a place").server == "i-0");
-    assert!(back, "a trial finds out whether it is back");
+    assert!(back, "a trial request finds out whether it works again");
 }
 
 #[test]
@@ -280,16 +285,16 @@
 }
 
 #[test]
-fn a_server_whose_address_has_another_instance_gets_no_more() {
+fn a_replaced_server_gets_no_requests() {
     let mut fixture = Fixture::new(placement(1, 8, 1));
     let mut place = fixture.choose_without_prompt().expect("a place");
     fixture.placement.finish(&mut place, Outcome::Replaced, fixture.now);
     assert_eq!(fixture.choose_without_prompt().unwrap_err(), Blocked::NoServer);
 }
 
-/// The store shows the entry of a server that was replaced for seconds more.
+/// The store shows the entry of a replaced server for some more seconds.
 #[test]
-fn a_replaced_server_gets_no_more_whatever_the_store_shows() {
+fn a_replaced_server_gets_no_requests_whatever_the_store_shows() {
     let mut fixture = Fixture::new(placement(1, 8, 1));
     let mut place = fixture.choose_without_prompt().expect("a place");
     fixture.placement.finish(&mut place, Outcome::Replaced, fixture.now);
@@ -313,11 +318,11 @@
             sent.iter().filter(|at| **at >= *from && **at < *from + Duration::from_secs(1));
         assert!(within.count() <= 2);
     }
-    assert!(sent.len() >= 6, "it is used all the same: {}", sent.len());
+    assert!(sent.len() >= 6, "it is used nevertheless: {}", sent.len());
 }
 
 #[test]
-fn what_a_server_got_before_it_was_known_to_be_cold_counts() {
+fn requests_sent_before_a_server_was_known_to_be_cold_count() {
     let mut fixture = Fixture::new(placement(1, 64, 1));
     for _ in 0..5 {
         fixture.choose_without_prompt().expect("a place on a warm server");
@@ -347,7 +352,7 @@
 }
 
 #[test]
-fn a_cold_server_that_was_gone_for_a_moment_does_not_get_its_share_again() {
+fn a_cold_server_that_returns_does_not_get_its_share_again() {
     let mut fixture = Fixture::new(placement(1, 64, 1));
     let service = Service { max_connections: 100, ..Service::default() };
     let cold = ServerState {
@@ -365,7 +370,7 @@
     assert_eq!(places(&mut fixture, 10), 2);
 }
 
-/// A test of servers in a state that is stale, all of which have said that they are not cold.
+/// Servers in a stale state, all of which have reported that they are not cold.
 fn stale_fixture(servers: usize) -> Fixture {
     let mut fixture = Fixture::new(placement(servers, 64, 1));
     fixture.stale = true;
@@ -380,7 +385,7 @@
 }
 
 #[test]
-fn in_a_stale_state_a_server_needs_a_recent_word_to_count_as_warm() {
+fn in_a_stale_state_a_server_is_warm_only_with_a_recent_report() {
     let mut fixture = stale_fixture(1);
     assert_eq!(places(&mut fixture, 10), 10);
     fixture.now += Duration::from_millis(700);
@@ -392,7 +397,7 @@
 }
 
 #[test]
-fn a_server_that_says_it_is_cold_counts_as_such_whatever_the_store_says() {
+fn a_server_that_reports_being_cold_is_cold_whatever_the_store_shows() {
     let mut fixture = stale_fixture(1);
     fixture.placement.record_cold_report("i-0", Duration::from_secs(3), fixture.now);
     fixture.stale = false;
@@ -405,7 +410,7 @@
 }
 
 #[test]
-fn servers_of_a_failure_domain_are_doubted_together() {
+fn warm_reports_of_a_failure_domain_are_distrusted_together() {
     let mut fixture = stale_fixture(3);
     fixture.placement.record_cold_report("i-1", Duration::from_secs(3), fixture.now);
     fixture.placement.record_cold_report("i-0", Duration::ZERO, fixture.now);
@@ -416,7 +421,7 @@
 }
 
 #[test]
-fn what_a_server_said_is_told_on_for_a_short_while() {
+fn cold_reports_are_passed_on_for_a_short_while() {
     let mut fixture = stale_fixture(2);
     fixture.placement.record_peer_cold_report(
         server_hash("i-1"),
@@ -432,7 +437,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_asked_or_never_turns_cold_is_not_limited() {
+fn a_server_that_cannot_be_probed_or_never_turns_cold_is_not_limited() {
     let mut fixture = stale_fixture(1);
     fixture.now += Duration::from_secs(5);
     let service = Service { max_connections: 100, ..Service::default() };
@@ -451,7 +456,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// All boxes together keep to the bound of a cold server, however many there are.
+    /// All boxes together keep to the limit of a cold server, however many there are.
     #[test]
     fn shares_of_a_cold_server_add_up(rate in 0.0..40.0f64, slack in 0.0..5.0f64, boxes in 1..120usize) {
         let bound = warmup::Bound { rate, excess: 1.5, slack };
@@ -459,7 +464,7 @@
         prop_assert!(f64::from(total) <= rate * 1.5 + slack);
     }
 
-    /// All boxes together keep to the retry budget, whoever gets the requests.
+    /// All boxes together keep to the retry budget, however the requests are distributed.
     #[test]
     fn shares_of_the_retry_budget_add_up(requests in prop::collection::vec(0..300u32, 1..40)) {
         let bound = retries::Bound { ratio: 0.2, window: Duration::from_secs(10), extra: 58.0 };
@@ -476,7 +481,7 @@
 }
 
 #[test]
-fn the_retry_budget_comes_back_with_time() {
+fn the_retry_budget_recovers_with_time() {
     let bound = retries::Bound { ratio: 0.0, window: Duration::from_secs(10), extra: 10.0 };
     let mut now = Instant::now();
     let mut budget = Budget::new(bound, now);
@@ -488,10 +493,10 @@
     assert!(budget.repeat(1, now));
 }
 
-/// A server starts again under its name: a request of its earlier life ends, failures and kept texts
-/// of that life count no longer, nor does what other boxes say of it.
+/// A server restarts under its id: requests of the earlier incarnation end without effect, and its
+/// failures, cached prefixes and reports by other boxes count no longer.
 #[test]
-fn a_new_life_of_a_server_has_nothing_of_the_earlier_one() {
+fn a_new_incarnation_of_a_server_starts_afresh() {
     let restarted = |seconds| {
         let server = server_state(0, 8).server;
         let born = SystemTime::UNIX_EPOCH + Duration::from_secs(seconds);
@@ -511,7 +516,7 @@
     assert!(fixture.choose_without_prompt().is_err(), "it failed too often");
     fixture.now += Duration::from_secs(2);
     fixture.placement.update(vec![restarted(2)], 1, &service, fixture.now);
-    let place = fixture.choose(&prompt(1)).expect("the new life has not failed");
+    let place = fixture.choose(&prompt(1)).expect("the new incarnation has not failed");
     assert_eq!((place.in_flight, place.unread > 10_000.0 || place.at_home), (1, true));
     fixture.placement.finish(&mut held, Outcome::Lost, fixture.now);
     let loads: Vec<_> = fixture.placement.own_loads().collect();
@@ -519,10 +524,10 @@
     assert_ne!(loads[0].0, first_life[0]);
 }
 
-/// Of two servers, one names a rate: what is beyond it goes to the other, and is refused only once that
-/// one is full.
+/// One of two servers limits its rate: requests beyond the limit go to the other one, and are
+/// refused only once that one is full.
 #[test]
-fn a_server_that_names_a_rate_gets_no_more_while_others_have_room() {
+fn a_rate_limited_server_gets_no_more_while_others_have_capacity() {
     let mut fixture = Fixture::new(placement(2, 4, 1));
     let life = fixture.placement.usable_incarnations().next().expect("a server");
     fixture.throttles.said(life, 1, Some(2.0), fixture.now);
@@ -535,7 +540,7 @@
     };
     assert!(is_throttled(&mut fixture));
     fixture.now += Duration::from_millis(500);
-    assert!(!is_throttled(&mut fixture), "it has one left");
+    assert!(!is_throttled(&mut fixture), "the rate admits one request");
     let place = fixture.choose_without_prompt().expect("a place");
     assert_eq!(place.server, "i-0");
     fixture.throttles.sent(place.incarnation, fixture.now);
@@ -544,9 +549,10 @@
     assert!(fixture.choose_without_prompt().is_ok());
 }
 
-/// With all its slots counted, a region whose only free server names a rate would look idle to others.
+/// If all its slots counted, a region whose only free server limits its rate would look idle to
+/// others.
 #[test]
-fn a_server_that_names_a_rate_counts_with_the_slots_that_it_keeps_busy() {
+fn a_rate_limited_server_counts_with_the_slots_that_it_uses() {
     let mut fixture = Fixture::new(placement(2, 64, 1));
     let life = fixture.placement.usable_incarnations().next().expect("a server");
     fixture.throttles.said(life, 1, Some(3.0), fixture.now);
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken for the cause of servers' ends.
+//! Which requests are taken to be the cause of server crashes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,12 +13,12 @@
 
 const FATAL: Fingerprint = Fingerprint { content: 7, caller: 1 };
 const INNOCENT: Fingerprint = Fingerprint { content: 8, caller: 2 };
-/// Time from a send to the end of the server.
+/// Time from sending a request to the crash of the server.
 const TIME_TO_CRASH: Duration = Duration::from_millis(50);
-/// Time in which a verdict is reached.
+/// Time within which a verdict is reached.
 const EVALUATED: Duration = Duration::from_millis(300);
 
-/// Servers that end one after the other under requests.
+/// Servers that crash one after the other under requests.
 struct Scenario {
     quarantine: Quarantine,
     now: Instant,
@@ -30,7 +30,7 @@
         Scenario { quarantine: Quarantine::default(), now: Instant::now(), server_count: 0 }
     }
 
-    /// Another server runs these requests, and ends.
+    /// Another server executes these requests and crashes.
     fn crash_under(&mut self, requests: &[Fingerprint]) -> Vec<Option<Audience>> {
         self.server_count += 1;
         let sent_at = self.now;
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn three_ends_in_a_row_are_enough() {
+fn three_consecutive_crashes_lead_to_a_verdict() {
     let mut scenario = Scenario::new();
     assert_eq!(scenario.crash_under(&[FATAL]), [Some(Audience::Region)]);
     assert_eq!(scenario.crash_under(&[FATAL]), [Some(Audience::AllRegions)]);
     assert!(!scenario.refuses(FATAL));
     scenario.crash_under(&[FATAL]);
-    assert!(scenario.refuses(FATAL), "it is held until it is judged");
+    assert!(scenario.refuses(FATAL), "it is held back until it is evaluated");
     let target = Target { content: FATAL.content, caller: Some(FATAL.caller) };
     assert_eq!(scenario.wait(EVALUATED), [target]);
     assert!(scenario.refuses(FATAL));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_several_callers_send_is_refused_to_all() {
+fn a_content_that_several_callers_send_is_refused_to_all() {
     let mut scenario = Scenario::new();
     for caller in 1..=3 {
         scenario.crash_under(&[Fingerprint { caller, ..FATAL }]);
@@ -84,22 +84,23 @@
 }
 
 #[test]
-fn a_content_is_held_back_no_longer_than_enough_speaks_against_it() {
+fn a_content_is_held_back_only_while_there_are_enough_crashes() {
     let mut scenario = Scenario::new();
     let sent_by = |caller| Fingerprint { caller, ..INNOCENT };
     for caller in 1..=3 {
         scenario.crash_under(&[sent_by(caller)]);
     }
-    assert!(scenario.refuses(sent_by(4)), "it is held until it is judged");
+    assert!(scenario.refuses(sent_by(4)), "it is held back until it is evaluated");
     scenario.quarantine.record_success(sent_by(1), scenario.now);
     assert!(!scenario.refuses(sent_by(4)));
     assert!(scenario.wait(EVALUATED).is_empty());
 }
 
-/// A content that crashed engines was sent by five callers and more: each ended three of them before it was refused, 28
-/// engines in all, and each box came to 108 verdicts about that one content.
+/// A content that crashed engines was sent by five callers and more. Each caller crashed three
+/// engines before it was refused, 28 in all, and each box reached 108 verdicts about that one
+/// content.
 #[test]
-fn each_further_caller_of_a_content_that_is_refused_to_one_ends_no_three_servers_more() {
+fn further_callers_of_a_refused_content_do_not_crash_three_servers_each() {
     let mut scenario = Scenario::new();
     for _ in 0..3 {
         scenario.crash_under(&[FATAL]);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_success_of_one_caller_acquits_what_was_refused_to_all() {
+fn a_success_of_one_caller_ends_a_verdict_on_all_callers() {
     let mut scenario = Scenario::new();
     for _ in 0..3 {
         scenario.crash_under(&[FATAL]);
@@ -127,11 +128,11 @@
     let now = scenario.now;
     scenario.quarantine.record_success(other, now);
     assert!(!scenario.refuses(other) && !scenario.refuses(Fingerprint { caller: 6, ..FATAL }));
-    assert!(scenario.refuses(FATAL), "its own ends stand");
+    assert!(scenario.refuses(FATAL), "crashes under its own requests still count");
 }
 
 #[test]
-fn servers_that_end_together_are_no_evidence() {
+fn simultaneous_crashes_are_no_evidence() {
     let mut scenario = Scenario::new();
     let (sent_at, now) = (scenario.now, scenario.now + TIME_TO_CRASH);
     for life in 1..=20 {
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn what_was_answered_is_not_the_cause() {
+fn an_answered_request_is_not_the_cause() {
     let mut scenario = Scenario::new();
     for _ in 0..10 {
         scenario.crash_under(&[FATAL, INNOCENT]);
@@ -159,14 +160,14 @@
 }
 
 #[test]
-fn those_that_saw_the_same_ends_are_let_in_one_after_the_other() {
+fn requests_with_the_same_crashes_are_admitted_one_after_the_other() {
     let mut scenario = Scenario::new();
     for _ in 0..3 {
         scenario.crash_under(&[FATAL, INNOCENT]);
     }
     assert!(scenario.wait(EVALUATED).is_empty());
-    assert_ne!(scenario.refuses(FATAL), scenario.refuses(INNOCENT), "one of them may run");
-    // The next end tells them apart.
+    assert_ne!(scenario.refuses(FATAL), scenario.refuses(INNOCENT), "one of them may be executed");
+    // The next crash tells them apart.
     scenario.crash_under(&[FATAL]);
     scenario.wait(EVALUATED);
     assert!(scenario.refuses(FATAL));
@@ -174,10 +175,11 @@
     assert!(!scenario.refuses(INNOCENT));
 }
 
-/// Requests that are alike among callers run on every server, so they were under every end and were held back, some
-/// hundreds a second. The one that ends servers runs on none that lives.
+/// Requests that are identical among callers are executed on every server. They were present at
+/// every crash, and some hundreds a second were held back. The request that crashes servers is
+/// executed on no running server.
 #[test]
-fn what_runs_on_servers_that_live_is_not_held_back() {
+fn requests_on_several_running_servers_are_not_held_back() {
     let mut scenario = Scenario::new();
     for server in ["s1", "s2"] {
         scenario.quarantine.begin_execution(server.to_owned(), INNOCENT);
@@ -190,9 +192,10 @@
     assert!(scenario.refuses(FATAL) && !scenario.refuses(INNOCENT));
 }
 
-/// The last one that was held back needs no trial: the others run by then, and their servers live.
+/// The last suspect held back needs no trial: the others are executed by then, and their servers
+/// keep running.
 #[test]
-fn who_is_left_is_refused_without_another_end() {
+fn the_last_suspect_is_refused_without_another_crash() {
     let mut scenario = Scenario::new();
     let first = Fingerprint { content: FATAL.content - 1, caller: 3 };
     for _ in 0..3 {
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn suspicious_requests_run_on_different_servers() {
+fn suspicious_requests_are_executed_on_different_servers() {
     let mut scenario = Scenario::new();
     scenario.crash_under(&[FATAL, INNOCENT]);
     assert!(!scenario.quarantine.needs_isolation(FATAL));
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn a_verdict_runs_out_and_one_more_end_renews_it() {
+fn an_expired_verdict_is_renewed_by_one_more_crash() {
     let mut scenario = Scenario::new();
     for _ in 0..3 {
         scenario.crash_under(&[FATAL]);
@@ -240,10 +243,10 @@
 }
 
 #[test]
-fn what_boxes_tell_each_other_is_enough_for_all_of_them() {
+fn crashes_seen_by_different_boxes_lead_to_a_verdict_in_all() {
     let mut scenarios = [Scenario::new(), Scenario::new(), Scenario::new()];
     let start = scenarios[0].now;
-    // Each box sees one end; each tells the others.
+    // Each box observes one crash and reports it to the others.
     for (number, life) in [(0, 1), (1, 2), (2, 3)] {
         let sent_at = start + TIME_TO_CRASH * number;
         let now = sent_at + TIME_TO_CRASH;
@@ -263,7 +266,7 @@
         scenario.wait(EVALUATED);
         assert!(scenario.refuses(FATAL));
     }
-    // Only the box that saw the last one writes the verdict; others do if it does not.
+    // Only the box that observed the last crash writes the verdict; others do if it does not.
     let unwritten =
         scenarios.each_ref().map(|scenario| scenario.quarantine.unwritten_verdicts(9).len());
     assert_eq!(unwritten, [0, 0, 1]);
@@ -272,11 +275,12 @@
     assert_eq!(scenarios[0].quarantine.unwritten_verdicts(9).len(), 1);
 }
 
-/// Boxes tell each other all ends of a request from the second on. One that had been answered dropped them and was
-/// told of them again by the next box, as news, which it passed on: 15 s after the last end the request was still held
-/// back at times, though it had been answered hundreds of times.
+/// Boxes report all crashes of a request to each other from the second one on. A box in which the
+/// request had been answered dropped them, then received them from the next box as new ones and
+/// passed them on. 15 s after the last crash, a request that had been answered hundreds of times
+/// was still held back at times.
 #[test]
-fn ends_from_before_a_success_do_not_come_back() {
+fn crashes_before_a_success_are_not_reported_again() {
     let mut scenarios = [Scenario::new(), Scenario::new()];
     let start = scenarios[0].now;
     for life in 1..=3 {
@@ -302,19 +306,22 @@
     now += Duration::from_millis(10);
     scenarios[0].quarantine.record_success(INNOCENT, now);
     exchange(&mut scenarios, now);
-    assert!(!scenarios[0].refuses(INNOCENT), "the other box tells what is over");
+    assert!(
+        !scenarios[0].refuses(INNOCENT),
+        "the other box reports crashes from before the success"
+    );
     for _ in 0..20 {
         now += Duration::from_millis(200);
         exchange(&mut scenarios, now);
     }
     assert!(
         scenarios[1].quarantine.crash_reports(Audience::AllRegions, now).is_empty(),
-        "it is no news"
+        "the crashes are no longer reported"
     );
 }
 
 #[test]
-fn a_verdict_reaches_a_box_by_any_way() {
+fn a_verdict_reaches_boxes_by_report_by_state_and_by_store() {
     let mut scenario = Scenario::new();
     for _ in 0..3 {
         scenario.crash_under(&[FATAL]);
@@ -350,15 +357,15 @@
     assert!(scenario.quarantine.unwritten_verdicts(usize::MAX).len() <= 1024);
     assert!(scenario.quarantine.crash_reports(Audience::Region, scenario.now).len() <= 128);
     assert!(scenario.quarantine.verdict_reports(scenario.now, &mut rand::rng()).len() <= 48);
-    // The newest are known.
+    // The newest verdicts are kept.
     assert!(scenario.refuses(Fingerprint { content: 9_999, caller: 9_999 }));
 }
 
 proptest! {
-    /// Whatever runs beside it: a request that ends each server is refused after five ends in a row,
-    /// and one that is answered each second time it comes is not refused for long.
+    /// Whatever is executed beside it: a request that crashes each server is refused after five
+    /// consecutive crashes, and one that is answered every second time is not refused for long.
     #[test]
-    fn the_cause_is_found_and_others_are_served(
+    fn the_cause_is_refused_and_others_are_served(
         beside in prop::collection::vec(prop::collection::vec(10_u64..40, 0..12), 5..9),
     ) {
         let mut scenario = Scenario::new();
--- a/lib/tests/test_quarantine_load.rs
+++ b/lib/tests/test_quarantine_load.rs
@@ -1,6 +1,6 @@
-//! Plays the load of a bad day without a network: a request that ends servers comes 2.5 times a second
-//! to six boxes of two regions, among 900 others a second, each of which its box and its caller send
-//! again when it breaks off.
+//! Simulates a day with a request that crashes servers, without a network. The request arrives 2.5
+//! times a second at six boxes of two regions, among 900 others a second. The box and the caller of
+//! each request send it again when it breaks off.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,27 +19,27 @@
 use rand::rngs::SmallRng;
 
 const STEP: Duration = Duration::from_millis(5);
-/// How long the request comes.
+/// How long the crashing request keeps arriving.
 const DURATION: Duration = Duration::from_secs(16);
 /// Other requests, a second and server.
 const OTHERS_PER_SERVER: f64 = 100.0;
 const CRASHING_PER_SECOND: f64 = 2.5;
-/// Time that a request takes, and from the send of the fatal one to the server's end.
+/// Duration of an ordinary request, and time from sending the crashing one to the crash.
 const REQUEST_TIME: Duration = Duration::from_millis(2500);
 const TIME_TO_CRASH: Duration = Duration::from_millis(300);
-/// Time until a server that ended is back.
+/// Time until a crashed server is back.
 const RESTART_TIME: Duration = Duration::from_millis(1400);
-/// Ways of a datagram within a region and to another one.
+/// Latency of a datagram within a region and between regions.
 const LATENCY_IN_REGION: Duration = Duration::from_millis(5);
 const LATENCY_BETWEEN_REGIONS: Duration = Duration::from_millis(60);
-/// Time from the third end in which all boxes must know.
+/// Time from the third crash within which all boxes must refuse the request.
 const DETECTION_TIME: Duration = Duration::from_secs(5);
 
 struct Request {
     fingerprint: Fingerprint,
-    /// Sends that are left to its box, and tries to its caller.
+    /// Remaining attempts of the box, and of the caller.
     sends: u32,
-    tries: u32,
+    caller_attempts: u32,
 }
 
 struct Execution {
@@ -51,87 +51,89 @@
 
 struct Server {
     region: usize,
-    life: u64,
+    incarnation: u64,
     back_at: Instant,
 }
 
 struct Datagram {
     box_index: usize,
-    ends: Vec<wire::CrashReport>,
+    crashes: Vec<wire::CrashReport>,
     verdicts: Vec<wire::VerdictReport>,
     trials: Vec<String>,
 }
 
 impl Datagram {
     fn bytes(&self) -> usize {
-        let ends: usize = self.ends.iter().map(|end| end.encoded_len() + 2).sum();
+        let crashes: usize = self.crashes.iter().map(|crash| crash.encoded_len() + 2).sum();
         let verdicts: usize = self.verdicts.iter().map(|verdict| verdict.encoded_len() + 2).sum();
         let trials: usize = self.trials.iter().map(|server| server.len() + 2).sum();
-        ends + verdicts + trials
+        crashes + verdicts + trials
     }
 }
 
 #[derive(Debug, Default)]
 struct Summary {
-    ends: Vec<Instant>,
-    /// Sends of the fatal request.
+    crashes: Vec<Instant>,
+    /// Attempts of the crashing request.
     sends: Vec<Instant>,
     served: usize,
-    /// Others that were refused for what they had seen.
+    /// Other requests that were refused because they had seen crashes.
     refused: usize,
-    /// Most bytes of ends, verdicts and trials that went to one box in a second, and in one datagram.
+    /// Maximum number of bytes of crashes, verdicts and reserved servers sent to one box in a
+    /// second, and in one datagram.
     bytes_per_second: usize,
     datagram_bytes: usize,
 }
 
-/// Boxes and servers of each region.
+/// Number of boxes and servers of each region.
 #[derive(Clone, Copy, Debug)]
 struct Layout<'a> {
     boxes: &'a [usize],
     servers: &'a [usize],
 }
 
-/// Two halls.
-const SMALL: Layout<'static> = Layout { boxes: &[4, 2], servers: &[5, 4] };
+/// Two regions.
+const TWO_REGIONS: Layout<'static> = Layout { boxes: &[4, 2], servers: &[5, 4] };
 
-/// Who sends what.
+/// The requests of a simulation.
 #[derive(Clone, Copy, Debug)]
 struct Workload {
-    /// Callers of the request that ends servers.
+    /// Number of callers of the crashing request.
     crashing_callers: u64,
-    /// Its rate, requests a second.
+    /// Rate of the crashing request, a second.
     crashing_rate: f64,
-    /// Part of the others that are alike among all their callers, as requests without a body are.
+    /// Fraction of the other requests whose content is identical among callers, as it is without a
+    /// body.
     shared_fraction: f64,
 }
 
-/// One caller, and nothing that is alike.
+/// One caller, and no identical contents.
 const SINGLE_CALLER: Workload =
     Workload { crashing_callers: 1, crashing_rate: CRASHING_PER_SECOND, shared_fraction: 0.0 };
-/// Contents of the others that are alike.
+/// Number of identical contents among the other requests.
 const SHARED_CONTENTS: u64 = 5;
-/// Callers of the others.
+/// Number of callers of the other requests.
 const CALLERS: u64 = 50;
 
 struct Simulation {
     duration: Duration,
-    /// Whether boxes enter what they run, and keep suspects apart by it.
+    /// Whether boxes record the executions, and isolate suspects by them.
     tracks_executions: bool,
     workload: Workload,
     rng: SmallRng,
     now: Instant,
     boxes: Vec<(usize, Quarantine)>,
     servers: Vec<Server>,
-    /// By when they end, and the number of the send.
+    /// By end time and number of the attempt.
     running: BTreeMap<(Instant, u64), Execution>,
-    /// When they arrive, and where.
+    /// Arrival time, receiving box and datagram.
     datagrams: Vec<(Instant, usize, Rc<Datagram>)>,
-    /// Sent to each box within the running second.
+    /// Bytes sent to each box within the current second.
     bytes: Vec<usize>,
     due: BTreeMap<(Instant, u64), Request>,
     counter: u64,
     sends: u64,
-    /// Draws what boxes tell beside the news.
+    /// Selects the older verdicts in reports.
     reports_rng: SmallRng,
     summary: Summary,
 }
@@ -156,7 +158,11 @@
             boxes: boxes.map(|region| (region, Quarantine::default())).collect(),
             servers: servers
                 .enumerate()
-                .map(|(life, region)| Server { region, life: life as u64 + 1, back_at: now })
+                .map(|(incarnation, region)| Server {
+                    region,
+                    incarnation: incarnation as u64 + 1,
+                    back_at: now,
+                })
                 .collect(),
             running: BTreeMap::new(),
             datagrams: Vec::new(),
@@ -170,9 +176,9 @@
     }
 
     fn simulate(mut self) -> Summary {
-        let end = self.now + self.duration;
+        let crash = self.now + self.duration;
         let mut steps = 0;
-        while self.now < end {
+        while self.now < crash {
             let others = OTHERS_PER_SERVER * self.servers.len() as f64;
             for (rate, crashing) in [(others, false), (self.workload.crashing_rate, true)] {
                 if self.rng.random_bool((rate * STEP.as_secs_f64()).fract()) {
@@ -185,11 +191,11 @@
             self.step();
             steps += 1;
             if steps % 40 == 0 {
-                self.reports();
+                self.report_all();
             }
             if steps % 200 == 0 {
-                let most = self.bytes.iter().copied().max().unwrap_or_default();
-                self.summary.bytes_per_second = self.summary.bytes_per_second.max(most);
+                let max_bytes = self.bytes.iter().copied().max().unwrap_or_default();
+                self.summary.bytes_per_second = self.summary.bytes_per_second.max(max_bytes);
                 self.bytes.fill(0);
             }
         }
@@ -199,7 +205,10 @@
     fn arrive(&mut self, crashing: bool) {
         self.counter += 1;
         let fingerprint = self.draw(crashing);
-        self.due.insert((self.now, self.counter), Request { fingerprint, sends: 2, tries: 2 });
+        self.due.insert(
+            (self.now, self.counter),
+            Request { fingerprint, sends: 2, caller_attempts: 2 },
+        );
     }
 
     fn draw(&mut self, crashing: bool) -> Fingerprint {
@@ -232,26 +241,28 @@
         for (_, to, datagram) in arrived {
             let quarantine = &mut self.boxes[to].1;
             quarantine.receive_reserved_servers(datagram.box_index as u64, &datagram.trials, now);
-            datagram.ends.iter().for_each(|end| quarantine.receive_crash(end, now));
+            datagram.crashes.iter().for_each(|crash| quarantine.receive_crash(crash, now));
             datagram.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
         }
-        let (mut ended, mut crashing) = (BTreeSet::new(), Vec::new());
+        let (mut crashed, mut crashing) = (BTreeSet::new(), Vec::new());
         while let Some(((at, _), _)) = self.running.first_key_value()
             && *at <= now
         {
-            let Some((key, run)) = self.running.pop_first() else { break };
-            if is_crashing(&run.request) {
-                ended.insert(run.server);
-                crashing.push((key, run));
+            let Some((key, execution)) = self.running.pop_first() else { break };
+            if is_crashing(&execution.request) {
+                crashed.insert(execution.server);
+                crashing.push((key, execution));
             } else {
                 self.summary.served += 1;
-                self.finish(&run);
-                self.boxes[run.box_index].1.record_success(run.request.fingerprint, now);
+                self.finish(&execution);
+                self.boxes[execution.box_index]
+                    .1
+                    .record_success(execution.request.fingerprint, now);
             }
         }
-        // They end with their servers.
+        // These end with their servers.
         self.running.extend(crashing);
-        ended.into_iter().for_each(|server| self.end(server));
+        crashed.into_iter().for_each(|server| self.crash(server));
     }
 
     fn place(&mut self, mut request: Request, box_index: usize) {
@@ -260,107 +271,108 @@
             self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
-        let up = |server: &usize| {
+        let available = |server: &usize| {
             self.servers[*server].region == *region && self.servers[*server].back_at <= self.now
         };
-        let mut up: Vec<usize> = (0..self.servers.len()).filter(up).collect();
-        if up.is_empty() {
+        let mut available: Vec<usize> = (0..self.servers.len()).filter(available).collect();
+        if available.is_empty() {
             return;
         }
         if self.tracks_executions && quarantine.needs_isolation(request.fingerprint) {
             let without = |servers: Vec<&String>| {
                 let other = |server: &&usize| !servers.contains(&&server.to_string());
-                up.iter().filter(other).copied().collect::<Vec<usize>>()
+                available.iter().filter(other).copied().collect::<Vec<usize>>()
             };
             let isolated =
                 without(quarantine.servers_with_suspects(request.fingerprint, self.now).collect());
-            up = match isolated.is_empty() {
+            available = match isolated.is_empty() {
                 true => {
                     without(quarantine.reserved_servers(request.fingerprint, self.now).collect())
                 }
                 false => isolated,
             };
         }
-        if up.is_empty() {
+        if available.is_empty() {
             self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
-        let server = up[self.rng.random_range(0..up.len())];
+        let server = available[self.rng.random_range(0..available.len())];
         request.sends -= 1;
-        let work = if is_crashing(&request) { TIME_TO_CRASH } else { REQUEST_TIME };
+        let duration = if is_crashing(&request) { TIME_TO_CRASH } else { REQUEST_TIME };
         if is_crashing(&request) {
             self.summary.sends.push(self.now);
         }
-        let work = work.mul_f64(self.rng.random_range(0.5..1.5));
+        let duration = duration.mul_f64(self.rng.random_range(0.5..1.5));
         if self.tracks_executions {
             quarantine.begin_execution(server.to_string(), request.fingerprint);
         }
         self.sends += 1;
-        let run = Execution { request, box_index, server, sent_at: self.now };
-        self.running.insert((self.now + work, self.sends), run);
+        let execution = Execution { request, box_index, server, sent_at: self.now };
+        self.running.insert((self.now + duration, self.sends), execution);
     }
 
-    fn finish(&mut self, run: &Execution) {
+    fn finish(&mut self, execution: &Execution) {
         if !self.tracks_executions {
             return;
         }
-        let quarantine = &mut self.boxes[run.box_index].1;
-        quarantine.finish_execution(&run.server.to_string(), run.request.fingerprint);
+        let quarantine = &mut self.boxes[execution.box_index].1;
+        quarantine.finish_execution(&execution.server.to_string(), execution.request.fingerprint);
     }
 
-    fn end(&mut self, server: usize) {
+    fn crash(&mut self, server: usize) {
         let now = self.now;
         self.counter += 1;
-        let life = std::mem::replace(&mut self.servers[server].life, self.counter);
+        let incarnation = std::mem::replace(&mut self.servers[server].incarnation, self.counter);
         self.servers[server].back_at = now + RESTART_TIME;
-        self.summary.ends.push(now);
-        let keys = self.running.iter().filter(|(_, run)| run.server == server);
+        self.summary.crashes.push(now);
+        let keys = self.running.iter().filter(|(_, execution)| execution.server == server);
         let mut keys: Vec<(Instant, u64)> = keys.map(|(key, _)| *key).collect();
         keys.sort_by_key(|(_, sent)| *sent);
-        let broken: Vec<Execution> =
+        let interrupted: Vec<Execution> =
             keys.iter().filter_map(|key| self.running.remove(key)).collect();
         let mut audiences: BTreeMap<usize, Option<Audience>> = BTreeMap::new();
-        broken.iter().for_each(|run| self.finish(run));
-        for Execution { request, box_index, sent_at, .. } in broken {
-            let run =
+        interrupted.iter().for_each(|execution| self.finish(execution));
+        for Execution { request, box_index, sent_at, .. } in interrupted {
+            let execution =
                 InterruptedRequest { request: request.fingerprint, sent_at, interrupted_at: now };
-            let audience = self.boxes[box_index].1.record_crash(life, run, now);
+            let audience = self.boxes[box_index].1.record_crash(incarnation, execution, now);
             let widest = audiences.entry(box_index).or_default();
             if *widest != Some(Audience::AllRegions) {
                 *widest = audience.or(*widest);
             }
             if request.sends > 0 {
                 self.place(request, box_index);
-            } else if request.tries > 1 {
+            } else if request.caller_attempts > 1 {
                 self.counter += 1;
-                let again = Request { sends: 2, tries: request.tries - 1, ..request };
+                let again =
+                    Request { sends: 2, caller_attempts: request.caller_attempts - 1, ..request };
                 self.due.insert((now + Duration::from_millis(60), self.counter), again);
             }
         }
         for (box_index, audience) in audiences {
             if let Some(audience) = audience {
-                self.tell(box_index, audience);
+                self.send_reports(box_index, audience);
             }
         }
     }
 
-    fn reports(&mut self) {
+    fn report_all(&mut self) {
         for box_index in 0..self.boxes.len() {
             let has_new_verdicts = !self.boxes[box_index].1.tick(self.now).is_empty();
-            self.tell(
+            self.send_reports(
                 box_index,
                 if has_new_verdicts { Audience::AllRegions } else { Audience::Region },
             );
         }
     }
 
-    fn tell(&mut self, box_index: usize, audience: Audience) {
+    fn send_reports(&mut self, box_index: usize, audience: Audience) {
         let (now, region) = (self.now, self.boxes[box_index].0);
         let quarantine = &self.boxes[box_index].1;
         let reports_rng = &mut self.reports_rng;
         let mut datagram_for = |audience| Datagram {
             box_index,
-            ends: quarantine.crash_reports(audience, now),
+            crashes: quarantine.crash_reports(audience, now),
             verdicts: quarantine.verdict_reports(now, reports_rng),
             trials: quarantine.own_reserved_servers(),
         };
@@ -387,119 +399,128 @@
     }
 }
 
-/// Of 20 plays: 5.6 servers end on average, the last 1.8 s after the first at most; 6.5
-/// where an end counts only if the request was sent there after the one before.
+/// Of 20 simulations: on average 5.6 servers crash, the last one at most 1.8 s after the first; 6.5
+/// if a crash counted only when the request was sent there after the previous one.
 #[test]
-fn a_request_that_ends_servers_is_known_within_seconds() {
+fn a_request_that_crashes_servers_is_refused_within_seconds() {
     let mut total = 0;
     for seed in 0..20 {
-        let Summary { ends, sends, served, refused, .. } =
-            Simulation::new(seed, SMALL, SINGLE_CALLER).simulate();
-        let third = ends[2];
-        let late = sends.iter().filter(|at| **at > third + DETECTION_TIME).count();
-        let last = ends[ends.len() - 1].duration_since(ends[0]);
-        assert!(late == 0, "seed {seed}: {late} sends long after the third end");
-        assert!(last < Duration::from_secs(2), "seed {seed}: the last end after {last:?}");
+        let Summary { crashes, sends, served, refused, .. } =
+            Simulation::new(seed, TWO_REGIONS, SINGLE_CALLER).simulate();
+        let third_crash_at = crashes[2];
+        let late = sends.iter().filter(|at| **at > third_crash_at + DETECTION_TIME).count();
+        let last = crashes[crashes.len() - 1].duration_since(crashes[0]);
+        assert!(late == 0, "seed {seed}: {late} sends long after the third crash");
+        assert!(last < Duration::from_secs(2), "seed {seed}: the last crash after {last:?}");
         assert!(refused * 50 < served, "seed {seed}: {refused} others refused, {served} served");
-        total += ends.len();
+        total += crashes.len();
     }
-    assert!(total <= 125, "{total} servers ended in 20 plays");
+    assert!(total <= 125, "{total} servers crashed in 20 simulations");
 }
 
-/// Servers that ended, others that were refused and others that were served, in five plays.
+/// Crashed servers, refused and served other requests, in five simulations.
 fn simulate_five(workload: Workload) -> (usize, usize, usize) {
     simulate_many(5, workload, true)
 }
 
 fn simulate_many(count: u64, workload: Workload, tracks_executions: bool) -> (usize, usize, usize) {
-    let (mut ended, mut refused, mut served) = (0, 0, 0);
+    let (mut crashed, mut refused, mut served) = (0, 0, 0);
     for seed in 0..count {
         let summary =
-            Simulation { tracks_executions, ..Simulation::new(seed, SMALL, workload) }.simulate();
+            Simulation { tracks_executions, ..Simulation::new(seed, TWO_REGIONS, workload) }
+                .simulate();
         let late =
-            summary.sends.iter().filter(|at| **at > summary.ends[2] + DETECTION_TIME).count();
-        assert!(late == 0, "seed {seed}: {late} sends long after the third end, {workload:?}");
-        ended += summary.ends.len();
+            summary.sends.iter().filter(|at| **at > summary.crashes[2] + DETECTION_TIME).count();
+        assert!(late == 0, "seed {seed}: {late} sends long after the third crash, {workload:?}");
+        crashed += summary.crashes.len();
         refused += summary.refused;
         served += summary.served;
     }
-    println!("{workload:?}: {ended} ended, {refused} others refused, {served} served");
-    (ended, refused, served)
+    println!("{workload:?}: {crashed} crashed, {refused} others refused, {served} served");
+    (crashed, refused, served)
 }
 
-/// The same content from one caller, ten and a hundred, as often as a frequent kind has it: how many callers there are
-/// makes no difference to the servers.
+/// The same content from one caller, ten and a hundred, at the rate of a frequent kind of request:
+/// the number of callers makes no difference to the servers.
 #[test]
-fn how_many_callers_send_the_request_makes_no_difference() {
+fn the_number_of_callers_makes_no_difference() {
     for crashing_callers in [1, 10, 100] {
         let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.0 };
-        let (ended, refused, served) = simulate_five(workload);
-        assert!(ended <= 5 * 9, "{crashing_callers} callers: {ended} servers ended in 5 plays");
+        let (crashed, refused, served) = simulate_five(workload);
+        assert!(
+            crashed <= 5 * 9,
+            "{crashing_callers} callers: {crashed} servers crashed in 5 simulations"
+        );
         assert!(refused * 50 <= served, "{refused} others refused, {served} served");
     }
 }
 
-/// Half of the other requests are alike among all their callers, as those without a body are. They run on every server, so
-/// each end is under them too, and they are answered hundreds of times a second.
+/// Half of the other requests are identical among their callers, as those without a body are. They
+/// are executed on every server, so that they are present at each crash, and are answered hundreds
+/// of times a second.
 #[test]
-fn requests_that_are_alike_among_callers_are_served_beside_one_that_ends_servers() {
+fn identical_requests_are_served_beside_one_that_crashes_servers() {
     let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
     let (_, refused, served) = simulate_five(workload);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
 #[test]
-fn requests_that_are_alike_are_served_though_nobody_enters_what_runs() {
+fn identical_requests_are_served_if_executions_are_not_tracked() {
     let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
     let (_, refused, served) = simulate_many(5, workload, false);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
-/// Boxes that hear each other know within it.
+/// Time within which boxes that receive each other's reports refuse the request.
 const FAST_DETECTION_TIME: Duration = Duration::from_millis(1500);
 
 const THIRTY: Layout<'static> = Layout { boxes: &[10, 10, 10], servers: &[13, 13, 13] };
 const HUNDRED: Layout<'static> = Layout { boxes: &[34, 33, 33], servers: &[44, 43, 43] };
 
-/// Three regions, and a fifth of the other requests alike; for one caller of the fatal request, ten and a hundred.
+/// Three regions, with a fifth of the other requests identical; for one caller of the crashing
+/// request, ten and a hundred.
 fn simulate_at_size(layout: Layout<'_>) -> impl Iterator<Item = Summary> {
     [1, 10, 100].into_iter().map(move |crashing_callers| {
         let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.2 };
         let simulation =
             Simulation { duration: DURATION / 2, ..Simulation::new(1, layout, workload) };
         let summary = simulation.simulate();
-        let Summary { ends, served, refused, bytes_per_second, datagram_bytes, .. } = &summary;
-        println!("{layout:?} {workload:?}: {} ended, {refused} of {served} refused", ends.len());
+        let Summary { crashes, served, refused, bytes_per_second, datagram_bytes, .. } = &summary;
+        println!(
+            "{layout:?} {workload:?}: {} crashed, {refused} of {served} refused",
+            crashes.len()
+        );
         println!("to one box {bytes_per_second} bytes in a second, {datagram_bytes} in a datagram");
         summary
     })
 }
 
-fn is_known_in_time(summary: &Summary) -> bool {
-    let Summary { ends, sends, datagram_bytes, .. } = summary;
-    let late = sends.iter().filter(|at| **at > ends[2] + FAST_DETECTION_TIME).count();
+fn is_refused_in_time(summary: &Summary) -> bool {
+    let Summary { crashes, sends, datagram_bytes, .. } = summary;
+    let late = sends.iter().filter(|at| **at > crashes[2] + FAST_DETECTION_TIME).count();
     late <= 3 && *datagram_bytes <= 8 << 10
 }
 
-fn others_are_served(summary: &Summary) -> bool {
+fn serves_others(summary: &Summary) -> bool {
     summary.refused * 50 <= summary.served
 }
 
 #[test]
-fn thirty_boxes_of_three_regions_know_as_soon_as_six() {
+fn thirty_boxes_of_three_regions_refuse_as_soon_as_six() {
     assert!(
         simulate_at_size(THIRTY)
-            .all(|summary| is_known_in_time(&summary) && others_are_served(&summary))
+            .all(|summary| is_refused_in_time(&summary) && serves_others(&summary))
     );
 }
 
 #[test]
-fn a_hundred_boxes_of_three_regions_know_as_soon_as_six() {
-    assert!(simulate_at_size(HUNDRED).all(|summary| is_known_in_time(&summary)));
+fn a_hundred_boxes_of_three_regions_refuse_as_soon_as_six() {
+    assert!(simulate_at_size(HUNDRED).all(|summary| is_refused_in_time(&summary)));
 }
 
 #[test]
-fn others_are_served_before_a_hundred_boxes() {
-    let are_served = |summary: Summary| summary.refused * 45 <= summary.served;
-    assert!(simulate_at_size(HUNDRED).all(are_served));
+fn a_hundred_boxes_serve_other_requests() {
+    let serves_others = |summary: Summary| summary.refused * 45 <= summary.served;
+    assert!(simulate_at_size(HUNDRED).all(serves_others));
 }
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other fits into a datagram, however much there is to tell.
+//! A report fits into a datagram, however much there is to report.
 
 use copperweir_lib::coordination::departures::wire::DepartureNotice;
 use copperweir_lib::coordination::loads::BoxReport;
@@ -27,15 +27,16 @@
     }
 }
 
-/// Engines that end under load while others leave and the store is away: each list has its own bound, and all of them
-/// together were 11,549 bytes. The receiver read the first 8,192, and of those nothing.
+/// Engines crash under load while others are leaving and the store is away. Each list has its own
+/// limit, but all of them together were 11,549 bytes. The receiver read the first 8,192 bytes and
+/// could decode nothing.
 #[test]
 fn all_lists_together_fit() {
     let mut report = report(128, 200);
     assert!(report.encoded_len() > DATAGRAM);
     report.truncate_to(DATAGRAM);
     assert!(report.encoded_len() <= DATAGRAM);
-    let read = BoxReport::decode(report.encode_to_vec().as_slice()).expect("it can be read");
+    let read = BoxReport::decode(report.encode_to_vec().as_slice()).expect("a valid report");
     assert_eq!(read.leaving_servers.len(), 32);
     assert!(read.ends.len() >= 16, "{} ends", read.ends.len());
     assert_eq!(read.servers.len(), read.in_flight.len());
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn what_fits_is_left_alone() {
+fn a_report_that_fits_is_unchanged() {
     let mut few = report(3, 10);
     let before = few.clone();
     few.truncate_to(DATAGRAM);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_region_of_a_thousand_servers_is_told_of_in_part() {
+fn a_report_on_a_thousand_servers_is_truncated() {
     let mut report = report(128, 1000);
     report.truncate_to(DATAGRAM);
     assert!(report.encoded_len() <= DATAGRAM && !report.servers.is_empty());
--- a/lib/tests/test_rest.rs
+++ b/lib/tests/test_rest.rs
@@ -1,4 +1,5 @@
-//! Servers that want rest, and callers who come back after it, without sockets or a clock.
+//! Servers that ask boxes to back off, and callers that retry afterwards, without sockets or a
+//! clock.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,7 +11,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn of_several_rests_the_one_that_ends_last_counts() {
+fn the_backoff_that_ends_last_applies() {
     let now = Instant::now();
     let mut backoffs = Backoffs::default();
     backoffs.record(1, SECOND * 3, now);
@@ -19,11 +20,11 @@
     backoffs.record(1, SECOND * 3, now + SECOND);
     assert_eq!(backoffs.until(1, now + SECOND * 3), Some(now + SECOND * 4));
     assert!(!backoffs.admits(1, 0, now + SECOND * 3));
-    assert!(backoffs.admits(2, 50, now + SECOND * 3), "others do not rest");
+    assert!(backoffs.admits(2, 50, now + SECOND * 3), "other servers are unaffected");
 }
 
 #[test]
-fn after_a_rest_some_requests_come_first_and_then_all() {
+fn the_number_of_requests_grows_after_a_backoff() {
     let now = Instant::now();
     let mut backoffs = Backoffs::default();
     backoffs.record(1, SECOND, now);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_rest_without_end_has_one() {
+fn an_unlimited_backoff_ends() {
     let now = Instant::now();
     let mut backoffs = Backoffs::default();
     backoffs.record(1, Duration::MAX, now);
@@ -46,7 +47,7 @@
 
 proptest! {
     #[test]
-    fn nobody_comes_back_early_or_with_all_others(callers in 1_usize..500, rest in 100_u64..5000) {
+    fn callers_retry_neither_early_nor_all_at_once(callers in 1_usize..500, rest in 100_u64..5000) {
         let new = Instant::now();
         let room_at = new + Duration::from_millis(rest);
         let mut retry_spread = RetrySpread::default();
@@ -59,7 +60,8 @@
         back.sort();
         prop_assert!(back[0] >= room_at);
         prop_assert!(back[callers - 1] <= room_at + SECOND);
-        // A tenth of the time for which callers are spread brings little more than a tenth of them.
+        // A tenth of the time over which callers are spread contains little more than a tenth of
+        // them.
         for first in &back {
             let window = *first..*first + SECOND / 10;
             let together = back.iter().filter(|at| window.contains(at)).count();
@@ -68,7 +70,7 @@
     }
 }
 
-/// Two servers of a pool, one of which wants rest.
+/// A pool of servers, one of which asks to back off.
 mod pool {
     use std::collections::BTreeMap;
     use std::collections::BTreeSet;
@@ -132,7 +134,7 @@
             self.pool.arrive(arrival, self.now, &mut self.rng).0
         }
 
-        /// Places a request and gives its server.
+        /// Places a request and returns its server.
         fn place(&mut self) -> String {
             match self.arrive(SECOND) {
                 Decision::Now(Placement::Server(server, _)) => server,
@@ -146,7 +148,7 @@
     }
 
     #[test]
-    fn a_resting_server_gets_nothing_and_has_not_failed() {
+    fn a_server_that_is_backing_off_gets_nothing_and_has_not_failed() {
         let mut scenario = Scenario::new(2);
         let resting = scenario.place();
         for _ in 0..5 {
@@ -162,11 +164,11 @@
         }
         scenario.now += SECOND * 4;
         let placed: BTreeSet<String> = (0..8).map(|_| scenario.place()).collect();
-        assert!(placed.contains(&resting), "it is in use again: nothing failed");
+        assert!(placed.contains(&resting), "it is in use again, so nothing counted as a failure");
     }
 
     #[test]
-    fn where_all_rest_a_caller_waits_only_if_it_can_be_served_in_time() {
+    fn a_caller_waits_for_the_end_of_a_backoff_only_if_it_can_be_served_in_time() {
         let mut scenario = Scenario::new(1);
         let only = scenario.place();
         scenario.finish(&only, Outcome::Rests(SECOND * 3));
--- a/lib/tests/test_unlisted.rs
+++ b/lib/tests/test_unlisted.rs
@@ -1,4 +1,4 @@
-//! Boxes that are heard though the store does not show them.
+//! Boxes that send datagrams though the store does not list them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,8 +11,8 @@
     Neighbor { box_hash, region: "r".to_owned(), address: ([10, 0, 0, 1], 80).into() }
 }
 
-/// Takes in what another box names, as a datagram does.
-fn tell(from: &Unlisted, to: &mut Unlisted, now: Instant) {
+/// Takes in the boxes that another box names in a datagram.
+fn exchange(from: &Unlisted, to: &mut Unlisted, now: Instant) {
     for named in from.neighbor_records(now) {
         let at = now.checked_sub(Duration::from_millis(u64::from(named.heard_ms)));
         to.record(neighbor(named.box_hash), at.expect("a moment"));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn boxes_that_name_a_dead_box_to_each_other_do_not_keep_it() {
+fn boxes_that_name_a_stopped_box_to_each_other_do_not_keep_it() {
     let begin = Instant::now() + Duration::from_secs(60);
     let (mut first, mut second) = (Unlisted::default(), Unlisted::default());
     first.record(neighbor(7), begin);
@@ -29,8 +29,8 @@
         if number == 5 {
             first.record(neighbor(7), begin + Duration::from_secs(1));
         }
-        tell(&first, &mut second, now);
-        tell(&second, &mut first, now);
+        exchange(&first, &mut second, now);
+        exchange(&second, &mut first, now);
         first.expire(now);
         second.expire(now);
         let kept = first.neighbors().count() + second.neighbors().count();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_box_that_the_store_shows_is_not_unlisted() {
+fn a_box_that_the_store_lists_is_not_unlisted() {
     let now = Instant::now();
     let mut unlisted = Unlisted::default();
     unlisted.record(neighbor(7), now);
