--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
     /// Prompt tokens of the request that the server still has to process.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// Tokens to process until the first token of the answer, those of earlier requests included.
     pub backlog: f64,
     /// Additional cost of computing a shared prefix that another server has cached, tokens.
@@ -111,7 +111,7 @@
     /// Requests in flight from this box.
     pub in_flight: u32,
     /// Prompt tokens in flight from this box for which no first token has arrived.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// Estimate of the number of requests from all boxes that the server accepts.
     limit: f64,
     ejection: Ejection,
@@ -161,7 +161,7 @@
             replaced: false,
             announced_leaving: false,
             in_flight: 0,
-            unread: 0.0,
+            prefill_tokens: 0.0,
             ejection: Ejection::default(),
             warmup: Warmup::new(unknown_before),
             prefix_cache: PrefixCache::new(memory_tokens.unwrap_or(0)),
@@ -256,7 +256,7 @@
 
     /// Load from this box.
     pub fn own_load(&self) -> Load {
-        Load { in_flight: self.in_flight, unread: self.unread as u32 }
+        Load { in_flight: self.in_flight, prefill_tokens: self.prefill_tokens as u32 }
     }
 
     /// Load from all boxes. Boxes without a report are assumed to have the same load here as this
@@ -266,7 +266,7 @@
         let boxes_like_this = 1 + unreported_boxes as u32;
         Load {
             in_flight: own.in_flight * boxes_like_this + others.in_flight,
-            unread: own.unread * boxes_like_this + others.unread,
+            prefill_tokens: own.prefill_tokens * boxes_like_this + others.prefill_tokens,
         }
     }
 
@@ -293,10 +293,11 @@
         } else {
             (uncached, uncached * DUPLICATE_PREFILL_COST)
         };
-        let unread = own + uncached;
+        let prefill_tokens = own + uncached;
         let running = f64::from(load.in_flight) + 1.0;
-        let backlog = f64::from(load.unread) + unread + running * RUNNING_REQUEST_TOKENS;
-        Work { unread, backlog, duplicate_cost }
+        let backlog =
+            f64::from(load.prefill_tokens) + prefill_tokens + running * RUNNING_REQUEST_TOKENS;
+        Work { prefill_tokens, backlog, duplicate_cost }
     }
 
     /// Cost of a request at this server, tokens.
@@ -309,15 +310,15 @@
     /// Records that a request is sent to the server.
     pub fn start_request(&mut self, parts: &[Part], work: Work, now: Instant) {
         self.in_flight += 1;
-        self.unread += work.unread;
+        self.prefill_tokens += work.prefill_tokens;
         self.ejection.record_attempt(now);
         self.warmup.record_send(now);
         self.prefix_cache.insert(parts, now);
     }
 
     /// Subtracts prompt tokens that have been processed or are no longer needed.
-    pub fn reduce_unread(&mut self, tokens: f64) {
-        self.unread = (self.unread - tokens).max(0.0);
+    pub fn reduce_prefill(&mut self, tokens: f64) {
+        self.prefill_tokens = (self.prefill_tokens - tokens).max(0.0);
     }
 
     /// Records the outcome of a request.
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -25,7 +25,7 @@
     /// Requests in flight.
     pub in_flight: u32,
     /// Prompt tokens in flight for which no first token has arrived.
-    pub unread: u32,
+    pub prefill_tokens: u32,
 }
 
 /// Periodic report from box to box.
@@ -182,13 +182,13 @@
             .iter()
             .zip(report.in_flight.iter().zip(&report.unread))
             .map(|(server, (in_flight, unread))| {
-                (*server, Load { in_flight: *in_flight, unread: *unread })
+                (*server, Load { in_flight: *in_flight, prefill_tokens: *unread })
             })
             .collect();
         for (server, load) in &loads {
             let sum = self.sums.entry(*server).or_default();
             sum.in_flight = sum.in_flight.saturating_add(load.in_flight);
-            sum.unread = sum.unread.saturating_add(load.unread);
+            sum.prefill_tokens = sum.prefill_tokens.saturating_add(load.prefill_tokens);
         }
         let BoxReport { incarnation, number, .. } = *report;
         let sender = Sender { incarnation, number, heard_at: now, loads };
@@ -214,7 +214,7 @@
         for (server, load) in removed.loads {
             let Some(sum) = self.sums.get_mut(&server) else { continue };
             sum.in_flight = sum.in_flight.saturating_sub(load.in_flight);
-            sum.unread = sum.unread.saturating_sub(load.unread);
+            sum.prefill_tokens = sum.prefill_tokens.saturating_sub(load.prefill_tokens);
             if *sum == Load::default() {
                 self.sums.remove(&server);
             }
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -83,7 +83,7 @@
     /// Address of the server.
     pub address: SocketAddr,
     /// Prompt tokens that the server probably has to process.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// Requests of this box on the server, including this one.
     pub in_flight: u32,
     /// Requests of other boxes on the server according to their latest reports.
@@ -294,7 +294,7 @@
             server: id,
             incarnation: candidate.incarnation,
             address: candidate.state.server.address,
-            unread: work.unread,
+            prefill_tokens: work.prefill_tokens,
             in_flight: candidate.in_flight,
             others_in_flight: request.loads.on_server(candidate.incarnation).in_flight,
             candidates,
@@ -311,7 +311,7 @@
             return;
         }
         let Some(candidate) = self.server_of(place) else { return };
-        candidate.reduce_unread(place.unread);
+        candidate.reduce_prefill(place.prefill_tokens);
     }
 
     /// The server of a place, unless the place belongs to an earlier incarnation of it.
@@ -325,7 +325,7 @@
         let was_waiting = std::mem::take(&mut place.awaiting_first_byte);
         let Some(candidate) = self.server_of(place) else { return };
         if was_waiting {
-            candidate.reduce_unread(place.unread);
+            candidate.reduce_prefill(place.prefill_tokens);
         }
         candidate.in_flight = candidate.in_flight.saturating_sub(1);
         candidate.record_outcome(outcome, now);
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -15,7 +15,7 @@
 
 /// Limit for the requests of all boxes to one cold server in any second.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct ColdLimit {
     /// Requests a second that a cold server can handle.
     pub rate: f64,
     /// Factor by which that rate may be exceeded.
@@ -41,7 +41,7 @@
     Duration::from_secs_f64(seconds.min(longest)).max(MIN_PROBE_INTERVAL)
 }
 
-impl Bound {
+impl ColdLimit {
     /// Share of the box with rank `rank` among `sharers` for the server: an even share, or one
     /// request for the first boxes if there is less than one for each.
     pub fn share(&self, sharers: usize, rank: usize) -> u32 {
--- a/lib/src/gateway/facts.rs
+++ b/lib/src/gateway/facts.rs
@@ -451,7 +451,7 @@
     if service.warmup_rate <= 0.0 {
         return None;
     }
-    let bound = warmup::Bound {
+    let bound = warmup::ColdLimit {
         rate: service.warmup_rate,
         excess: view.cold_excess,
         slack: view.cold_slack,
--- a/lib/src/gateway/record.rs
+++ b/lib/src/gateway/record.rs
@@ -62,7 +62,7 @@
         course.arrivals() + 1,
         place.in_flight,
         place.others_in_flight,
-        place.unread,
+        place.prefill_tokens,
         place.candidates,
         place.at_home,
         place.cold,
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -445,7 +445,7 @@
         for (server, load) in service.placement.own_loads() {
             report.servers.push(server);
             report.in_flight.push(load.in_flight);
-            report.unread.push(load.unread);
+            report.unread.push(load.prefill_tokens);
         }
         for (server, left, at) in service.placement.cold_reports(now) {
             report.asked.push(server);
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -153,7 +153,7 @@
     };
     loads.receive(&report(2, 4), now);
     loads.receive(&report(1, 9), now);
-    assert_eq!(loads.on_server(5), Load { in_flight: 4, unread: 100 });
+    assert_eq!(loads.on_server(5), Load { in_flight: 4, prefill_tokens: 100 });
     loads.receive(&report(3, 1), now);
     assert_eq!((loads.on_server(5).in_flight, loads.reporting_boxes()), (1, 1));
     loads.expire(now + Duration::from_secs(2));
@@ -459,7 +459,7 @@
     /// All boxes together keep to the limit of a cold server, however many there are.
     #[test]
     fn shares_of_a_cold_server_add_up(rate in 0.0..40.0f64, slack in 0.0..5.0f64, boxes in 1..120usize) {
-        let bound = warmup::Bound { rate, excess: 1.5, slack };
+        let bound = warmup::ColdLimit { rate, excess: 1.5, slack };
         let total: u32 = (0..boxes).map(|rank| bound.share(boxes, rank)).sum();
         prop_assert!(f64::from(total) <= rate * 1.5 + slack);
     }
@@ -517,7 +517,7 @@
     fixture.now += Duration::from_secs(2);
     fixture.placement.update(vec![restarted(2)], 1, &service, fixture.now);
     let place = fixture.choose(&prompt(1)).expect("the new incarnation has not failed");
-    assert_eq!((place.in_flight, place.unread > 10_000.0 || place.at_home), (1, true));
+    assert_eq!((place.in_flight, place.prefill_tokens > 10_000.0 || place.at_home), (1, true));
     fixture.placement.finish(&mut held, Outcome::Lost, fixture.now);
     let loads: Vec<_> = fixture.placement.own_loads().collect();
     assert_eq!((loads.len(), loads[0].1.in_flight), (1, 1), "its own request is still there");
