--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -245,7 +245,7 @@
             membership.live_in(&own.region, now).map(|member| member.name.as_str()).collect();
         let servers = self.servers[self.nodes[node].region].iter().enumerate();
         let is_prober = |server: &str| {
-            rendezvous::holds(&own.name, peers.iter().copied(), server, PROBERS_PER_SERVER)
+            rendezvous::is_selected(&own.name, peers.iter().copied(), server, PROBERS_PER_SERVER)
         };
         let probed_servers =
             servers.filter(|(_, server)| is_prober(server)).map(|(index, _)| index).collect();
--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -1,77 +1,85 @@
-//! What came of a send to a backend server: one report, whatever the kind of answer.
+//! The result of sending a request to a backend server, in one form for all kinds of answer.
 //!
-//! An attempt is reported when the head of its answer has come, with all that the server says of itself there, and
-//! once more when it has ended. All reports go to [`super::learning`], so that no kind of answer teaches less than
-//! another.
+//! An attempt is reported when the head of its answer has arrived, with everything that the server
+//! says about itself there, and again when the attempt has ended. All reports go to
+//! [`super::feedback`], so that every kind of answer is evaluated in the same way.
 
 use super::candidate::Outcome;
 use crate::protocol::server_status::ServerStatus;
 
-/// What came of a send, so far or in the end.
+/// Progress or final result of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Event {
-    /// The head of an answer; the rest is to come.
-    Begun,
-    /// A whole answer that says that the request was done.
+pub enum AttemptEvent {
+    /// The head of an answer has arrived; the body is outstanding.
+    HeadReceived,
+    /// A complete answer: the request succeeded.
     Answered,
-    /// A whole answer that says that the request was at fault.
+    /// A complete answer: the request was invalid.
     Rejected,
-    /// A whole answer that says that the server failed.
+    /// A complete answer: the server failed.
     Failed,
-    /// The server refused, and did not run it.
+    /// The server refused the request without executing it.
     Refused,
-    /// Another instance has the address, and did not run it.
+    /// Another instance has the address; it did not execute the request.
     Replaced,
-    /// No connection came up; it was not sent.
+    /// No connection could be established; the request was not sent.
     Unreachable,
-    /// The connection broke, or the answer did.
-    BrokenOff,
-    /// Bytes that are no answer to this request.
+    /// The connection or the answer broke off.
+    Interrupted,
+    /// The server sent bytes that are no valid answer to this request.
     Invalid,
-    /// No answer in time.
-    Silent,
-    /// The server said something meanwhile by which it gets nothing; it was not sent.
-    Withheld,
+    /// The server did not answer in time.
+    TimedOut,
+    /// The request was not sent: meanwhile the server announced a state in which it gets no
+    /// requests.
+    NotSent,
 }
 
-impl Event {
-    /// What it means for the server's health.
+impl AttemptEvent {
+    /// What the event means for the health of the server.
     pub fn outcome(self) -> Outcome {
         match self {
-            Event::Begun | Event::Withheld => Outcome::Abandoned,
-            Event::Answered | Event::Rejected => Outcome::Answered,
-            Event::Failed => Outcome::Failed,
-            Event::Refused => Outcome::Shed,
-            Event::Replaced => Outcome::Replaced,
-            Event::Unreachable => Outcome::Unreachable,
-            Event::BrokenOff | Event::Invalid => Outcome::Lost,
-            Event::Silent => Outcome::Silent,
+            AttemptEvent::HeadReceived | AttemptEvent::NotSent => Outcome::Abandoned,
+            AttemptEvent::Answered | AttemptEvent::Rejected => Outcome::Answered,
+            AttemptEvent::Failed => Outcome::Failed,
+            AttemptEvent::Refused => Outcome::Shed,
+            AttemptEvent::Replaced => Outcome::Replaced,
+            AttemptEvent::Unreachable => Outcome::Unreachable,
+            AttemptEvent::Interrupted | AttemptEvent::Invalid => Outcome::Lost,
+            AttemptEvent::TimedOut => Outcome::TimedOut,
         }
     }
 
-    /// Whether the server took the request, so that its head says all that the server has to say.
-    pub fn is_taken(self) -> bool {
-        matches!(self, Event::Begun | Event::Answered | Event::Rejected | Event::Failed)
+    /// Whether the server accepted the request, so that the head of its answer is a complete
+    /// statement of its state.
+    pub fn is_accepted(self) -> bool {
+        matches!(
+            self,
+            AttemptEvent::HeadReceived
+                | AttemptEvent::Answered
+                | AttemptEvent::Rejected
+                | AttemptEvent::Failed
+        )
     }
 }
 
-/// One report of an attempt.
+/// Report of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
-    /// What came of it.
-    pub event: Event,
-    /// What the server said of itself, where the head of an answer has just come.
+pub struct AttemptReport {
+    /// Progress or final result.
+    pub event: AttemptEvent,
+    /// What the server says about itself, if the head of an answer has just arrived.
     pub words: Option<ServerStatus>,
 }
 
-impl Report {
-    /// The head of an answer has come.
-    pub fn head(event: Event, words: ServerStatus) -> Report {
-        Report { event, words: Some(words) }
+impl AttemptReport {
+    /// Reports that the head of an answer has arrived.
+    pub fn head(event: AttemptEvent, words: ServerStatus) -> AttemptReport {
+        AttemptReport { event, words: Some(words) }
     }
 
-    /// It has ended, some time after its head or without one.
-    pub fn end(event: Event) -> Report {
-        Report { event, words: None }
+    /// Reports that the attempt has ended, after its head or without one.
+    pub fn end(event: AttemptEvent) -> AttemptReport {
+        AttemptReport { event, words: None }
     }
 }
--- /dev/null
+++ b/lib/src/coordination/feedback.rs
@@ -0,0 +1,233 @@
+//! Evaluation of what servers report and of the results of requests.
+//!
+//! Every attempt report is handled here, whatever the kind of answer, and so is every answer to a
+//! probe. The parts decide what follows from it: which servers get requests, which rates apply,
+//! which servers are leaving or backing off, which requests crash servers. The caller gets back
+//! what other boxes must be told and what needs a probe.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use super::attempt::AttemptEvent;
+use super::attempt::AttemptReport;
+use super::departures::Departures;
+use super::fingerprint::Fingerprint;
+use super::interrupted::InterruptedRequest;
+use super::interrupted::InterruptedRequests;
+use super::interrupted::NextStep;
+use super::interrupted::ServerIncarnation;
+use super::placement::Place;
+use super::placement::Placement;
+use super::quarantine::Audience;
+use super::quarantine::Quarantine;
+use super::throttle::ServiceHash;
+use super::throttle::Throttles;
+use crate::protocol::server_status::ServerStatus;
+
+/// A request and where it was sent.
+#[derive(Clone, Copy, Debug)]
+pub struct SentRequest<'a> {
+    /// The place on the server.
+    pub place: &'a Place,
+    /// The service of the server.
+    pub service: ServiceHash,
+    /// Fingerprint of the request.
+    pub request: Fingerprint,
+}
+
+/// The server that made a statement.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerRef<'a> {
+    /// Id of the server.
+    pub server: &'a str,
+    /// Incarnation of the server.
+    pub incarnation: ServerIncarnation,
+    /// The service of the server.
+    pub service: ServiceHash,
+}
+
+/// A change that was observed, for the log.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Observation {
+    /// The server is leaving.
+    Leaving,
+    /// The server asked this box to send nothing for that time.
+    RequestedBackoff(Duration),
+    /// The server turned cold, for that time.
+    TurnedCold(Duration),
+    /// The server changed its rate limit.
+    Rate {
+        /// The previous limit.
+        before: Option<f64>,
+        /// The new limit.
+        after: Option<f64>,
+    },
+    /// The server crashed while executing these requests.
+    Crashed(Vec<InterruptedRequest>),
+    /// The request does not crash servers.
+    Cleared(Fingerprint),
+}
+
+/// Consequences of a report.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Effects {
+    /// The boxes to notify at once.
+    pub notify: Option<Audience>,
+    /// Whether to probe if the server still accepts connections.
+    pub probe: bool,
+    /// Changes that were observed.
+    pub observations: Vec<Observation>,
+}
+
+impl Effects {
+    fn notify(&mut self, audience: Audience) {
+        if self.notify != Some(Audience::AllRegions) {
+            self.notify = Some(audience);
+        }
+    }
+}
+
+/// The parts that reports are passed to.
+pub struct FeedbackHandler<'a> {
+    /// The servers of the service; `None` if the configuration no longer contains it.
+    pub placement: Option<&'a mut Placement>,
+    /// Rate limits that servers set.
+    pub throttles: &'a mut Throttles,
+    /// Servers that are leaving.
+    pub departures: &'a mut Departures,
+    /// Interrupted requests.
+    pub interrupted: &'a mut InterruptedRequests,
+    /// Requests that crash servers.
+    pub quarantine: &'a mut Quarantine,
+}
+
+impl FeedbackHandler<'_> {
+    /// Handles a report of an attempt.
+    pub fn handle_report(
+        &mut self,
+        sent_request: SentRequest<'_>,
+        report: &AttemptReport,
+        now: Instant,
+    ) -> Effects {
+        let mut effects = Effects::default();
+        let SentRequest { place, service, request } = sent_request;
+        let server_ref =
+            ServerRef { server: &place.server, incarnation: place.incarnation, service };
+        // Another instance at the address says nothing about the server that was meant.
+        if let Some(status) = report.words.filter(|_| report.event != AttemptEvent::Replaced) {
+            let is_complete = report.event.is_accepted();
+            self.apply_status(server_ref, &status, is_complete, &mut effects, now);
+        }
+        match report.event {
+            AttemptEvent::Interrupted => self.handle_interruption(sent_request, &mut effects, now),
+            AttemptEvent::Answered if self.quarantine.record_success(request, now) => {
+                effects.observations.push(Observation::Cleared(request));
+            }
+            _ => {}
+        }
+        effects
+    }
+
+    /// Handles the answer to a probe. A server that only refused the probe may have omitted part of
+    /// its state.
+    pub fn handle_probe_answer(
+        &mut self,
+        server_ref: ServerRef<'_>,
+        status: &ServerStatus,
+        refused: bool,
+        now: Instant,
+    ) -> Effects {
+        let mut effects = Effects::default();
+        let cold_left = status.cold_left.or((!refused).then_some(Duration::ZERO));
+        let status = ServerStatus { cold_left, ..*status };
+        self.apply_status(server_ref, &status, false, &mut effects, now);
+        effects
+    }
+
+    /// Applies what a server says about itself. If `is_complete`, a state that it does not mention
+    /// has ended.
+    fn apply_status(
+        &mut self,
+        server_ref: ServerRef<'_>,
+        status: &ServerStatus,
+        is_complete: bool,
+        effects: &mut Effects,
+        now: Instant,
+    ) {
+        let ServerRef { server, incarnation, service } = server_ref;
+        let newly_leaving = status.leaving && self.departures.record(incarnation, now, now);
+        if newly_leaving {
+            effects.notify(Audience::Region);
+            effects.observations.push(Observation::Leaving);
+        }
+        if let Some(placement) = &mut self.placement {
+            if newly_leaving {
+                placement.set_leaving(|incarnation| self.departures.is_leaving(incarnation));
+            }
+            if let Some(backoff) = status.rest {
+                placement.record_backoff(incarnation, backoff, now);
+                effects.observations.push(Observation::RequestedBackoff(backoff));
+            }
+            if let Some(cold_left) = status.cold_left
+                && placement.record_cold_report(server, cold_left, now)
+            {
+                effects.notify(Audience::Region);
+                effects.observations.push(Observation::TurnedCold(cold_left));
+            }
+        }
+        if is_complete || status.rate.is_some() {
+            let before = self.throttles.rate(incarnation);
+            if self.throttles.said(incarnation, service, status.rate, now) {
+                effects.notify(Audience::Region);
+            }
+            if before != status.rate {
+                effects.observations.push(Observation::Rate { before, after: status.rate });
+            }
+        }
+    }
+
+    fn handle_interruption(
+        &mut self,
+        sent_request: SentRequest<'_>,
+        effects: &mut Effects,
+        now: Instant,
+    ) {
+        let SentRequest { place, request, .. } = sent_request;
+        let interrupted =
+            InterruptedRequest { request, sent_at: place.taken_at, interrupted_at: now };
+        match self.interrupted.record(place.incarnation, interrupted, now) {
+            NextStep::AwaitProbe => {}
+            NextStep::Probe => effects.probe = true,
+            NextStep::ServerCrashed(interrupted_requests) => {
+                self.record_crash(place.incarnation, interrupted_requests, effects, now)
+            }
+        }
+    }
+
+    /// Handles a crash that a probe has confirmed.
+    pub fn handle_crash(&mut self, server: ServerIncarnation, now: Instant) -> Effects {
+        let mut effects = Effects::default();
+        let interrupted_requests = self.interrupted.record_crash(server, now);
+        if !interrupted_requests.is_empty() {
+            self.record_crash(server, interrupted_requests, &mut effects, now);
+        }
+        effects
+    }
+
+    fn record_crash(
+        &mut self,
+        server: ServerIncarnation,
+        interrupted_requests: Vec<InterruptedRequest>,
+        effects: &mut Effects,
+        now: Instant,
+    ) {
+        effects.notify(Audience::Region);
+        for interrupted in &interrupted_requests {
+            if self.quarantine.record_crash(server, *interrupted, now) == Some(Audience::AllRegions)
+            {
+                effects.notify(Audience::AllRegions);
+            }
+        }
+        effects.observations.push(Observation::Crashed(interrupted_requests));
+    }
+}
--- /dev/null
+++ b/lib/src/coordination/interrupted.rs
@@ -0,0 +1,95 @@
+//! Requests whose answer broke off, until it is known whether their server has crashed.
+//!
+//! A crashing server breaks off all requests that it executes. A connection reset, or an answer
+//! that a faulty server cuts short, breaks off one answer of a server that continues to run.
+//! Several interruptions at the same moment therefore prove a crash. After fewer of them the box
+//! probes whether the server still accepts connections; further interruptions at that server wait
+//! here for the result of the probe.
+
+use std::collections::HashMap;
+use std::time::Duration;
+use std::time::Instant;
+
+use super::fingerprint::Fingerprint;
+
+/// Identifies one incarnation of a server.
+pub type ServerIncarnation = u64;
+
+/// How long a crash is remembered: a busy box processes the last interruptions some time after the
+/// first.
+const CRASH_RETENTION: Duration = Duration::from_secs(5);
+
+/// Interruptions within [`CRASH_WINDOW`] that prove a crash. The probe is not needed then, and
+/// would be unreliable: the port of a crashed server was still open up to 200 ms later.
+const CRASH_INTERRUPTIONS: usize = 3;
+/// Time window in which simultaneous interruptions are counted.
+const CRASH_WINDOW: Duration = Duration::from_millis(40);
+
+/// A request whose answer broke off.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct InterruptedRequest {
+    /// Fingerprint of the request.
+    pub request: Fingerprint,
+    /// When the request was sent to the server.
+    pub sent_at: Instant,
+    /// When its answer broke off.
+    pub interrupted_at: Instant,
+}
+
+/// What the caller has to do after an interruption.
+#[derive(Clone, Debug, PartialEq)]
+pub enum NextStep {
+    /// Probe whether the server has crashed.
+    Probe,
+    /// Nothing: a probe is already running.
+    AwaitProbe,
+    /// The server has crashed while executing these requests.
+    ServerCrashed(Vec<InterruptedRequest>),
+}
+
+/// Interrupted requests by server incarnation.
+#[derive(Debug, Default)]
+pub struct InterruptedRequests {
+    pending: HashMap<ServerIncarnation, Vec<InterruptedRequest>>,
+    crashed_at: HashMap<ServerIncarnation, Instant>,
+}
+
+impl InterruptedRequests {
+    /// Records an interruption.
+    pub fn record(
+        &mut self,
+        server: ServerIncarnation,
+        interrupted: InterruptedRequest,
+        now: Instant,
+    ) -> NextStep {
+        self.crashed_at.retain(|_, at| now < *at + CRASH_RETENTION);
+        if self.crashed_at.contains_key(&server) {
+            return NextStep::ServerCrashed(vec![interrupted]);
+        }
+        let requests = self.pending.entry(server).or_default();
+        requests.push(interrupted);
+        let recent = requests
+            .iter()
+            .filter(|other| other.interrupted_at + CRASH_WINDOW >= interrupted.interrupted_at)
+            .count();
+        if recent >= CRASH_INTERRUPTIONS {
+            return NextStep::ServerCrashed(self.record_crash(server, now));
+        }
+        if requests.len() == 1 { NextStep::Probe } else { NextStep::AwaitProbe }
+    }
+
+    /// Records that the server has crashed. Returns the requests that it was executing.
+    pub fn record_crash(
+        &mut self,
+        server: ServerIncarnation,
+        now: Instant,
+    ) -> Vec<InterruptedRequest> {
+        self.crashed_at.insert(server, now);
+        self.pending.remove(&server).unwrap_or_default()
+    }
+
+    /// Drops the interruptions of a server that is running, or that cannot be probed.
+    pub fn forget(&mut self, server: ServerIncarnation) {
+        self.pending.remove(&server);
+    }
+}
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -1,18 +1,17 @@
-//! Which backend server of a service gets a request, and when none should.
+//! Choice of the backend server of a service for a request, and the cases in which there is none.
 //!
-//! A server's cost for a request is the work that would be ahead of its first
-//! token: prompt tokens that boxes still wait for there, those of the
-//! request that the server does not keep yet, and what the requests that run
-//! there add to each step. Servers of another failure domain cost more. A shared text
-//! belongs to one server by rendezvous, so all boxes send it to the same place
-//! unless that place is much busier than others.
+//! The cost of a server is the work to be done there until the request's first token: prompt tokens
+//! of earlier requests, those of this request that the server has not cached, and the delay that
+//! running requests add to each step. Servers of another failure domain cost more. A shared prefix
+//! has one home server by rendezvous hashing, so that all boxes send it to the same server unless
+//! that server is much busier than others.
 
 mod blocked;
 mod fullness;
-mod said;
+mod status;
 
 pub use self::blocked::Blocked;
-pub use self::said::Turning;
+pub use self::status::ProbeTarget;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,106 +21,107 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
+use super::backoff::Backoffs;
 use super::candidate::Candidate;
-use super::candidate::Known;
 use super::candidate::Outcome;
+use super::candidate::ServerState;
 use super::candidate::Work;
 use super::loads::Load;
 use super::loads::Loads;
 use super::rendezvous;
-use super::rest::Rests;
-use super::returns::Returns;
-use super::text::Text;
+use super::retry_spread::RetrySpread;
+use super::shared_prefix::SharedPrefix;
 use super::throttle::Throttles;
 use crate::protocol::ServerId;
 use crate::protocol::adapter::PromptSegment;
 use crate::protocol::routing::Service;
 
-/// Part of the connections that a server takes which requests may fill; others rest or close.
-const CONNECTIONS: f64 = 0.8;
-/// Most servers that are compared for one request. Boxes act on reports that are some
-/// tenths of a second old; comparing a few keeps them from all choosing the same one.
-const COMPARED: usize = 4;
-/// Servers up to which all are compared.
-const FEW: usize = 6;
+/// Fraction of a server's connections that requests may use; others are idle or closing.
+const MAX_CONNECTION_USE: f64 = 0.8;
+/// Number of servers compared for one request. Boxes act on reports that are some tenths of a
+/// second old; comparing only a random sample keeps them from all choosing the same server.
+const SAMPLE_SIZE: usize = 4;
+/// Number of servers up to which all are compared.
+const COMPARE_ALL_UP_TO: usize = 6;
 
-/// How long it counts when a server was removed: longer than what was sent to it does.
-const REMOVED_MEMORY: Duration = Duration::from_secs(5);
+/// How long the removal of a server is remembered; requests sent to it are forgotten sooner.
+const REMOVED_RETENTION: Duration = Duration::from_secs(5);
 
-/// What is to be placed.
+/// A request to place.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// Parts of the prompt.
     pub parts: &'a [PromptSegment],
-    /// Servers that had the request already.
+    /// Servers that already received the request.
     pub tried: &'a [ServerId],
-    /// What other boxes have on the servers.
+    /// Load of other boxes on the servers.
     pub loads: &'a Loads,
-    /// What servers that name a rate have left.
+    /// Remaining capacity of servers that set a rate limit.
     pub throttles: &'a Throttles,
     /// Servers that may be chosen.
-    pub among: Among,
-    /// Whether servers may have turned cold without this box hearing of it.
+    pub eligible: Eligible,
+    /// Whether servers may have turned cold without this box knowing.
     pub stale: bool,
 }
 
-/// Which servers may be chosen.
+/// Servers that may be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Among {
-    /// Those that did not fail lately.
-    Sound,
-    /// All: one that failed lately is only better than a refusal.
+pub enum Eligible {
+    /// Servers that have not failed recently.
+    Healthy,
+    /// All servers: one that failed recently is better than a refusal.
     Any,
 }
 
-/// A place on a server; give it back by [`Placement::finish`].
+/// A request's place on a server, given back by [`Placement::finish`].
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Which of its lives.
-    pub life: u64,
-    /// Its address.
+    /// Incarnation of the server.
+    pub incarnation: u64,
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Tokens that it must still read, as far as known.
-    pub unread: f64,
-    /// Requests of this box on it, this one included.
+    /// Prompt tokens that the server probably has to process.
+    pub prefill_tokens: f64,
+    /// Requests of this box on the server, including this one.
     pub in_flight: u32,
-    /// Requests of other boxes on it, as last heard.
-    pub others: u32,
-    /// Servers that could have had it.
+    /// Requests of other boxes on the server according to their latest reports.
+    pub others_in_flight: u32,
+    /// Number of servers that could have been chosen.
     pub candidates: usize,
-    /// Whether the server is the home of its text.
+    /// Whether the server is the home of the request's shared prefix.
     pub at_home: bool,
-    /// Whether the server is cold, as far as known.
+    /// Whether the server is or may be cold.
     pub cold: bool,
     /// When the place was taken.
     pub taken_at: Instant,
-    waiting: bool,
+    awaiting_first_byte: bool,
 }
 
-/// What holds for all servers while one is chosen.
+/// Values that are the same for all servers during one choice.
 #[derive(Clone, Copy, Debug)]
-struct View {
-    /// Boxes whose load is not known.
-    unheard: usize,
-    /// Home of the request's text in this region, by its hash.
+struct Selection {
+    /// Number of boxes whose load is unknown.
+    unreported_boxes: usize,
+    /// Hash of the home server of the request's shared prefix in this region.
     home: Option<u64>,
-    /// Whether servers count as cold that have not said lately that they are not.
+    /// Whether servers without a recent report of being warm count as cold.
     stale: bool,
-    /// Drawn for the request: with a server's life it says whether chance lets it in there.
-    luck: u64,
+    /// Random bits of this request; together with a server's incarnation they decide whether the
+    /// rate limit of that server admits the request.
+    random_bits: u64,
     now: Instant,
 }
 
-impl View {
-    /// Drawn evenly from 0 to 1 for the request at a server, the same whenever it is looked at.
-    fn luck_at(&self, life: u64) -> f64 {
-        rendezvous::mix(self.luck, life) as f64 / u64::MAX as f64
+impl Selection {
+    /// Random number from 0 to 1 for the request at a server, the same at each call.
+    fn random_at(&self, incarnation: u64) -> f64 {
+        rendezvous::mix(self.random_bits, incarnation) as f64 / u64::MAX as f64
     }
 }
 
-/// A server that may be chosen.
+/// The best server found.
 struct Choice {
     id: ServerId,
     work: Work,
@@ -135,19 +135,20 @@
     sharers: usize,
     max_connections: f64,
     health_path: Option<String>,
-    /// Requests a second that a cold server bears.
+    /// Requests a second that a cold server may get.
     cold_rate: f64,
     started_at: Instant,
-    /// Servers that were removed, and when. One that comes back may have got its share just before:
-    /// their entries lapse and return while the store is away.
-    removed: BTreeMap<ServerId, Instant>,
-    /// Servers that asked this box for rest. They stay when their entries lapse and return.
-    rests: Rests,
-    returns: Returns,
+    /// When servers were removed. A server that returns may have received its cold share just
+    /// before: entries expire and return while the store is away.
+    removed_at: BTreeMap<ServerId, Instant>,
+    /// Servers that asked this box to back off. They are kept while the servers' entries expire and
+    /// return.
+    backoffs: Backoffs,
+    retry_spread: RetrySpread,
 }
 
 impl Placement {
-    /// No servers yet, in a box that started then.
+    /// Creates a placement without servers in a box that started at `started_at`.
     pub fn new(started_at: Instant) -> Placement {
         Placement {
             servers: BTreeMap::new(),
@@ -156,43 +157,49 @@
             health_path: None,
             cold_rate: 0.0,
             started_at,
-            removed: BTreeMap::new(),
-            rests: Rests::default(),
-            returns: Returns::default(),
+            removed_at: BTreeMap::new(),
+            backoffs: Backoffs::default(),
+            retry_spread: RetrySpread::default(),
         }
     }
 
-    /// Takes over what control knows; `sharers` boxes send to these servers.
-    pub fn update(&mut self, known: Vec<Known>, sharers: usize, service: &Service, now: Instant) {
+    /// Replaces the known servers; `sharers` is the number of boxes that send to them.
+    pub fn update(
+        &mut self,
+        states: Vec<ServerState>,
+        sharers: usize,
+        service: &Service,
+        now: Instant,
+    ) {
         self.sharers = sharers;
         self.health_path.clone_from(&service.health_path);
         self.cold_rate = service.warmup_rate;
-        self.max_connections = service.max_connections as f64 * CONNECTIONS;
-        let mut before = std::mem::take(&mut self.servers);
-        for known in known {
-            let id = known.server.id.clone();
-            let candidate = match before.remove(&id) {
-                Some(mut candidate) if candidate.is(&known) => {
-                    candidate.update(known);
+        self.max_connections = service.max_connections as f64 * MAX_CONNECTION_USE;
+        let mut previous = std::mem::take(&mut self.servers);
+        for state in states {
+            let id = state.server.id.clone();
+            let candidate = match previous.remove(&id) {
+                Some(mut candidate) if candidate.is_same_incarnation(&state) => {
+                    candidate.update(state);
                     candidate
                 }
                 earlier => {
-                    // A new life knows nothing of the earlier one, but may have got its share of what a
-                    // cold server bears just before.
-                    let reborn = earlier.map(|_| now);
-                    let removed = self.removed.get(&id).copied();
-                    let unknown_before = removed.max(reborn).max(Some(self.started_at));
-                    Candidate::new(known, service.kv_cache_tokens, unknown_before)
+                    // Nothing known of the earlier incarnation applies to the new one, but the
+                    // server may have received its cold share just before.
+                    let restarted_at = earlier.map(|_| now);
+                    let removed_at = self.removed_at.get(&id).copied();
+                    let unknown_before = removed_at.max(restarted_at).max(Some(self.started_at));
+                    Candidate::new(state, service.kv_cache_tokens, unknown_before)
                 }
             };
             self.servers.insert(id, candidate);
         }
-        // Requests that still run on a server that is gone give their places back to nobody.
-        self.removed.retain(|_, at| now < *at + REMOVED_MEMORY);
-        self.removed.extend(before.into_keys().map(|id| (id, now)));
+        // Requests that still run on a removed server have no place to give back.
+        self.removed_at.retain(|_, at| now < *at + REMOVED_RETENTION);
+        self.removed_at.extend(previous.into_keys().map(|id| (id, now)));
     }
 
-    /// Whether any server may get work.
+    /// Whether any server may get requests.
     pub fn has_usable(&self) -> bool {
         self.servers.values().any(|candidate| candidate.is_usable())
     }
@@ -200,140 +207,159 @@
     /// Chooses a server and takes a place there.
     pub fn choose(
         &mut self,
-        demand: Demand<'_>,
+        request: PlacementRequest<'_>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Result<Place, Blocked> {
-        let view = View {
-            unheard: self.sharers.saturating_sub(1 + demand.loads.heard()),
-            home: self.home(demand.parts),
-            // Servers that cannot be asked would be limited for as long as the store is away.
-            stale: demand.stale && self.health_path.is_some(),
-            luck: rng.random(),
+        let selection = Selection {
+            unreported_boxes: self.sharers.saturating_sub(1 + request.loads.reporting_boxes()),
+            home: self.home(request.parts),
+            // Servers without a health path cannot be probed; they would be limited for as long as
+            // the store is away.
+            stale: request.stale && self.health_path.is_some(),
+            random_bits: rng.random(),
             now,
         };
-        // A few are compared first, and all others only if none of these has room.
+        // Compares a sample first, and all servers only if none of the sample has capacity.
         let mut choice = None;
-        if let Some(few) = self.few(view, rng) {
-            choice = self.cheapest(demand, view, |hash| few.contains(&hash), rng);
+        if let Some(sample) = self.sample(selection, rng) {
+            choice = self.cheapest(request, selection, |hash| sample.contains(&hash), rng);
         }
         if choice.is_none() {
-            choice = self.cheapest(demand, view, |_| true, rng);
+            choice = self.cheapest(request, selection, |_| true, rng);
         }
         match choice {
-            Some(choice) => Ok(self.take(choice, demand, view)),
-            None => Err(self.blocked(demand, view)),
+            Some(choice) => Ok(self.reserve(choice, request, selection)),
+            None => Err(self.blocked(request, selection)),
         }
     }
 
-    /// The server that costs the request least, of those whose hash `compared` accepts.
+    /// The server with the lowest cost among those whose hash `is_compared` accepts.
     fn cheapest(
         &mut self,
-        demand: Demand<'_>,
-        view: View,
-        compared: impl Fn(u64) -> bool,
+        request: PlacementRequest<'_>,
+        selection: Selection,
+        is_compared: impl Fn(u64) -> bool,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let mut candidates = 0;
-        let mut least: Option<(f64, Choice)> = None;
+        let mut best: Option<(f64, Choice)> = None;
         for (id, candidate) in &mut self.servers {
-            let usable = candidate.is_usable() && !demand.tried.contains(id);
-            if !usable || !compared(candidate.hash) {
+            let usable = candidate.is_usable() && !request.tried.contains(id);
+            if !usable || !is_compared(candidate.hash) {
                 continue;
             }
-            if !self.rests.admits(candidate.life, candidate.in_flight, view.now) {
+            if !self.backoffs.admits(candidate.incarnation, candidate.in_flight, selection.now) {
                 continue;
             }
-            let load = candidate.load(demand.loads, view.unheard);
-            let connected = f64::from(load.in_flight) < self.max_connections;
-            let sound = demand.among == Among::Any || candidate.is_sound(view.now);
-            if !connected || !sound || !candidate.has_room(load, view.stale, view.now) {
+            let load = candidate.load(request.loads, selection.unreported_boxes);
+            let has_connection = f64::from(load.in_flight) < self.max_connections;
+            let is_eligible =
+                request.eligible == Eligible::Any || candidate.is_healthy(selection.now);
+            if !has_connection
+                || !is_eligible
+                || !candidate.has_room(load, selection.stale, selection.now)
+            {
                 continue;
             }
-            if !demand.throttles.admits(candidate.life, view.luck_at(candidate.life), view.now) {
+            if !request.throttles.admits(
+                candidate.incarnation,
+                selection.random_at(candidate.incarnation),
+                selection.now,
+            ) {
                 continue;
             }
             candidates += 1;
-            let at_home = view.home == Some(candidate.hash);
-            let work = candidate.work(demand.parts, at_home, load, view.now);
-            // A little chance, so that boxes with equal views do not all choose alike.
+            let at_home = selection.home == Some(candidate.hash);
+            let work = candidate.estimate_work(request.parts, at_home, load, selection.now);
+            // A small random part keeps boxes with equal data from all choosing the same server.
             let cost = candidate.cost(work) * (1.0 + 0.02 * rng.random::<f64>());
-            if least.as_ref().is_none_or(|(least, _)| cost < *least) {
-                least = Some((cost, Choice { id: id.clone(), work, at_home, candidates: 0 }));
+            if best.as_ref().is_none_or(|(best, _)| cost < *best) {
+                best = Some((cost, Choice { id: id.clone(), work, at_home, candidates: 0 }));
             }
         }
-        least.map(|(_, choice)| Choice { candidates, ..choice })
+        best.map(|(_, choice)| Choice { candidates, ..choice })
     }
 
-    fn take(&mut self, choice: Choice, demand: Demand<'_>, view: View) -> Place {
+    fn reserve(
+        &mut self,
+        choice: Choice,
+        request: PlacementRequest<'_>,
+        selection: Selection,
+    ) -> Place {
         let Choice { id, work, at_home, candidates } = choice;
         let candidate = self.servers.get_mut(&id).expect("chosen from the same map");
-        candidate.take(demand.parts, work, view.now);
+        candidate.start_request(request.parts, work, selection.now);
         Place {
             server: id,
-            life: candidate.life,
-            address: candidate.known.server.address,
-            unread: work.unread,
+            incarnation: candidate.incarnation,
+            address: candidate.state.server.address,
+            prefill_tokens: work.prefill_tokens,
             in_flight: candidate.in_flight,
-            others: demand.loads.on(candidate.life).in_flight,
+            others_in_flight: request.loads.on_server(candidate.incarnation).in_flight,
             candidates,
             at_home,
-            cold: candidate.is_cold(view.stale, view.now),
-            taken_at: view.now,
-            waiting: true,
+            cold: candidate.is_cold(selection.stale, selection.now),
+            taken_at: selection.now,
+            awaiting_first_byte: true,
         }
     }
 
-    /// The first byte, or the first event, of an answer has come.
+    /// Records that the first byte or event of the answer has arrived.
     pub fn first_byte(&mut self, place: &mut Place) {
-        if !std::mem::take(&mut place.waiting) {
+        if !std::mem::take(&mut place.awaiting_first_byte) {
             return;
         }
-        let Some(candidate) = self.held(place) else { return };
-        candidate.read(place.unread);
+        let Some(candidate) = self.server_of(place) else { return };
+        candidate.reduce_prefill(place.prefill_tokens);
     }
 
-    /// The server of a place, unless that was in an earlier life of it.
-    fn held(&mut self, place: &Place) -> Option<&mut Candidate> {
+    /// The server of a place, unless the place belongs to an earlier incarnation of it.
+    fn server_of(&mut self, place: &Place) -> Option<&mut Candidate> {
         let candidate = self.servers.get_mut(&place.server)?;
-        (candidate.life == place.life).then_some(candidate)
+        (candidate.incarnation == place.incarnation).then_some(candidate)
     }
 
     /// Gives a place back.
     pub fn finish(&mut self, place: &mut Place, outcome: Outcome, now: Instant) {
-        let waiting = std::mem::take(&mut place.waiting);
-        let Some(candidate) = self.held(place) else { return };
-        if waiting {
-            candidate.read(place.unread);
+        let was_waiting = std::mem::take(&mut place.awaiting_first_byte);
+        let Some(candidate) = self.server_of(place) else { return };
+        if was_waiting {
+            candidate.reduce_prefill(place.prefill_tokens);
         }
         candidate.in_flight = candidate.in_flight.saturating_sub(1);
-        candidate.account(outcome, now);
+        candidate.record_outcome(outcome, now);
     }
 
-    /// What this box has on each server, by the hash of its life.
+    /// Load of this box on each server, by server incarnation.
     pub fn own_loads(&self) -> impl Iterator<Item = (u64, Load)> {
         let busy = self.servers.values().filter(|candidate| candidate.in_flight > 0);
-        busy.map(|candidate| (candidate.life, candidate.own_load()))
+        busy.map(|candidate| (candidate.incarnation, candidate.own_load()))
     }
 
-    /// The servers that are compared first, by their hashes; `None` for all.
-    fn few(&self, view: View, rng: &mut impl Rng) -> Option<Vec<u64>> {
-        let takes = |candidate: &&Candidate| {
-            candidate.is_usable() && self.rests.until(candidate.life, view.now).is_none()
+    /// Hashes of the servers to compare first; `None` to compare all.
+    fn sample(&self, selection: Selection, rng: &mut impl Rng) -> Option<Vec<u64>> {
+        let accepts_requests = |candidate: &&Candidate| {
+            candidate.is_usable()
+                && self.backoffs.until(candidate.incarnation, selection.now).is_none()
         };
-        let usable: Vec<u64> =
-            self.servers.values().filter(takes).map(|candidate| candidate.hash).collect();
-        if usable.len() <= FEW {
+        let usable: Vec<u64> = self
+            .servers
+            .values()
+            .filter(accepts_requests)
+            .map(|candidate| candidate.hash)
+            .collect();
+        if usable.len() <= COMPARE_ALL_UP_TO {
             return None;
         }
-        let drawn = usable.choose_multiple(rng, COMPARED).copied();
-        Some(view.home.into_iter().chain(drawn).collect())
+        let sampled = usable.choose_multiple(rng, SAMPLE_SIZE).copied();
+        Some(selection.home.into_iter().chain(sampled).collect())
     }
 
-    /// The server of this region that a prompt's shared text belongs to, by its hash.
+    /// Hash of the home server in this region for a prompt's shared prefix.
     fn home(&self, parts: &[PromptSegment]) -> Option<u64> {
-        let text = Text::of(parts)?;
+        let prefix = SharedPrefix::of(parts)?;
         let usable = self.servers.values().filter(|candidate| candidate.is_usable());
-        usable.map(|candidate| candidate.hash).max_by_key(|hash| text.weight(*hash))
+        usable.map(|candidate| candidate.hash).max_by_key(|hash| prefix.weight(*hash))
     }
 }
--- /dev/null
+++ b/lib/src/coordination/placement/status.rs
@@ -0,0 +1,142 @@
+//! State that servers report about themselves: cold, leaving, backing off, or replaced by another
+//! instance.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+use std::time::Instant;
+
+use super::Place;
+use super::Placement;
+use crate::coordination::warmup;
+use crate::protocol::ServerId;
+use crate::protocol::fleet::Server;
+
+/// A server that may turn cold and is probed.
+#[derive(Clone, Debug)]
+pub struct ProbeTarget<'a> {
+    /// Id of the server.
+    pub server: &'a ServerId,
+    /// Address of the server.
+    pub address: SocketAddr,
+    /// Hash of the server's id.
+    pub hash: u64,
+    /// Incarnation of the server.
+    pub incarnation: u64,
+    /// Time between probes.
+    pub probe_interval: Duration,
+}
+
+impl Placement {
+    /// Whether the server of a place would still get the request. Statements of the server and
+    /// changes in the store after the choice count until the request is sent.
+    pub fn still_admits(&self, place: &Place, now: Instant) -> bool {
+        let Some(candidate) = self.servers.get(&place.server) else { return false };
+        let is_backing_off = self.backoffs.until(place.incarnation, now).is_some();
+        candidate.incarnation == place.incarnation && candidate.is_usable() && !is_backing_off
+    }
+
+    /// Records that a server asks this box to back off. Returns until when it applies.
+    pub fn record_backoff(
+        &mut self,
+        server: u64,
+        duration: Duration,
+        now: Instant,
+    ) -> Option<Instant> {
+        self.backoffs.record(server, duration, now);
+        self.backoffs.until(server, now)
+    }
+
+    /// Number of servers that are backing off.
+    pub fn backing_off(&self, now: Instant) -> usize {
+        let incarnations = self.servers.values().map(|candidate| candidate.incarnation);
+        incarnations.filter(|incarnation| self.backoffs.until(*incarnation, now).is_some()).count()
+    }
+
+    /// Retry delay of the next caller that finds all servers backing off until `until`.
+    pub fn retry_after(&mut self, until: Instant, now: Instant) -> Duration {
+        self.retry_spread.retry_after(until, now)
+    }
+
+    /// Updates which servers have announced that they are leaving.
+    pub fn set_leaving(&mut self, is_leaving: impl Fn(u64) -> bool) {
+        for candidate in self.servers.values_mut() {
+            candidate.set_leaving(is_leaving(candidate.incarnation));
+        }
+    }
+
+    /// Records a server's report to this box that it is cold for another `cold_left`, or not cold
+    /// if that is 0. Returns whether the server has newly turned cold.
+    pub fn record_cold_report(&mut self, server: &str, cold_left: Duration, now: Instant) -> bool {
+        let Some(candidate) = self.servers.get_mut(server) else { return false };
+        let turned_cold = candidate.record_probe_answer(cold_left, now);
+        if turned_cold {
+            let failure_domain = candidate.state.server.failure_domain.clone();
+            self.distrust_warm_reports(&failure_domain, now);
+        }
+        turned_cold
+    }
+
+    /// Records a report that a server made to another box at `at`; `life` identifies its
+    /// incarnation.
+    pub fn record_peer_cold_report(&mut self, incarnation: u64, cold_left: Duration, at: Instant) {
+        let reported =
+            self.servers.values_mut().find(|candidate| candidate.incarnation == incarnation);
+        let Some(candidate) = reported else { return };
+        if !candidate.record_cold_report(cold_left, at) {
+            return;
+        }
+        let Server { id, failure_domain, .. } = &*candidate.state.server;
+        log::info!("event=server_says server={id} cold_ms={} by=box", cold_left.as_millis());
+        let failure_domain = failure_domain.clone();
+        self.distrust_warm_reports(&failure_domain, at);
+    }
+
+    fn distrust_warm_reports(&mut self, failure_domain: &str, now: Instant) {
+        for candidate in self.servers.values_mut() {
+            if candidate.state.server.failure_domain == failure_domain {
+                candidate.distrust_warm_reports(now);
+            }
+        }
+    }
+
+    /// Recent reports that servers made to this box: incarnation, remaining cold time and time of
+    /// the report.
+    pub fn cold_reports(&self, now: Instant) -> impl Iterator<Item = (u64, Duration, Instant)> {
+        self.servers.values().filter_map(move |candidate| {
+            let (cold_left, at) = candidate.recent_cold_report(now)?;
+            Some((candidate.incarnation, cold_left, at))
+        })
+    }
+
+    /// Path of the servers' health endpoint.
+    pub fn health_path(&self) -> Option<&str> {
+        self.health_path.as_deref()
+    }
+
+    /// The usable servers that may turn cold.
+    pub fn probe_targets(&mut self, now: Instant) -> impl Iterator<Item = ProbeTarget<'_>> {
+        // All boxes are assumed to use a server equally.
+        let (rate, sharers) = (self.cold_rate, self.sharers.max(1) as f64);
+        let usable = self.servers.iter_mut().filter(|(_, candidate)| candidate.is_usable());
+        // A server that is backing off gets nothing, so it does not matter whether it is cold.
+        let backoffs = &self.backoffs;
+        let probed = usable.filter(move |(_, candidate)| {
+            candidate.state.cold_share.is_some()
+                && backoffs.until(candidate.incarnation, now).is_none()
+        });
+        probed.map(move |(server, candidate)| ProbeTarget {
+            server,
+            address: candidate.state.server.address,
+            hash: candidate.hash,
+            incarnation: candidate.incarnation,
+            probe_interval: warmup::probe_interval(rate, candidate.sent_per_second(now) * sharers),
+        })
+    }
+
+    /// Records that another instance has a server's address.
+    pub fn mark_replaced(&mut self, server: &str) {
+        if let Some(candidate) = self.servers.get_mut(server) {
+            candidate.mark_replaced();
+        }
+    }
+}
--- a/lib/src/coordination/rate.rs
+++ b/lib/src/coordination/rate.rs
@@ -1,29 +1,30 @@
-//! A smoothed rate.
+//! Exponentially smoothed rate.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Least part of a smoothed rate that a young box's figure is scaled up from.
-const LEAST_SEEN: f64 = 0.1;
+/// Lower limit for the weight by which the rate of a new box is divided to correct for the short
+/// observation.
+const MIN_OBSERVED_WEIGHT: f64 = 0.1;
 
-/// A smoothed rate: each unit counts with a weight that decays, and once in all.
+/// Exponentially smoothed rate: the weight of each unit decays, and its weights sum up to one.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     per_second: f64,
     smoothing: Duration,
-    began_at: Instant,
+    started_at: Instant,
     at: Instant,
 }
 
 impl Rate {
-    /// Nothing yet.
+    /// Creates a rate of 0.
     pub fn new(smoothing: Duration, now: Instant) -> Rate {
-        Rate { per_second: 0.0, smoothing, began_at: now, at: now }
+        Rate { per_second: 0.0, smoothing, started_at: now, at: now }
     }
 
     fn decay(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.per_second *= (-passed / self.smoothing.as_secs_f64()).exp();
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.per_second *= (-elapsed / self.smoothing.as_secs_f64()).exp();
         self.at = self.at.max(now);
     }
 
@@ -39,10 +40,10 @@
         self.per_second
     }
 
-    /// The same, reckoned with the time since it began as if it had been as long as the smoothing.
-    pub fn since_start(self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.began_at).as_secs_f64();
-        let seen = 1.0 - (-age / self.smoothing.as_secs_f64()).exp();
-        self.get(now) / seen.max(LEAST_SEEN)
+    /// Units a second, corrected for observation times shorter than the smoothing time.
+    pub fn bias_corrected(self, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.started_at).as_secs_f64();
+        let observed_weight = 1.0 - (-age / self.smoothing.as_secs_f64()).exp();
+        self.get(now) / observed_weight.max(MIN_OBSERVED_WEIGHT)
     }
 }
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -112,8 +112,12 @@
         let region = &self.shared.settings.region;
         let names =
             self.exchange.membership.live_in(region, now).map(|member| member.name.as_str());
-        let is_chosen =
-            rendezvous::holds(&self.shared.settings.name, names, "watch", WATCHERS_PER_REGION);
+        let is_chosen = rendezvous::is_selected(
+            &self.shared.settings.name,
+            names,
+            "watch",
+            WATCHERS_PER_REGION,
+        );
         self.is_watcher.store(is_chosen, Ordering::Relaxed);
     }
 
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -72,7 +72,12 @@
         let region = &self.shared.settings.region;
         let members = self.exchange.membership.live_in(region, now);
         let names = members.map(|member| member.name.as_str());
-        rendezvous::holds(&self.shared.settings.name, names, "orders", LEASE_CANDIDATES_PER_REGION)
+        rendezvous::is_selected(
+            &self.shared.settings.name,
+            names,
+            "orders",
+            LEASE_CANDIDATES_PER_REGION,
+        )
     }
 
     /// Handles the result of a lease call.
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -11,7 +11,7 @@
 use super::Control;
 use super::Event;
 use crate::coordination::pool;
-use crate::coordination::pool::Lane;
+use crate::coordination::pool::ServerSnapshot;
 use crate::coordination::rendezvous;
 use crate::protocol::ServerId;
 use crate::protocol::config;
@@ -77,12 +77,16 @@
         self.exchange.membership.live_in(&self.shared.settings.region, now).count() + 1
     }
 
-    fn local_server_states(&self, pool: &config::Pool, now: Instant) -> BTreeMap<ServerId, Lane> {
+    fn local_server_states(
+        &self,
+        pool: &config::Pool,
+        now: Instant,
+    ) -> BTreeMap<ServerId, ServerSnapshot> {
         let region = &self.shared.settings.region;
         let local_servers = pool.servers.iter().filter(|(_, server)| server.region == *region);
         let server_state = |id: &ServerId, server: &config::Server| {
             let observation = self.exchange.load.get(id);
-            Lane {
+            ServerSnapshot {
                 address: server.address,
                 slots: server.slots,
                 leaving: server.leaving || self.exchange.load.is_leaving(id, now),
@@ -94,7 +98,7 @@
     }
 
     /// Logs each change of a backend server's state once.
-    fn log_servers(&mut self, server_states: &BTreeMap<ServerId, Lane>) {
+    fn log_servers(&mut self, server_states: &BTreeMap<ServerId, ServerSnapshot>) {
         for (id, server_state) in server_states {
             let state = (server_state.reachable, server_state.leaving);
             let previous_state =
@@ -119,7 +123,7 @@
         for (pool_id, pool) in &self.configuration.pools {
             let is_service = self.configuration.services.contains_key(pool_id);
             for (id, server) in pool.servers.iter().filter(|(_, server)| server.region == *region) {
-                if rendezvous::holds(own, peers.iter().copied(), id, PROBERS_PER_SERVER) {
+                if rendezvous::is_selected(own, peers.iter().copied(), id, PROBERS_PER_SERVER) {
                     probe_targets.push(ProbeTarget {
                         server: id.clone(),
                         address: server.address,
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -3,6 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::job::Job;
+use super::job::SENDS_HEADER;
+use super::job::forwarded_headers;
 use bytes::Bytes;
 use http::HeaderMap;
 use http::Request;
@@ -15,14 +18,11 @@
 
 use super::decision_log;
 use super::feedback;
-use super::job::Job;
-use super::job::SENDS_HEADER;
-use super::job::forwarded_headers;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::stream::Stream;
-use crate::coordination::attempt::Event;
-use crate::coordination::attempt::Report;
+use crate::coordination::attempt::AttemptEvent;
+use crate::coordination::attempt::AttemptReport;
 use crate::error::ErrorKind;
 use crate::error::Executed;
 use crate::error::Failure;
@@ -126,7 +126,7 @@
 
 /// A send that got no answer.
 struct NoResponse {
-    event: Event,
+    event: AttemptEvent,
     message: String,
 }
 
@@ -134,10 +134,10 @@
     fn into_outcome<A: Adapter>(self, target: &str) -> SendOutcome<A> {
         let message = format!("{target}: {}", self.message);
         match self.event {
-            Event::Unreachable | Event::Withheld => {
+            AttemptEvent::Unreachable | AttemptEvent::NotSent => {
                 SendOutcome::Unsent(Failure::new(ErrorKind::NoServer, message))
             }
-            Event::Silent => SendOutcome::MaybeRan(
+            AttemptEvent::TimedOut => SendOutcome::MaybeRan(
                 Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
             ),
             _ => SendOutcome::MaybeRan(
@@ -159,18 +159,18 @@
     match timer::timeout_at(job.deadline, exchange).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(AttemptError::NotSent(message))) => {
-            Err(NoResponse { event: Event::Unreachable, message })
+            Err(NoResponse { event: AttemptEvent::Unreachable, message })
         }
         Ok(Err(AttemptError::Withheld)) => {
             let message = "the server takes nothing by now".to_owned();
-            Err(NoResponse { event: Event::Withheld, message })
+            Err(NoResponse { event: AttemptEvent::NotSent, message })
         }
         Ok(Err(AttemptError::NoResponse(message))) => {
-            Err(NoResponse { event: Event::BrokenOff, message })
+            Err(NoResponse { event: AttemptEvent::Interrupted, message })
         }
         Err(_) => {
             let message = "no answer before the deadline".to_owned();
-            Err(NoResponse { event: Event::Silent, message })
+            Err(NoResponse { event: AttemptEvent::TimedOut, message })
         }
     }
 }
@@ -216,7 +216,12 @@
     };
     if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
         let message = "the answer is that of another request";
-        return maybe_ran(&mut reservation, Event::Invalid, ErrorKind::BackendFailed, message);
+        return maybe_ran(
+            &mut reservation,
+            AttemptEvent::Invalid,
+            ErrorKind::BackendFailed,
+            message,
+        );
     }
     let event = head_event(&verdict);
     if let Some(reservation) =
@@ -233,14 +238,14 @@
         shared,
         job,
         &mut reservation,
-        &Report::head(event, verdict.server_status),
+        &AttemptReport::head(event, verdict.server_status),
     );
     match event {
-        Event::Replaced => {
+        AttemptEvent::Replaced => {
             let message = "another instance has the address";
             return SendOutcome::Refused(Failure::new(ErrorKind::NoServer, message));
         }
-        Event::Refused => {
+        AttemptEvent::Refused => {
             exchange.release_for(idle_time(verdict.keep_alive));
             let failure = Failure::new(ErrorKind::QueueFull, "the backend server refused");
             let rests = verdict.server_status.rest.is_some_and(|rest| !rest.is_zero());
@@ -250,7 +255,7 @@
                 SendOutcome::Refused(failure)
             };
         }
-        Event::Invalid => {
+        AttemptEvent::Invalid => {
             let message = "the answer has no mark of its server";
             return SendOutcome::MaybeRan(
                 Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown),
@@ -275,39 +280,39 @@
         }
         Ok(Err(error)) => maybe_ran(
             &mut reservation,
-            Event::BrokenOff,
+            AttemptEvent::Interrupted,
             ErrorKind::BackendFailed,
             &error.to_string(),
         ),
         Err(_) => {
             let message = "the answer did not end in time";
-            maybe_ran(&mut reservation, Event::Invalid, ErrorKind::BackendTimeout, message)
+            maybe_ran(&mut reservation, AttemptEvent::Invalid, ErrorKind::BackendTimeout, message)
         }
     }
 }
 
 /// The event that the head of an answer stands for.
-fn head_event(verdict: &ResponseMetadata) -> Event {
+fn head_event(verdict: &ResponseMetadata) -> AttemptEvent {
     if verdict.instance_mismatch {
-        Event::Replaced
+        AttemptEvent::Replaced
     } else if verdict.not_run {
-        Event::Refused
+        AttemptEvent::Refused
     } else if verdict.has_seal {
-        Event::Begun
+        AttemptEvent::HeadReceived
     } else {
-        Event::Invalid
+        AttemptEvent::Invalid
     }
 }
 
 /// The event that a complete answer stands for.
-fn body_event(status: StatusCode) -> Event {
+fn body_event(status: StatusCode) -> AttemptEvent {
     if status.is_success() {
-        Event::Answered
+        AttemptEvent::Answered
     } else if status.is_server_error() {
         // A server error doesn't show that the request is harmless.
-        Event::Failed
+        AttemptEvent::Failed
     } else {
-        Event::Rejected
+        AttemptEvent::Rejected
     }
 }
 
@@ -325,14 +330,14 @@
             SendOutcome::Answered(Reply { status, headers, payload })
         }
         Ok(Err(cut)) => {
-            feedback::record_end(shared, job, stream.reservation(), Event::BrokenOff);
+            feedback::record_end(shared, job, stream.reservation(), AttemptEvent::Interrupted);
             SendOutcome::MaybeRan(
                 Failure::new(ErrorKind::BackendFailed, cut.to_string())
                     .with_executed(Executed::Unknown),
             )
         }
         Err(_) => {
-            feedback::record_end(shared, job, stream.reservation(), Event::Silent);
+            feedback::record_end(shared, job, stream.reservation(), AttemptEvent::TimedOut);
             let message = "no event before the deadline";
             SendOutcome::MaybeRan(
                 Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown),
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -11,14 +11,14 @@
 use std::time::Instant;
 use std::time::SystemTime;
 
-use crate::coordination::broken::Life;
 use crate::coordination::candidate;
-use crate::coordination::candidate::Known;
+use crate::coordination::candidate::ServerState;
 use crate::coordination::departures;
+use crate::coordination::interrupted::ServerIncarnation;
 use crate::coordination::presence;
 use crate::coordination::rendezvous;
-use crate::coordination::restored::RETURN_GRACE;
-use crate::coordination::restored::Restored;
+use crate::coordination::store_rollback::ROLLBACK_GRACE;
+use crate::coordination::store_rollback::StoreRollback;
 use crate::coordination::warmup;
 use crate::protocol::BoxId;
 use crate::protocol::RegionId;
@@ -57,7 +57,7 @@
     /// Since when the entry is missing from the store, while it may still be written again.
     missing_since: Option<Instant>,
     /// The incarnation of the server that the entry is about.
-    life: Life,
+    life: ServerIncarnation,
     /// Whether the server said itself that it leaves.
     said_leaving: bool,
     /// When this box saw the entry change; `None` if it has seen only one version of it.
@@ -89,7 +89,7 @@
     /// Region of each known failure domain.
     regions: HashMap<FailureDomainId, RegionId>,
     store_recovered_at: Option<Instant>,
-    restored: Restored,
+    restored: StoreRollback,
 }
 
 /// The local box and its settings, which decide how bounds are shared.
@@ -129,7 +129,7 @@
             self.restored.hold_back(subject, fact, revision);
             return false;
         }
-        self.restored.drop_held(&subject);
+        self.restored.discard_held(&subject);
         match fact {
             Fact::Routing(routing) => {
                 let known_version = self.routing.as_ref().map_or(0, |routing| routing.version);
@@ -176,7 +176,7 @@
         {
             return entry.missing_since.take().is_some();
         }
-        let life = candidate::life_hash(&server);
+        let life = candidate::incarnation_hash(&server);
         let mut changed_at = (previous_life == Some(life)).then_some(now);
         let mut cold_until = (!server.cold_left.is_zero()).then(|| now + server.cold_left);
         if let Some(before) = self.servers.get(&server.id)
@@ -254,7 +254,7 @@
 
     /// Removes an entry that is gone from the store.
     pub fn remove(&mut self, subject: &Subject, now: Instant) {
-        self.restored.drop_held(subject);
+        self.restored.discard_held(subject);
         match subject {
             Subject::Server(id) => self.remove_server(id, now),
             Subject::Evacuation(domain) => self.remove_evacuation(domain, now),
@@ -271,7 +271,7 @@
     }
 
     fn remove_server(&mut self, id: &ServerId, now: Instant) {
-        let within_grace = |at: Instant| now < at + RETURN_GRACE;
+        let within_grace = |at: Instant| now < at + ROLLBACK_GRACE;
         if self.store_recovered_at.is_some_and(within_grace) {
             if let Some(entry) = self.servers.get_mut(id) {
                 log::info!("event=server_missing server={id} reason=\"the store was away\"");
@@ -281,7 +281,7 @@
         }
         if let Some(entry) = self.servers.remove(id) {
             log::info!("event=server_gone server={id}");
-            self.restored.note_removal(Subject::Server(id.clone()), entry.revision, now);
+            self.restored.record_removal(Subject::Server(id.clone()), entry.revision, now);
         }
     }
 
@@ -324,7 +324,7 @@
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.servers.len() + self.expired_boxes.len() + self.heard.len();
         self.servers.retain(|id, entry| {
-            let retained = entry.missing_since.is_none_or(|since| now < since + RETURN_GRACE);
+            let retained = entry.missing_since.is_none_or(|since| now < since + ROLLBACK_GRACE);
             if !retained {
                 log::info!(
                     "event=server_gone server={id} reason=\"missing since the store is back\""
@@ -368,13 +368,13 @@
     }
 
     /// The store's entry about an incarnation of a server.
-    pub fn departure_entry(&self, life: Life) -> Option<departures::Entry> {
+    pub fn departure_entry(&self, life: ServerIncarnation) -> Option<departures::StoreEntry> {
         let entry = self.servers.values().find(|entry| entry.life == life)?;
-        Some(departures::Entry { leaving: entry.server.leaving, changed_at: entry.changed_at })
+        Some(departures::StoreEntry { leaving: entry.server.leaving, changed_at: entry.changed_at })
     }
 
     /// Updates which servers said themselves that they leave.
-    pub fn set_leaving(&mut self, leaves: impl Fn(Life) -> bool) {
+    pub fn set_leaving(&mut self, leaves: impl Fn(ServerIncarnation) -> bool) {
         for entry in self.servers.values_mut() {
             entry.said_leaving = leaves(entry.life);
         }
@@ -437,9 +437,12 @@
     }
 
     /// The servers of this region by service.
-    pub fn local_servers(&self, context: &LocalContext<'_>) -> HashMap<ServiceId, Vec<Known>> {
+    pub fn local_servers(
+        &self,
+        context: &LocalContext<'_>,
+    ) -> HashMap<ServiceId, Vec<ServerState>> {
         let sharing_boxes = self.sharing_boxes(context);
-        let mut local_servers: HashMap<ServiceId, Vec<Known>> = HashMap::new();
+        let mut local_servers: HashMap<ServiceId, Vec<ServerState>> = HashMap::new();
         let Some(routing) = &self.routing else { return local_servers };
         for entry in self.servers.values() {
             let server = &entry.server;
@@ -447,12 +450,12 @@
                 continue;
             }
             let Some(service) = routing.services.get(&server.service) else { continue };
-            local_servers.entry(server.service.clone()).or_default().push(Known {
+            local_servers.entry(server.service.clone()).or_default().push(ServerState {
                 server: Arc::clone(server),
                 usable: self.is_usable(entry),
                 cold_until: entry.cold_until,
                 cold_share: cold_share(context, service, server, &sharing_boxes),
-                near: server.failure_domain == context.own_record.failure_domain,
+                same_failure_domain: server.failure_domain == context.own_record.failure_domain,
             });
         }
         local_servers
@@ -468,7 +471,7 @@
     if service.warmup_rate <= 0.0 {
         return None;
     }
-    let bound = warmup::Bound {
+    let bound = warmup::ColdLimit {
         rate: service.warmup_rate,
         excess: context.cold_excess,
         slack: context.cold_slack,
--- a/lib/src/gateway/cluster_state/settling.rs
+++ b/lib/src/gateway/cluster_state/settling.rs
@@ -2,10 +2,10 @@
 //! repeated, the state keeps some entries that the store lacks, and holds back others that it
 //! lists.
 
+use super::Evacuation;
 use std::time::Instant;
 
 use super::ClusterState;
-use super::Evacuation;
 use crate::coordination::candidate;
 use crate::protocol::adapter::Fact;
 use crate::protocol::adapter::Subject;
@@ -15,7 +15,7 @@
 impl ClusterState {
     /// Records that the store was restored from an older copy at `at`.
     pub fn note_store_restored(&mut self, at: Instant) {
-        self.restored.begin(at);
+        self.restored.record_rollback(at);
         self.note_store_recovered(at);
     }
 
@@ -41,13 +41,13 @@
             Fact::Routing(_) => false,
             Fact::Server(server) => match self.servers.get(&server.id) {
                 Some(entry) => {
-                    let same_life = entry.life == candidate::life_hash(server);
+                    let same_life = entry.life == candidate::incarnation_hash(server);
                     same_life && entry.server.leaving && !server.leaving
                 }
-                None => self.restored.is_removed(subject, revision),
+                None => self.restored.was_removed(subject, revision),
             },
             Fact::Evacuated(domain) => {
-                !self.evacuated.contains_key(domain) && self.restored.is_removed(subject, revision)
+                !self.evacuated.contains_key(domain) && self.restored.was_removed(subject, revision)
             }
         }
     }
@@ -65,7 +65,7 @@
         if let Some(evacuation) = self.evacuated.remove(domain) {
             log::info!("event=evacuation_over failure_domain={domain}");
             let subject = Subject::Evacuation(domain.clone());
-            self.restored.note_removal(subject, evacuation.revision, now);
+            self.restored.record_removal(subject, evacuation.revision, now);
             self.mark_domain_cold(domain, now);
         }
     }
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -190,7 +190,7 @@
         if !self.cluster_state.is_listed(&self.own_record.name) {
             return self.is_seed();
         }
-        watchers::watches(&self.own_record, snapshot.boxes.iter())
+        watchers::is_watcher(&self.own_record, snapshot.boxes.iter())
     }
 
     /// Whether other boxes query this one when they start.
@@ -307,7 +307,8 @@
             .cluster_state
             .note_heard_boxes(lock(&self.shared.loads).senders().chain(unlisted_in_region), now);
         let presence = lock(&self.shared.presence);
-        self.cluster_state.refresh_expired_boxes(|name| presence.is_heard(name, now), now);
+        self.cluster_state
+            .refresh_expired_boxes(|name| presence.was_heard_recently(name, now), now);
         found_box
     }
 
@@ -324,7 +325,7 @@
         let fleet_size = self.cluster_state.fleet_size(&context);
         let now = clock::now();
         let departures = lock(&self.shared.departures);
-        self.cluster_state.set_leaving(|life| departures.leaves(life));
+        self.cluster_state.set_leaving(|life| departures.is_leaving(life));
         drop(departures);
         let mut local_servers = self.cluster_state.local_servers(&context);
         if let Some(routing) = &self.cluster_state.routing {
@@ -340,7 +341,7 @@
                 // Locked while `services` is locked, so a report that arrives meanwhile is applied
                 // after this.
                 let departures = lock(&self.shared.departures);
-                state.placement.set_leaving(|life| departures.leaves(life));
+                state.placement.set_leaving(|life| departures.is_leaving(life));
             }
         }
         let (boxes, expired_boxes) = (
@@ -349,7 +350,7 @@
         );
         let listed = boxes.iter().chain(&expired_boxes).chain([&self.own_record]);
         let listed = listed.map(|record| presence::box_hash(&record.name)).collect();
-        lock(&self.shared.unlisted).list(listed);
+        lock(&self.shared.unlisted).set_listed(listed);
         self.shared.snapshot.store(Arc::new(Snapshot {
             routing: self.cluster_state.routing.clone(),
             boxes,
--- a/lib/src/gateway/control/peer_sync.rs
+++ b/lib/src/gateway/control/peer_sync.rs
@@ -96,7 +96,7 @@
         for _ in 0..2 {
             let Some(state) = state_transfer::fetch_from(&peers, address, &scope, None).await
             else {
-                lock(&self.shared.freshness).forget_ahead();
+                lock(&self.shared.freshness).forget_newer_peer();
                 return;
             };
             if self.apply_peer_state(state) {
@@ -121,7 +121,7 @@
             None if self.watching => self.watch_gap() + WATCH_LAG_ALLOWANCE,
             _ => Duration::ZERO,
         };
-        lock(&self.shared.freshness).ahead(allowed_lag, now)
+        lock(&self.shared.freshness).peer_to_ask(allowed_lag, now)
     }
 
     /// Applies the state of another box. Returns whether this box then has the same state.
@@ -129,13 +129,13 @@
         let PeerState { source, version, age, recovered_ago, written, removed_keys, verdicts } =
             state;
         let mut quarantine = lock(&self.shared.quarantine);
-        verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, clock::now()));
+        verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, clock::now()));
         drop(quarantine);
         let position = version.position;
         let before = self.position();
         if position < before {
             // The other box has restarted since, and has an older state now.
-            lock(&self.shared.freshness).forget_ahead();
+            lock(&self.shared.freshness).forget_newer_peer();
             return true;
         }
         let removed = match &removed_keys {
@@ -167,7 +167,7 @@
         written.into_iter().for_each(|item| self.apply_change(Change::Written(item)));
         lock(&self.shared.replica).advance_to(position);
         let own_version = lock(&self.shared.replica).version();
-        lock(&self.shared.freshness).taken(own_version, now.checked_sub(age), now);
+        lock(&self.shared.freshness).record_state(own_version, now.checked_sub(age), now);
         self.publish();
         if own_version != version {
             log::warn!(
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -10,7 +10,7 @@
 
 use super::Control;
 use super::Event;
-use crate::coordination::freshness::LOOK_AGAIN;
+use crate::coordination::freshness::CHECK_INTERVAL;
 use crate::coordination::watchers;
 use crate::gateway::quarantine;
 use crate::gateway::replica;
@@ -188,7 +188,7 @@
             let mut poll_now = self.take_due_check(now);
             if now >= next_draw_at {
                 poll_now |= self.draw_poll();
-                next_draw_at = now + LOOK_AGAIN;
+                next_draw_at = now + CHECK_INTERVAL;
             }
             let watching = self.store_down_since.is_none() && self.should_watch();
             self.set_watching(watching);
@@ -207,7 +207,7 @@
                 PendingCall::Watch(_) if !watching => PendingCall::Idle,
                 unchanged => unchanged,
             };
-            let tick = if watching { self.watch_gap().min(LOOK_AGAIN) } else { LOOK_AGAIN };
+            let tick = if watching { self.watch_gap().min(CHECK_INTERVAL) } else { CHECK_INTERVAL };
             let answer = tokio::select! {
                 answer = pending.answer() => Some(answer),
                 Some(event) = events.recv() => {
@@ -236,7 +236,7 @@
     /// its revision.
     pub(super) fn is_superseded(&self) -> bool {
         let mut freshness = lock(&self.shared.freshness);
-        freshness.hear_era(self.store.newest_era());
+        freshness.observe_era(self.store.newest_era());
         freshness.is_superseded()
     }
 
@@ -306,7 +306,7 @@
     fn mark_current(&self) {
         let version = lock(&self.shared.replica).version();
         let now = clock::now();
-        lock(&self.shared.freshness).taken(version, Some(now), now);
+        lock(&self.shared.freshness).record_state(version, Some(now), now);
     }
 
     /// Draws whether this box polls the store: a waiting watch may have died unnoticed, and no box
@@ -317,8 +317,8 @@
         let fleet_size = self.shared.snapshot.load().fleet_size;
         let freshness = lock(&self.shared.freshness);
         let probability = match self.store_down_since {
-            Some(_) => freshness.knock(fleet_size),
-            None => freshness.look(fleet_size, clock::now()),
+            Some(_) => freshness.reconnect_probability(fleet_size),
+            None => freshness.check_probability(fleet_size, clock::now()),
         };
         rand::rng().random::<f64>() < probability
     }
@@ -334,7 +334,7 @@
     /// Minimum time from one watch to the next.
     pub(super) fn watch_gap(&self) -> Duration {
         let settings = &self.shared.settings;
-        let watching = watchers::most(&self.shared.snapshot.load().boxes) as f64;
+        let watching = watchers::max_watchers(&self.shared.snapshot.load().boxes) as f64;
         let rate_gap = watching / (settings.store_reads * WATCH_READ_SHARE).max(1.0);
         let max_gap = settings.propagation_limit.mul_f64(MAX_WATCH_GAP_SHARE);
         Duration::from_secs_f64(rate_gap).max(MIN_WATCH_GAP).min(max_gap)
--- a/lib/src/gateway/cross_region.rs
+++ b/lib/src/gateway/cross_region.rs
@@ -16,7 +16,7 @@
 use super::shared::lock;
 use crate::coordination::regions::Fullness;
 use crate::coordination::rendezvous;
-use crate::coordination::text::Text;
+use crate::coordination::shared_prefix::SharedPrefix;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::fleet::BoxRecord;
 use crate::state::clock;
@@ -82,8 +82,8 @@
     job: &Job,
     history: &RequestHistory,
 ) -> Option<SocketAddr> {
-    let text = Text::of(&job.ask.segments)?;
-    if !is_first_send(job, history) || !text.travels() {
+    let text = SharedPrefix::of(&job.ask.segments)?;
+    if !is_first_send(job, history) || !text.crosses_regions() {
         return None;
     }
     let servers = job.snapshot.servers.get(&job.service)?;
@@ -111,7 +111,7 @@
     history: &RequestHistory,
     now: Instant,
 ) -> Option<(SocketAddr, ForwardReason)> {
-    let has_home = Text::of(&job.ask.segments).is_some_and(|text| text.travels());
+    let has_home = SharedPrefix::of(&job.ask.segments).is_some_and(|text| text.crosses_regions());
     if !is_first_send(job, history) || has_home {
         return None;
     }
--- a/lib/src/gateway/decision_log.rs
+++ b/lib/src/gateway/decision_log.rs
@@ -9,12 +9,12 @@
 use super::history::RequestHistory;
 use super::job::Job;
 use super::stream_timing::StreamTiming;
-use crate::coordination::broken::Run;
-use crate::coordination::freshness::Standing;
-use crate::coordination::learning::Note;
+use crate::coordination::feedback::Observation;
+use crate::coordination::freshness::StateSummary;
+use crate::coordination::interrupted::InterruptedRequest;
 use crate::coordination::placement::Place;
 use crate::coordination::quarantine::Suspicion;
-use crate::coordination::text::Text;
+use crate::coordination::shared_prefix::SharedPrefix;
 use crate::error::Failure;
 use crate::protocol::server_status::ServerStatus;
 use crate::state::clock;
@@ -33,7 +33,7 @@
 
 /// Id of the shared text of the prompt; 0 if there is none.
 fn text_id(job: &Job) -> u64 {
-    Text::of(&job.ask.segments).map_or(0, |text| text.id())
+    SharedPrefix::of(&job.ask.segments).map_or(0, |text| text.id())
 }
 
 /// A request that crashed servers before is sent to a server.
@@ -49,7 +49,7 @@
 }
 
 /// A backend server was chosen.
-pub fn placed(job: &Job, history: &RequestHistory, place: &Place, state: Standing) {
+pub fn placed(job: &Job, history: &RequestHistory, place: &Place, state: StateSummary) {
     log::info!(
         target: TARGET,
         "event=placed request={} route={} team={} service={} server={} send={} in_flight={} others={} unread={:.0} \
@@ -61,8 +61,8 @@
         place.server,
         history.arrivals() + 1,
         place.in_flight,
-        place.others,
-        place.unread,
+        place.others_in_flight,
+        place.prefill_tokens,
         place.candidates,
         place.at_home,
         place.cold,
@@ -174,28 +174,30 @@
 const MAX_LOGGED_REQUESTS: usize = 16;
 
 /// Something was learned about a server, or about a request that it ran.
-pub fn server_learned(server: &str, note: &Note) {
+pub fn server_learned(server: &str, note: &Observation) {
     match note {
-        Note::Leaves => log::info!("event=server_leaves server={server} by=answer"),
-        Note::Rests(rest) => {
+        Observation::Leaving => log::info!("event=server_leaves server={server} by=answer"),
+        Observation::RequestedBackoff(rest) => {
             log::info!(target: TARGET, "event=server_rests server={server} rest_ms={}", rest.as_millis());
         }
-        Note::TurnedCold(left) => {
+        Observation::TurnedCold(left) => {
             log::info!("event=server_says server={server} cold_ms={}", left.as_millis());
         }
-        Note::Rate { before, after } => {
+        Observation::Rate { before, after } => {
             log::info!(
                 "event=server_rate server={server} rate={after:?} before={before:?} by=answer"
             );
         }
-        Note::Ended(runs) => server_ended(server, runs),
-        Note::Acquitted(request) => log::info!("event=acquitted server={server} content={request}"),
+        Observation::Crashed(runs) => server_ended(server, runs),
+        Observation::Cleared(request) => {
+            log::info!("event=acquitted server={server} content={request}")
+        }
     }
 }
 
 /// A server that broke off answers no longer accepts connections, so it has crashed or exited while
 /// the listed requests ran.
-fn server_ended(server: &str, runs: &[Run]) {
+fn server_ended(server: &str, runs: &[InterruptedRequest]) {
     let request_names: Vec<String> =
         runs.iter().take(MAX_LOGGED_REQUESTS).map(|run| run.request.to_string()).collect();
     log::info!(
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -24,9 +24,9 @@
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
-use crate::coordination::placement::Among;
 use crate::coordination::placement::Blocked;
-use crate::coordination::placement::Demand;
+use crate::coordination::placement::Eligible;
+use crate::coordination::placement::PlacementRequest;
 use crate::error::ErrorKind;
 use crate::error::Executed;
 use crate::error::Failure;
@@ -126,7 +126,7 @@
     let outcome = match choose_target(shared, job, history).map_err(StepError::Final)? {
         Target::Server(reservation) => {
             history.tried.push(reservation.place.server.clone());
-            let state = lock(&shared.freshness).standing(clock::now());
+            let state = lock(&shared.freshness).summary(clock::now());
             decision_log::placed(job, history, &reservation.place, state);
             attempt::to_server(shared, job, *reservation, after_event).await
         }
@@ -184,7 +184,7 @@
         return Ok(Target::Peer(address, reason));
     }
     lock(&shared.throttles).asked(throttle::service_hash(&job.service), clock::now());
-    let blocked = match reserve_server(shared, job, history, Among::Sound) {
+    let blocked = match reserve_server(shared, job, history, Eligible::Healthy) {
         Ok(reservation) => return Ok(Target::Server(reservation)),
         Err(blocked) => blocked,
     };
@@ -198,7 +198,7 @@
         return Ok(Target::Peer(address, ForwardReason::NoPlace));
     }
     if blocked == Blocked::Failing
-        && let Ok(reservation) = reserve_server(shared, job, history, Among::Any)
+        && let Ok(reservation) = reserve_server(shared, job, history, Eligible::Any)
     {
         return Ok(Target::Server(reservation));
     }
@@ -210,7 +210,7 @@
     shared: &Arc<Shared<A>>,
     job: &Job,
     history: &RequestHistory,
-    among: Among,
+    eligible: Eligible,
 ) -> Result<Box<Reservation<A>>, Blocked> {
     if !job.is_allowed_in(&shared.settings.region) {
         return Err(Blocked::NoServer);
@@ -221,16 +221,16 @@
         let chosen = shared.with_service(&job.service, |service| {
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
-            let demand = Demand {
+            let demand = PlacementRequest {
                 parts: &job.ask.segments,
                 tried,
                 loads,
                 throttles: &throttles,
-                among,
+                eligible,
                 stale,
             };
             let place = service.placement.choose(demand, now, &mut rand::rng())?;
-            throttles.sent(place.life, now);
+            throttles.sent(place.incarnation, now);
             Ok(place)
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
@@ -257,7 +257,7 @@
         Blocked::NoServer => {
             Failure::new(ErrorKind::NoServer, "no backend server may run the request now")
         }
-        Blocked::Resting { until } => return resting_refusal(shared, job, until),
+        Blocked::BackingOff { until } => return resting_refusal(shared, job, until),
         Blocked::Leaving => {
             let message = "the backend servers leave";
             return Failure::new(ErrorKind::NoServer, message).with_retry_after(REPLACEMENT_DELAY);
@@ -274,7 +274,7 @@
     let failure = Failure::new(ErrorKind::QueueFull, message);
     let now = clock::now();
     let retry_after =
-        shared.with_service(&job.service, |service| service.placement.come_back(until, now));
+        shared.with_service(&job.service, |service| service.placement.retry_after(until, now));
     match retry_after {
         Some(retry_after) => failure.with_retry_after(retry_after),
         None => failure,
--- a/lib/src/gateway/gossip.rs
+++ b/lib/src/gateway/gossip.rs
@@ -19,11 +19,11 @@
 use super::shared::lock;
 use super::with_port;
 use crate::coordination::drain::Stage;
+use crate::coordination::freshness::PeerState;
 use crate::coordination::freshness::Version;
-use crate::coordination::freshness::Word;
-use crate::coordination::loads::Report;
+use crate::coordination::loads::BoxReport;
 use crate::coordination::presence;
-use crate::coordination::quarantine::Reach;
+use crate::coordination::quarantine::Audience;
 use crate::coordination::quota::Fleet;
 use crate::coordination::quota::Teller;
 use crate::coordination::regions::Fullness;
@@ -99,7 +99,7 @@
 fn receive<A: Adapter>(shared: &Shared<A>, socket: &UdpSocket, buffer: &mut [u8]) {
     let now = clock::now();
     while let Ok((length, from)) = socket.try_recv_from(buffer) {
-        match Report::decode(&buffer[..length]) {
+        match BoxReport::decode(&buffer[..length]) {
             Ok(report) if report.number == REPLY_NUMBER => {
                 feedback::receive_leaving(shared, &report.leaving_servers, now);
                 let rates = report.throttle.unwrap_or_default();
@@ -111,7 +111,7 @@
                 apply_unlisted_boxes(shared, &report, from, now);
                 apply_quarantine(shared, &report, now);
                 if report.region == shared.settings.region {
-                    lock(&shared.loads).hear(&report, now);
+                    lock(&shared.loads).receive(&report, now);
                     apply_cold_answers(shared, &report, now);
                     feedback::receive_leaving(shared, &report.leaving_servers, now);
                     apply_quota_counts(shared, &report, now);
@@ -125,19 +125,19 @@
     }
 }
 
-fn apply_presence<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
-    let Report { sender, incarnation, .. } = *report;
+fn apply_presence<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
+    let BoxReport { sender, incarnation, .. } = *report;
     let mut presence = lock(&shared.presence);
-    presence.heard(sender, now);
+    presence.record_datagram(sender, now);
     let Some(leaving) = report.leaving else { return };
-    if presence.hear(sender, incarnation, leaving, now) {
+    if presence.record_announcement(sender, incarnation, leaving, now) {
         log::info!("event=box_says box={sender:x} incarnation={incarnation:x} leaving={leaving}");
     }
 }
 
 fn apply_state_version<A: Adapter>(
     shared: &Shared<A>,
-    report: &Report,
+    report: &BoxReport,
     from: SocketAddr,
     now: Instant,
 ) {
@@ -152,17 +152,17 @@
     let Ok(port) = u16::try_from(report.handover_port) else { return };
     let position = Position { era: report.state_era, revision: report.state_revision };
     let version = Version { position, digest: report.state_digest };
-    let state_report = Word {
+    let state_report = PeerState {
         sender: report.sender,
         address: with_port(from, port),
         version,
         age,
-        beside: same_region,
+        is_same_region: same_region,
     };
     shared.eras.observe(position.era, from);
     let mut freshness = lock(&shared.freshness);
-    freshness.hear_era(shared.eras.get());
-    if freshness.hear(&state_report, now) {
+    freshness.observe_era(shared.eras.get());
+    if freshness.record_peer(&state_report, now) {
         shared.peer_ahead.notify_one();
     }
 }
@@ -172,13 +172,13 @@
 /// server where 17 are allowed.
 fn apply_unlisted_boxes<A: Adapter>(
     shared: &Shared<A>,
-    report: &Report,
+    report: &BoxReport,
     from: SocketAddr,
     now: Instant,
 ) {
     let mut unlisted = lock(&shared.unlisted);
     let region = report.region.clone();
-    unlisted.hear(Neighbor { box_hash: report.sender, region, address: from }, now);
+    unlisted.record(Neighbor { box_hash: report.sender, region, address: from }, now);
     for neighbor in &report.unlisted {
         let Ok(address) = neighbor.address.parse() else {
             log::warn!("event=unreadable_name from={from} address={:?}", neighbor.address);
@@ -187,23 +187,23 @@
         let age = Duration::from_millis(u64::from(neighbor.heard_ms));
         let Some(at) = now.checked_sub(age) else { continue };
         let (box_hash, region) = (neighbor.box_hash, neighbor.region.clone());
-        unlisted.hear(Neighbor { box_hash, region, address }, at);
+        unlisted.record(Neighbor { box_hash, region, address }, at);
     }
 }
 
-fn apply_quarantine<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_quarantine<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
     let mut quarantine = lock(&shared.quarantine);
     if quarantine.is_empty() && report.ends.is_empty() && report.verdicts.is_empty() {
         return;
     }
     if report.region == shared.settings.region {
-        quarantine.hear_trials(report.sender, &report.trials, now);
+        quarantine.receive_reserved_servers(report.sender, &report.trials, now);
     }
-    report.ends.iter().for_each(|end| quarantine.hear_end(end, now));
-    report.verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, now));
+    report.ends.iter().for_each(|end| quarantine.receive_crash(end, now));
+    report.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
 }
 
-fn apply_cold_answers<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
+fn apply_cold_answers<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
     let answers = report.cold_ms.iter().zip(&report.asked_ms);
     for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(answers) {
         let cold_left = Duration::from_millis(u64::from(*cold_ms));
@@ -211,13 +211,13 @@
             continue;
         };
         for service in lock(&shared.services).values_mut() {
-            service.placement.said_elsewhere(*server, cold_left, at);
+            service.placement.record_peer_cold_report(*server, cold_left, at);
         }
     }
 }
 
-fn apply_quota_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
-    let Report { sender, incarnation, number, .. } = *report;
+fn apply_quota_counts<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
+    let BoxReport { sender, incarnation, number, .. } = *report;
     let source = Teller { sender, incarnation, number };
     lock(&shared.quotas).hear_box(source, &report.counts, now);
 }
@@ -227,33 +227,33 @@
 fn apply_rates<A: Adapter>(
     shared: &Shared<A>,
     socket: &UdpSocket,
-    report: &Report,
+    report: &BoxReport,
     from: SocketAddr,
     now: Instant,
 ) {
-    let Report { sender, incarnation, number, .. } = *report;
+    let BoxReport { sender, incarnation, number, .. } = *report;
     let source = Teller { sender, incarnation, number };
     let rates = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
     let is_new_sender = throttles.hear(source, &rates, now);
-    let leaving_servers = lock(&shared.departures).all_words(now);
+    let leaving_servers = lock(&shared.departures).all_notices(now);
     if !is_new_sender || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
     }
-    let mut answer = Report {
+    let mut answer = BoxReport {
         number: REPLY_NUMBER,
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
         region: shared.settings.region.clone(),
         throttle: Some(throttles.all_words(now)),
         leaving_servers,
-        ..Report::default()
+        ..BoxReport::default()
     };
     drop(throttles);
     send(socket, &encode(&mut answer), std::iter::once(&from));
 }
 
-fn apply_region_load<A: Adapter>(shared: &Shared<A>, report: Report, now: Instant) {
+fn apply_region_load<A: Adapter>(shared: &Shared<A>, report: BoxReport, now: Instant) {
     lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
     regions.hear_closed(report.region.clone(), report.closed.clone(), now);
@@ -328,13 +328,14 @@
     report.state_age_ms = None;
     let now = clock::now();
     let since = now.checked_sub(REPORT_INTERVAL).unwrap_or(now);
-    let remote_unlisted = lock(&shared.unlisted).heard_after(since, &shared.settings.region, now);
+    let remote_unlisted =
+        lock(&shared.unlisted).remote_heard_after(since, &shared.settings.region, now);
     send(socket, &encode(&mut report), remote_unlisted.iter().take(MAX_RECIPIENTS));
 }
 
 /// Reduces a report to what boxes of other regions need: the load of this region instead of that of
 /// single servers, and only those server crashes that are suspicious.
-fn reduce_for_other_regions<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn reduce_for_other_regions<A: Adapter>(shared: &Shared<A>, report: &mut BoxReport) {
     let now = clock::now();
     report.servers.clear();
     report.in_flight.clear();
@@ -346,7 +347,7 @@
     report.throttle = None;
     report.leaving_servers.clear();
     report.flows = lock(&shared.quotas).flows(now);
-    report.ends = lock(&shared.quarantine).told_ends(Reach::Everyone, now);
+    report.ends = lock(&shared.quarantine).crash_reports(Audience::AllRegions, now);
     add_region_load(shared, report);
 }
 
@@ -367,8 +368,9 @@
         let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
         let region_boxes = boxes.filter(|other| other.region == shared.settings.region);
         // A box that leaves no longer sends once it is silent.
-        let is_sending =
-            |other: &&BoxRecord| presence.serves(other) || presence.is_heard(&other.name, now);
+        let is_sending = |other: &&BoxRecord| {
+            presence.serves(other) || presence.was_heard_recently(&other.name, now)
+        };
         others.extend(region_boxes.filter(is_sending).map(|other| presence::box_hash(&other.name)));
     }
     let unlisted = lock(&shared.unlisted);
@@ -378,7 +380,7 @@
     drop(unlisted);
     let rounds = others.len().div_ceil(MAX_RECIPIENTS) as u32;
     lock(&shared.throttles).tick(&others, rounds, now);
-    lock(&shared.departures).set_rounds(rounds);
+    lock(&shared.departures).set_reports_per_round(rounds);
 }
 
 /// The number of boxes, and the number of reports in which the rotation covers this region.
@@ -391,8 +393,8 @@
 }
 
 /// Encodes a report, truncated to fit a datagram.
-fn encode(report: &mut Report) -> Vec<u8> {
-    report.fit(MAX_DATAGRAM_BYTES);
+fn encode(report: &mut BoxReport) -> Vec<u8> {
+    report.truncate_to(MAX_DATAGRAM_BYTES);
     report.encode_to_vec()
 }
 
@@ -405,7 +407,7 @@
     }
 }
 
-fn add_region_load<A: Adapter>(shared: &Shared<A>, report: &mut Report) {
+fn add_region_load<A: Adapter>(shared: &Shared<A>, report: &mut BoxReport) {
     let now = clock::now();
     for (name, service) in lock(&shared.services).iter_mut() {
         let (loads, throttles) = (lock(&shared.loads), lock(&shared.throttles));
@@ -431,11 +433,11 @@
     region_boxes.map(|other| other.peers).chain(unlisted).collect()
 }
 
-fn build_report<A: Adapter>(shared: &Shared<A>, number: u64) -> Report {
+fn build_report<A: Adapter>(shared: &Shared<A>, number: u64) -> BoxReport {
     let now = clock::now();
     let version = lock(&shared.freshness).version();
     let snapshot = shared.snapshot.load();
-    let mut report = Report {
+    let mut report = BoxReport {
         leaving: snapshot.routing.is_some().then_some(snapshot.stage != Stage::Serving),
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
@@ -446,26 +448,26 @@
         state_digest: version.digest,
         state_age_ms: u64::try_from(shared.state_age_ms()).ok(),
         handover_port: u32::from(shared.settings.listen.handover.port()),
-        unlisted: lock(&shared.unlisted).named(now),
+        unlisted: lock(&shared.unlisted).neighbor_records(now),
         counts: lock(&shared.quotas).counts(now),
         throttle: Some(lock(&shared.throttles).news(now)).filter(|rates| !rates.is_empty()),
-        leaving_servers: lock(&shared.departures).news(now),
-        ..Report::default()
+        leaving_servers: lock(&shared.departures).next_notices(now),
+        ..BoxReport::default()
     };
     let quarantine = lock(&shared.quarantine);
     if !quarantine.is_empty() {
-        report.ends = quarantine.told_ends(Reach::Region, now);
-        report.verdicts = quarantine.told_verdicts(now, &mut rand::rng());
-        report.trials = quarantine.trials();
+        report.ends = quarantine.crash_reports(Audience::Region, now);
+        report.verdicts = quarantine.verdict_reports(now, &mut rand::rng());
+        report.trials = quarantine.own_reserved_servers();
     }
     drop(quarantine);
     for service in lock(&shared.services).values() {
         for (server, load) in service.placement.own_loads() {
             report.servers.push(server);
             report.in_flight.push(load.in_flight);
-            report.unread.push(load.unread);
+            report.unread.push(load.prefill_tokens);
         }
-        for (server, cold_left, at) in service.placement.words(now) {
+        for (server, cold_left, at) in service.placement.cold_reports(now) {
             report.asked.push(server);
             report.cold_ms.push(cold_left.as_millis() as u32);
             report.asked_ms.push(now.saturating_duration_since(at).as_millis() as u32);
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -10,7 +10,7 @@
 
 use super::event::Event;
 use super::store_keys;
-use crate::coordination::restored::COPY_AGE;
+use crate::coordination::store_rollback::MAX_ROLLBACK_AGE;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::KeyWrite;
 use crate::protocol::adapter::NO_LEASE;
@@ -48,7 +48,7 @@
     /// belong to another box by now, so that a successful renewal proves nothing.
     fn may_be_lost(&self, era: Era) -> bool {
         let age = self.confirmed_at.saturating_duration_since(self.granted_at);
-        era != self.era && age < COPY_AGE
+        era != self.era && age < MAX_ROLLBACK_AGE
     }
 
     /// Records a successful call with this lease.
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -23,8 +23,8 @@
 use super::shared::Shared;
 use super::shared::lock;
 use super::throttle;
-use crate::coordination::broken::Life;
-use crate::coordination::learning::Speaker;
+use crate::coordination::feedback::ServerRef;
+use crate::coordination::interrupted::ServerIncarnation;
 use crate::coordination::presence;
 use crate::coordination::warmup;
 use crate::protocol::ServerId;
@@ -44,7 +44,7 @@
     service: ServiceId,
     server: ServerId,
     hash: u64,
-    life: Life,
+    life: ServerIncarnation,
     address: SocketAddr,
     path: String,
     /// Time between two probes.
@@ -66,7 +66,7 @@
     let mut active: HashMap<ServerId, ActiveProbe> = HashMap::new();
     let mut probing = false;
     loop {
-        let tick = if probing { warmup::SHORTEST_PAUSE } else { warmup::LONGEST_PAUSE };
+        let tick = if probing { warmup::MIN_PROBE_INTERVAL } else { warmup::MAX_PROBE_INTERVAL };
         tokio::select! {
             () = timer::sleep(tick) => {}
             _ = stop.wait_for(|stop| *stop != Shutdown::No) => return,
@@ -100,19 +100,19 @@
     let mut targets = Vec::new();
     for (service, state) in lock(&shared.services).iter_mut() {
         let Some(path) = state.placement.health_path().map(str::to_owned) else { continue };
-        targets.extend(state.placement.turning_cold(now).map(|turning| ProbeTarget {
+        targets.extend(state.placement.probe_targets(now).map(|turning| ProbeTarget {
             service: service.clone(),
             server: turning.server.clone(),
             hash: turning.hash,
-            life: turning.life,
+            life: turning.incarnation,
             address: turning.address,
             path: path.clone(),
-            interval: turning.pause,
+            interval: turning.probe_interval,
         }));
     }
     let own_hash = presence::box_hash(&shared.settings.name);
     let freshness = lock(&shared.freshness);
-    targets.retain(|target| freshness.asks(own_hash, target.hash, now));
+    targets.retain(|target| freshness.probes_server(own_hash, target.hash, now));
     targets
 }
 
@@ -125,13 +125,14 @@
     let ProbeTarget { service, server, .. } = &target;
     if verdict.instance.as_deref().is_some_and(|instance| instance != server) {
         log::info!("event=server_replaced server={server} instance={:?}", verdict.instance);
-        shared.with_service(service, |state| state.placement.replaced(server));
+        shared.with_service(service, |state| state.placement.mark_replaced(server));
         return;
     }
-    let speaker = Speaker { server, life: target.life, service: throttle::service_hash(service) };
+    let speaker =
+        ServerRef { server, incarnation: target.life, service: throttle::service_hash(service) };
     let is_refusal = response.status() != StatusCode::OK;
     let lesson = feedback::with_learner(&shared, service, |learner| {
-        learner.asked(speaker, &verdict.server_status, is_refusal, now)
+        learner.handle_probe_answer(speaker, &verdict.server_status, is_refusal, now)
     });
     feedback::publish_lesson(&shared, server, &lesson);
 }
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -59,7 +59,9 @@
     if quarantine.is_empty() {
         return Ok(());
     }
-    let Some(remaining) = quarantine.refuses(job.fingerprint, clock::now()) else { return Ok(()) };
+    let Some(remaining) = quarantine.refused_for(job.fingerprint, clock::now()) else {
+        return Ok(());
+    };
     drop(quarantine);
     shared.counters.increment(Counter::Quarantined);
     shared.verdicts.notify_one();
@@ -83,11 +85,11 @@
     let request = job.fingerprint;
     let quarantine = lock(&shared.quarantine);
     let suspicion = quarantine.suspicion(request);
-    if !quarantine.is_suspicious(request) {
+    if !quarantine.needs_isolation(request) {
         return Trial { suspicion, ..Trial::default() };
     }
-    let occupied = quarantine.occupied(request, now).cloned().collect();
-    let reserved = quarantine.reserved(request, now).cloned().collect();
+    let occupied = quarantine.servers_with_suspects(request, now).cloned().collect();
+    let reserved = quarantine.reserved_servers(request, now).cloned().collect();
     Trial { suspicion, occupied, reserved }
 }
 
@@ -109,7 +111,7 @@
     value: &[u8],
 ) -> Result<(), serde_json::Error> {
     let StoredVerdict { content, caller } = serde_json::from_slice(value)?;
-    lock(&shared.quarantine).stored(Target { content, caller }, clock::now());
+    lock(&shared.quarantine).record_stored_verdict(Target { content, caller }, clock::now());
     Ok(())
 }
 
@@ -128,7 +130,7 @@
     tokio::spawn(async move {
         timer::sleep(REWRITE_GAP * rank as u32).await;
         if lock(&shared.replica).get(&key).is_none() {
-            lock(&shared.quarantine).lost(target, clock::now());
+            lock(&shared.quarantine).record_lost_verdict(target, clock::now());
             shared.verdicts.notify_one();
         }
     });
@@ -151,7 +153,7 @@
         shared.verdicts.notified().await;
         let mut pause = store::RETRY_DELAY;
         loop {
-            let targets = lock(&shared.quarantine).unwritten(MAX_BATCH);
+            let targets = lock(&shared.quarantine).unwritten_verdicts(MAX_BATCH);
             if targets.is_empty() {
                 break;
             }
@@ -159,7 +161,9 @@
                 Ok(()) => {
                     let now = clock::now();
                     let mut quarantine = lock(&shared.quarantine);
-                    targets.iter().for_each(|target| quarantine.stored(*target, now));
+                    targets
+                        .iter()
+                        .for_each(|target| quarantine.record_stored_verdict(*target, now));
                 }
                 Err(error) => {
                     log::warn!(
@@ -179,7 +183,7 @@
     store: &store::Client<A>,
     targets: &[Target],
 ) -> Result<(), PlatformError> {
-    let grant = Operation::Grant { ttl: quarantine::LIFE };
+    let grant = Operation::Grant { ttl: quarantine::VERDICT_TTL };
     let StoreResponse::Lease(lease) = store.call(&grant).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use super::shared::Shared;
 use super::stream::Stream;
 use super::stream_timing::StreamTiming;
-use crate::coordination::attempt::Event;
+use crate::coordination::attempt::AttemptEvent;
 use crate::protocol::adapter::Adapter;
 use crate::state::clock;
 use crate::state::counters::Counter;
@@ -102,7 +102,7 @@
                         &self.shared,
                         &self.job,
                         self.stream.reservation(),
-                        Event::Answered,
+                        AttemptEvent::Answered,
                     );
                     return Ok(());
                 }
@@ -111,7 +111,7 @@
                         &self.shared,
                         &self.job,
                         self.stream.reservation(),
-                        Event::BrokenOff,
+                        AttemptEvent::Interrupted,
                     );
                     self.stream = self.resume(last_event_id, cut).await?;
                 }
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -26,8 +26,8 @@
 use super::shared::Shared;
 use super::shared::lock;
 use crate::coordination::freshness::Version;
-use crate::coordination::quarantine::told;
-use crate::coordination::restored::RETURN_GRACE;
+use crate::coordination::quarantine::wire;
+use crate::coordination::store_rollback::ROLLBACK_GRACE;
 use crate::coordination::unlisted::Neighbor;
 use crate::protocol::adapter::Adapter;
 use crate::protocol::adapter::KeyValue;
@@ -98,7 +98,7 @@
     /// Requests that are refused because servers crash when they run them. Only for a box that has
     /// no state yet.
     #[prost(message, repeated, tag = "9")]
-    verdicts: Vec<told::Verdict>,
+    verdicts: Vec<wire::VerdictReport>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -133,7 +133,7 @@
     pub removed_keys: RemovedKeys,
     /// Requests that are refused because servers crash when they run them, if the requesting box
     /// had no state yet.
-    pub verdicts: Vec<told::Verdict>,
+    pub verdicts: Vec<wire::VerdictReport>,
 }
 
 /// The part of another box's state to request.
@@ -177,7 +177,7 @@
     request: Request<Incoming>,
 ) -> Response<NonRelayBody> {
     if let Some(requester) = read_requester(request.headers()) {
-        lock(&shared.unlisted).hear(requester, clock::now());
+        lock(&shared.unlisted).record(requester, clock::now());
     }
     let Some(query) = read_query(request.into_body()).await else {
         let mut refusal = Response::new(ResponseBody::buffered(Bytes::new()));
@@ -221,11 +221,11 @@
     let position =
         if same_digest { version.position.max(known.position) } else { version.position };
     let recovered_ago = *lock(&shared.store_recovered_at);
-    let recovered_ago = recovered_ago.map(clock::since).filter(|ago| *ago < RETURN_GRACE);
+    let recovered_ago = recovered_ago.map(clock::since).filter(|ago| *ago < ROLLBACK_GRACE);
     let returned_ms = recovered_ago.map(|ago| ago.as_millis() as u64);
     // Other boxes get the verdicts by datagram and from the store.
     let verdicts = if requester_is_empty {
-        lock(&shared.quarantine).verdicts(clock::now())
+        lock(&shared.quarantine).active_verdicts(clock::now())
     } else {
         Vec::new()
     };
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -44,7 +44,7 @@
     shared.counters.increment(Counter::Throttled);
     let retry_after = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
-        lock(&shared.throttles).come_back(service, placement.lives(), clock::now())
+        lock(&shared.throttles).come_back(service, placement.usable_incarnations(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
     let failure = Failure::new(ErrorKind::Throttled, message);
--- a/lib/tests/common/propagation.rs
+++ b/lib/tests/common/propagation.rs
@@ -10,9 +10,9 @@
 use std::time::Instant;
 
 use bytes::Bytes;
+use copperweir_lib::coordination::freshness::CHECK_INTERVAL;
 use copperweir_lib::coordination::freshness::Freshness;
-use copperweir_lib::coordination::freshness::LOOK_AGAIN;
-use copperweir_lib::coordination::freshness::Word;
+use copperweir_lib::coordination::freshness::PeerState;
 use copperweir_lib::coordination::watchers;
 use copperweir_lib::gateway::replica::Replica;
 use copperweir_lib::protocol::adapter::KeyValue;
@@ -141,8 +141,8 @@
         let records: Vec<BoxRecord> = boxes.iter().map(|node| node.record.clone()).collect();
         for node in &mut boxes {
             let others = records.iter().filter(|other| other.name != node.record.name);
-            node.watches = watchers::watches(&node.record, others);
-            node.freshness.taken(old.version(), Some(now), now);
+            node.watches = watchers::is_watcher(&node.record, others);
+            node.freshness.record_state(old.version(), Some(now), now);
         }
         let mut store = old;
         if setting.restored {
@@ -167,7 +167,7 @@
         for number in 0..setting.boxes {
             let phase = REPORT_INTERVAL.mul_f64(simulation.rng.random());
             simulation.schedule(phase, Event::SendReport { from: number, number: 0 });
-            let phase = LOOK_AGAIN.mul_f64(simulation.rng.random());
+            let phase = CHECK_INTERVAL.mul_f64(simulation.rng.random());
             simulation.schedule(phase, Event::DrawPoll(number));
         }
         simulation
@@ -260,24 +260,25 @@
                 self.schedule(REPORT_INTERVAL, Event::SendReport { from, number: number + 1 });
             }
             Event::ReceiveReport { from, to, version, age } => {
-                let report = Word {
+                let report = PeerState {
                     sender: from as u64,
                     address: address(from),
                     version: self.versions[version],
                     age,
-                    beside: from % REGIONS == to % REGIONS,
+                    is_same_region: from % REGIONS == to % REGIONS,
                 };
-                if self.boxes[to].freshness.hear(&report, self.now) {
+                if self.boxes[to].freshness.record_peer(&report, self.now) {
                     self.query_peer(to);
                 }
             }
             Event::DrawPoll(number) => {
-                let probability = self.boxes[number].freshness.look(self.boxes.len(), self.now);
+                let probability =
+                    self.boxes[number].freshness.check_probability(self.boxes.len(), self.now);
                 if self.rng.random::<f64>() < probability {
                     self.call_store(number);
                 }
                 self.query_peer(number);
-                self.schedule(LOOK_AGAIN, Event::DrawPoll(number));
+                self.schedule(CHECK_INTERVAL, Event::DrawPoll(number));
             }
             Event::QueryPeer(number) => self.query_peer(number),
             Event::PeerAnswer { from, to } => {
@@ -319,7 +320,7 @@
     fn query_peer(&mut self, number: usize) {
         let node = &self.boxes[number];
         let allowed_lag = if node.watches { Duration::from_millis(1200) } else { Duration::ZERO };
-        let Some(address) = node.freshness.ahead(allowed_lag, self.now) else { return };
+        let Some(address) = node.freshness.peer_to_ask(allowed_lag, self.now) else { return };
         if node.query_pending {
             return;
         }
@@ -350,7 +351,7 @@
     let written: Vec<KeyValue> = ahead.items_not_in(&held).collect();
     written.iter().for_each(|item| node.replica.insert(item));
     node.replica.advance_to(ahead.version().position);
-    node.freshness.taken(node.replica.version(), at, now);
+    node.freshness.record_state(node.replica.version(), at, now);
     if node.replica.get(CHANGED_KEY).is_some_and(|value| value == "leaves") {
         node.learned_at.get_or_insert(now);
     }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -133,17 +133,23 @@
     let snapshot = snapshot(boxes, &[]);
     let now = Instant::now();
     let mut presence = Presence::default();
-    assert!(presence.hear(box_hash("b2"), 1, true, now));
-    assert!(!presence.hear(box_hash("b2"), 1, false, now), "an older datagram arrives late");
+    assert!(presence.record_announcement(box_hash("b2"), 1, true, now));
+    assert!(
+        !presence.record_announcement(box_hash("b2"), 1, false, now),
+        "an older datagram arrives late"
+    );
     let addresses_at = |presence: &Presence, now| {
         let own = record(1, "south", false);
         directory::addresses(&snapshot, presence, &own, &question_from("north"), now).0
     };
     assert_eq!(addresses_at(&presence, now), vec![caller_address(3)]);
-    assert!(presence.hear(box_hash("b2"), 2, false, now), "it has restarted");
+    assert!(presence.record_announcement(box_hash("b2"), 2, false, now), "it has restarted");
     assert_eq!(addresses_at(&presence, now), vec![caller_address(2), caller_address(3)]);
-    assert!(!presence.hear(box_hash("b2"), 1, true, now), "a report of its earlier incarnation");
-    presence.hear(box_hash("b3"), 1, true, now);
+    assert!(
+        !presence.record_announcement(box_hash("b2"), 1, true, now),
+        "a report of its earlier incarnation"
+    );
+    presence.record_announcement(box_hash("b3"), 1, true, now);
     presence.expire(now + Duration::from_secs(60));
     assert_eq!(
         addresses_at(&presence, now),
@@ -160,7 +166,7 @@
     let snapshot = snapshot(boxes, &["north", "south"]);
     let (now, own) = (Instant::now(), record(1, "west", false));
     let mut presence = Presence::default();
-    presence.hear(box_hash("b3"), 1, true, now);
+    presence.record_announcement(box_hash("b3"), 1, true, now);
     let addresses_at =
         |now| directory::addresses(&snapshot, &presence, &own, &question_from("north"), now);
     assert_eq!(addresses_at(now), (vec![caller_address(3)], false));
--- a/lib/tests/test_quarantine_load.rs
+++ b/lib/tests/test_quarantine_load.rs
@@ -1,6 +1,6 @@
-//! Plays the load of a bad day without a network: a request that ends servers comes 2.5 times a second
-//! to six boxes of two regions, among 900 others a second, each of which its box and its caller send
-//! again when it breaks off.
+//! Simulates a day with a request that crashes servers, without a network. The request arrives 2.5
+//! times a second at six boxes of two regions, among 900 others a second. The box and the caller of
+//! each request send it again when it breaks off.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,154 +8,161 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::broken::Run;
 use copperweir_lib::coordination::fingerprint::Fingerprint;
+use copperweir_lib::coordination::interrupted::InterruptedRequest;
+use copperweir_lib::coordination::quarantine::Audience;
 use copperweir_lib::coordination::quarantine::Quarantine;
-use copperweir_lib::coordination::quarantine::Reach;
-use copperweir_lib::coordination::quarantine::told;
+use copperweir_lib::coordination::quarantine::wire;
 use prost::Message;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 const STEP: Duration = Duration::from_millis(5);
-/// How long the request comes.
-const LENGTH: Duration = Duration::from_secs(16);
+/// How long the crashing request keeps arriving.
+const DURATION: Duration = Duration::from_secs(16);
 /// Other requests, a second and server.
 const OTHERS_PER_SERVER: f64 = 100.0;
-const FATAL_PER_SECOND: f64 = 2.5;
-/// Time that a request takes, and from the send of the fatal one to the server's end.
-const WORK: Duration = Duration::from_millis(2500);
-const FATAL_WORK: Duration = Duration::from_millis(300);
-/// Time until a server that ended is back.
-const AWAY: Duration = Duration::from_millis(1400);
-/// Ways of a datagram within a region and to another one.
-const NEAR: Duration = Duration::from_millis(5);
-const FAR: Duration = Duration::from_millis(60);
-/// Time from the third end in which all boxes must know.
-const KNOWN: Duration = Duration::from_secs(5);
+const CRASHING_PER_SECOND: f64 = 2.5;
+/// Duration of an ordinary request, and time from sending the crashing one to the crash.
+const REQUEST_TIME: Duration = Duration::from_millis(2500);
+const TIME_TO_CRASH: Duration = Duration::from_millis(300);
+/// Time until a crashed server is back.
+const RESTART_TIME: Duration = Duration::from_millis(1400);
+/// Latency of a datagram within a region and between regions.
+const LATENCY_IN_REGION: Duration = Duration::from_millis(5);
+const LATENCY_BETWEEN_REGIONS: Duration = Duration::from_millis(60);
+/// Time from the third crash within which all boxes must refuse the request.
+const DETECTION_TIME: Duration = Duration::from_secs(5);
 
 struct Request {
     fingerprint: Fingerprint,
-    /// Sends that are left to its box, and tries to its caller.
+    /// Remaining attempts of the box, and of the caller.
     sends: u32,
-    tries: u32,
+    caller_attempts: u32,
 }
 
-struct Running {
+struct Execution {
     request: Request,
-    of: usize,
+    box_index: usize,
     server: usize,
     sent_at: Instant,
 }
 
 struct Server {
     region: usize,
-    life: u64,
+    incarnation: u64,
     back_at: Instant,
 }
 
 struct Datagram {
-    of: usize,
-    ends: Vec<told::End>,
-    verdicts: Vec<told::Verdict>,
+    box_index: usize,
+    crashes: Vec<wire::CrashReport>,
+    verdicts: Vec<wire::VerdictReport>,
     trials: Vec<String>,
 }
 
 impl Datagram {
     fn bytes(&self) -> usize {
-        let ends: usize = self.ends.iter().map(|end| end.encoded_len() + 2).sum();
+        let crashes: usize = self.crashes.iter().map(|crash| crash.encoded_len() + 2).sum();
         let verdicts: usize = self.verdicts.iter().map(|verdict| verdict.encoded_len() + 2).sum();
         let trials: usize = self.trials.iter().map(|server| server.len() + 2).sum();
-        ends + verdicts + trials
+        crashes + verdicts + trials
     }
 }
 
 #[derive(Debug, Default)]
-struct Outcome {
-    ends: Vec<Instant>,
-    /// Sends of the fatal request.
+struct Summary {
+    crashes: Vec<Instant>,
+    /// Attempts of the crashing request.
     sends: Vec<Instant>,
     served: usize,
-    /// Others that were refused for what they had seen.
+    /// Other requests that were refused because they had seen crashes.
     refused: usize,
-    /// Most bytes of ends, verdicts and trials that went to one box in a second, and in one datagram.
-    second: usize,
-    datagram: usize,
+    /// Maximum number of bytes of crashes, verdicts and reserved servers sent to one box in a
+    /// second, and in one datagram.
+    bytes_per_second: usize,
+    datagram_bytes: usize,
 }
 
-/// Boxes and servers of each region.
+/// Number of boxes and servers of each region.
 #[derive(Clone, Copy, Debug)]
 struct Layout<'a> {
     boxes: &'a [usize],
     servers: &'a [usize],
 }
 
-/// Two halls.
-const SMALL: Layout<'static> = Layout { boxes: &[4, 2], servers: &[5, 4] };
+/// Two regions.
+const TWO_REGIONS: Layout<'static> = Layout { boxes: &[4, 2], servers: &[5, 4] };
 
-/// Who sends what.
+/// The requests of a simulation.
 #[derive(Clone, Copy, Debug)]
-struct Mix {
-    /// Callers of the request that ends servers.
-    fatal_callers: u64,
-    /// Its rate, requests a second.
-    fatal_rate: f64,
-    /// Part of the others that are alike among all their callers, as requests without a body are.
-    alike: f64,
+struct Workload {
+    /// Number of callers of the crashing request.
+    crashing_callers: u64,
+    /// Rate of the crashing request, a second.
+    crashing_rate: f64,
+    /// Fraction of the other requests whose content is identical among callers, as it is without a
+    /// body.
+    shared_fraction: f64,
 }
 
-/// One caller, and nothing that is alike.
-const PLAIN: Mix = Mix { fatal_callers: 1, fatal_rate: FATAL_PER_SECOND, alike: 0.0 };
-/// Contents of the others that are alike.
-const ALIKE: u64 = 5;
-/// Callers of the others.
+/// One caller, and no identical contents.
+const SINGLE_CALLER: Workload =
+    Workload { crashing_callers: 1, crashing_rate: CRASHING_PER_SECOND, shared_fraction: 0.0 };
+/// Number of identical contents among the other requests.
+const SHARED_CONTENTS: u64 = 5;
+/// Number of callers of the other requests.
 const CALLERS: u64 = 50;
 
-struct Load {
-    length: Duration,
-    /// Whether boxes enter what they run, and keep suspects apart by it.
-    enters: bool,
-    mix: Mix,
+struct Simulation {
+    duration: Duration,
+    /// Whether boxes record the executions, and isolate suspects by them.
+    tracks_executions: bool,
+    workload: Workload,
     rng: SmallRng,
     now: Instant,
     boxes: Vec<(usize, Quarantine)>,
     servers: Vec<Server>,
-    /// By when they end, and the number of the send.
-    running: BTreeMap<(Instant, u64), Running>,
-    /// When they arrive, and where.
+    /// By end time and number of the attempt.
+    running: BTreeMap<(Instant, u64), Execution>,
+    /// Arrival time, receiving box and datagram.
     datagrams: Vec<(Instant, usize, Rc<Datagram>)>,
-    /// Sent to each box within the running second.
+    /// Bytes sent to each box within the current second.
     bytes: Vec<usize>,
     due: BTreeMap<(Instant, u64), Request>,
     counter: u64,
     sends: u64,
-    /// Draws what boxes tell beside the news.
-    told: SmallRng,
-    outcome: Outcome,
+    /// Selects the older verdicts in reports.
+    reports_rng: SmallRng,
+    summary: Summary,
 }
 
-fn is_fatal(request: &Request) -> bool {
+fn is_crashing(request: &Request) -> bool {
     request.fingerprint.content == 0
 }
 
-impl Load {
-    fn new(seed: u64, layout: Layout<'_>, mix: Mix) -> Load {
+impl Simulation {
+    fn new(seed: u64, layout: Layout<'_>, workload: Workload) -> Simulation {
         let now = Instant::now();
         let boxes = layout.boxes.iter().enumerate();
         let boxes = boxes.flat_map(|(region, count)| (0..*count).map(move |_| region));
         let servers = layout.servers.iter().enumerate();
         let servers = servers.flat_map(|(region, count)| (0..*count).map(move |_| region));
-        Load {
-            length: LENGTH,
-            enters: true,
-            mix,
+        Simulation {
+            duration: DURATION,
+            tracks_executions: true,
+            workload,
             rng: SmallRng::seed_from_u64(seed),
             now,
             boxes: boxes.map(|region| (region, Quarantine::default())).collect(),
             servers: servers
                 .enumerate()
-                .map(|(life, region)| Server { region, life: life as u64 + 1, back_at: now })
+                .map(|(incarnation, region)| Server {
+                    region,
+                    incarnation: incarnation as u64 + 1,
+                    back_at: now,
+                })
                 .collect(),
             running: BTreeMap::new(),
             datagrams: Vec::new(),
@@ -163,53 +170,56 @@
             due: BTreeMap::new(),
             counter: 1000,
             sends: 0,
-            told: SmallRng::seed_from_u64(seed),
-            outcome: Outcome::default(),
+            reports_rng: SmallRng::seed_from_u64(seed),
+            summary: Summary::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
-        let end = self.now + self.length;
+    fn simulate(mut self) -> Summary {
+        let crash = self.now + self.duration;
         let mut steps = 0;
-        while self.now < end {
+        while self.now < crash {
             let others = OTHERS_PER_SERVER * self.servers.len() as f64;
-            for (rate, fatal) in [(others, false), (self.mix.fatal_rate, true)] {
+            for (rate, crashing) in [(others, false), (self.workload.crashing_rate, true)] {
                 if self.rng.random_bool((rate * STEP.as_secs_f64()).fract()) {
-                    self.arrive(fatal);
+                    self.arrive(crashing);
                 }
                 for _ in 0..(rate * STEP.as_secs_f64()) as usize {
-                    self.arrive(fatal);
+                    self.arrive(crashing);
                 }
             }
             self.step();
             steps += 1;
             if steps % 40 == 0 {
-                self.reports();
+                self.report_all();
             }
             if steps % 200 == 0 {
-                let most = self.bytes.iter().copied().max().unwrap_or_default();
-                self.outcome.second = self.outcome.second.max(most);
+                let max_bytes = self.bytes.iter().copied().max().unwrap_or_default();
+                self.summary.bytes_per_second = self.summary.bytes_per_second.max(max_bytes);
                 self.bytes.fill(0);
             }
         }
-        self.outcome
+        self.summary
     }
 
-    fn arrive(&mut self, fatal: bool) {
+    fn arrive(&mut self, crashing: bool) {
         self.counter += 1;
-        let fingerprint = self.draw(fatal);
-        self.due.insert((self.now, self.counter), Request { fingerprint, sends: 2, tries: 2 });
+        let fingerprint = self.draw(crashing);
+        self.due.insert(
+            (self.now, self.counter),
+            Request { fingerprint, sends: 2, caller_attempts: 2 },
+        );
     }
 
-    fn draw(&mut self, fatal: bool) -> Fingerprint {
-        let Mix { fatal_callers, alike, .. } = self.mix;
-        if fatal {
-            let several = fatal_callers > 1;
-            let caller = if several { self.rng.random_range(0..fatal_callers) } else { 0 };
+    fn draw(&mut self, crashing: bool) -> Fingerprint {
+        let Workload { crashing_callers, shared_fraction, .. } = self.workload;
+        if crashing {
+            let several = crashing_callers > 1;
+            let caller = if several { self.rng.random_range(0..crashing_callers) } else { 0 };
             return Fingerprint { content: 0, caller };
         }
-        if alike > 0.0 && self.rng.random_bool(alike) {
-            let content = self.rng.random_range(1..=ALIKE);
+        if shared_fraction > 0.0 && self.rng.random_bool(shared_fraction) {
+            let content = self.rng.random_range(1..=SHARED_CONTENTS);
             return Fingerprint { content, caller: self.rng.random_range(0..CALLERS) };
         }
         Fingerprint { content: self.counter, caller: self.counter % CALLERS }
@@ -222,264 +232,295 @@
             && *at <= now
         {
             let Some((_, request)) = self.due.pop_first() else { break };
-            let of = self.rng.random_range(0..self.boxes.len());
-            self.place(request, of);
+            let box_index = self.rng.random_range(0..self.boxes.len());
+            self.place(request, box_index);
         }
         let (arrived, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.datagrams).into_iter().partition(|(at, ..)| *at <= now);
         self.datagrams = waiting;
         for (_, to, datagram) in arrived {
             let quarantine = &mut self.boxes[to].1;
-            quarantine.hear_trials(datagram.of as u64, &datagram.trials, now);
-            datagram.ends.iter().for_each(|end| quarantine.hear_end(end, now));
-            datagram.verdicts.iter().for_each(|verdict| quarantine.hear_verdict(verdict, now));
+            quarantine.receive_reserved_servers(datagram.box_index as u64, &datagram.trials, now);
+            datagram.crashes.iter().for_each(|crash| quarantine.receive_crash(crash, now));
+            datagram.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
         }
-        let (mut ended, mut fatal) = (BTreeSet::new(), Vec::new());
+        let (mut crashed, mut crashing) = (BTreeSet::new(), Vec::new());
         while let Some(((at, _), _)) = self.running.first_key_value()
             && *at <= now
         {
-            let Some((key, run)) = self.running.pop_first() else { break };
-            if is_fatal(&run.request) {
-                ended.insert(run.server);
-                fatal.push((key, run));
+            let Some((key, execution)) = self.running.pop_first() else { break };
+            if is_crashing(&execution.request) {
+                crashed.insert(execution.server);
+                crashing.push((key, execution));
             } else {
-                self.outcome.served += 1;
-                self.finish(&run);
-                self.boxes[run.of].1.answered(run.request.fingerprint, now);
+                self.summary.served += 1;
+                self.finish(&execution);
+                self.boxes[execution.box_index]
+                    .1
+                    .record_success(execution.request.fingerprint, now);
             }
         }
-        // They end with their servers.
-        self.running.extend(fatal);
-        ended.into_iter().for_each(|server| self.end(server));
+        // These end with their servers.
+        self.running.extend(crashing);
+        crashed.into_iter().for_each(|server| self.crash(server));
     }
 
-    fn place(&mut self, mut request: Request, of: usize) {
-        let (region, quarantine) = &mut self.boxes[of];
-        if quarantine.refuses(request.fingerprint, self.now).is_some() {
-            self.outcome.refused += usize::from(!is_fatal(&request));
+    fn place(&mut self, mut request: Request, box_index: usize) {
+        let (region, quarantine) = &mut self.boxes[box_index];
+        if quarantine.refused_for(request.fingerprint, self.now).is_some() {
+            self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
-        let up = |server: &usize| {
+        let available = |server: &usize| {
             self.servers[*server].region == *region && self.servers[*server].back_at <= self.now
         };
-        let mut up: Vec<usize> = (0..self.servers.len()).filter(up).collect();
-        if up.is_empty() {
+        let mut available: Vec<usize> = (0..self.servers.len()).filter(available).collect();
+        if available.is_empty() {
             return;
         }
-        if self.enters && quarantine.is_suspicious(request.fingerprint) {
-            let but = |servers: Vec<&String>| {
+        if self.tracks_executions && quarantine.needs_isolation(request.fingerprint) {
+            let without = |servers: Vec<&String>| {
                 let other = |server: &&usize| !servers.contains(&&server.to_string());
-                up.iter().filter(other).copied().collect::<Vec<usize>>()
+                available.iter().filter(other).copied().collect::<Vec<usize>>()
             };
-            let apart = but(quarantine.occupied(request.fingerprint, self.now).collect());
-            up = match apart.is_empty() {
-                true => but(quarantine.reserved(request.fingerprint, self.now).collect()),
-                false => apart,
+            let isolated =
+                without(quarantine.servers_with_suspects(request.fingerprint, self.now).collect());
+            available = match isolated.is_empty() {
+                true => {
+                    without(quarantine.reserved_servers(request.fingerprint, self.now).collect())
+                }
+                false => isolated,
             };
         }
-        if up.is_empty() {
-            self.outcome.refused += usize::from(!is_fatal(&request));
+        if available.is_empty() {
+            self.summary.refused += usize::from(!is_crashing(&request));
             return;
         }
-        let server = up[self.rng.random_range(0..up.len())];
+        let server = available[self.rng.random_range(0..available.len())];
         request.sends -= 1;
-        let work = if is_fatal(&request) { FATAL_WORK } else { WORK };
-        if is_fatal(&request) {
-            self.outcome.sends.push(self.now);
+        let duration = if is_crashing(&request) { TIME_TO_CRASH } else { REQUEST_TIME };
+        if is_crashing(&request) {
+            self.summary.sends.push(self.now);
         }
-        let work = work.mul_f64(self.rng.random_range(0.5..1.5));
-        if self.enters {
-            quarantine.begin_trial(server.to_string(), request.fingerprint);
+        let duration = duration.mul_f64(self.rng.random_range(0.5..1.5));
+        if self.tracks_executions {
+            quarantine.begin_execution(server.to_string(), request.fingerprint);
         }
         self.sends += 1;
-        let run = Running { request, of, server, sent_at: self.now };
-        self.running.insert((self.now + work, self.sends), run);
+        let execution = Execution { request, box_index, server, sent_at: self.now };
+        self.running.insert((self.now + duration, self.sends), execution);
     }
 
-    fn finish(&mut self, run: &Running) {
-        if !self.enters {
+    fn finish(&mut self, execution: &Execution) {
+        if !self.tracks_executions {
             return;
         }
-        let quarantine = &mut self.boxes[run.of].1;
-        quarantine.finish_trial(&run.server.to_string(), run.request.fingerprint);
+        let quarantine = &mut self.boxes[execution.box_index].1;
+        quarantine.finish_execution(&execution.server.to_string(), execution.request.fingerprint);
     }
 
-    fn end(&mut self, server: usize) {
+    fn crash(&mut self, server: usize) {
         let now = self.now;
         self.counter += 1;
-        let life = std::mem::replace(&mut self.servers[server].life, self.counter);
-        self.servers[server].back_at = now + AWAY;
-        self.outcome.ends.push(now);
-        let on_it = self.running.iter().filter(|(_, run)| run.server == server);
-        let mut on_it: Vec<(Instant, u64)> = on_it.map(|(key, _)| *key).collect();
-        on_it.sort_by_key(|(_, sent)| *sent);
-        let broken: Vec<Running> =
-            on_it.iter().filter_map(|key| self.running.remove(key)).collect();
-        let mut reached: BTreeMap<usize, Option<Reach>> = BTreeMap::new();
-        broken.iter().for_each(|run| self.finish(run));
-        for Running { request, of, sent_at, .. } in broken {
-            let run = Run { request: request.fingerprint, sent_at, broke_at: now };
-            let reach = self.boxes[of].1.ended(life, run, now);
-            let widest = reached.entry(of).or_default();
-            if *widest != Some(Reach::Everyone) {
-                *widest = reach.or(*widest);
+        let incarnation = std::mem::replace(&mut self.servers[server].incarnation, self.counter);
+        self.servers[server].back_at = now + RESTART_TIME;
+        self.summary.crashes.push(now);
+        let keys = self.running.iter().filter(|(_, execution)| execution.server == server);
+        let mut keys: Vec<(Instant, u64)> = keys.map(|(key, _)| *key).collect();
+        keys.sort_by_key(|(_, sent)| *sent);
+        let interrupted: Vec<Execution> =
+            keys.iter().filter_map(|key| self.running.remove(key)).collect();
+        let mut audiences: BTreeMap<usize, Option<Audience>> = BTreeMap::new();
+        interrupted.iter().for_each(|execution| self.finish(execution));
+        for Execution { request, box_index, sent_at, .. } in interrupted {
+            let execution =
+                InterruptedRequest { request: request.fingerprint, sent_at, interrupted_at: now };
+            let audience = self.boxes[box_index].1.record_crash(incarnation, execution, now);
+            let widest = audiences.entry(box_index).or_default();
+            if *widest != Some(Audience::AllRegions) {
+                *widest = audience.or(*widest);
             }
             if request.sends > 0 {
-                self.place(request, of);
-            } else if request.tries > 1 {
+                self.place(request, box_index);
+            } else if request.caller_attempts > 1 {
                 self.counter += 1;
-                let again = Request { sends: 2, tries: request.tries - 1, ..request };
+                let again =
+                    Request { sends: 2, caller_attempts: request.caller_attempts - 1, ..request };
                 self.due.insert((now + Duration::from_millis(60), self.counter), again);
             }
         }
-        for (of, reach) in reached {
-            if let Some(reach) = reach {
-                self.tell(of, reach);
+        for (box_index, audience) in audiences {
+            if let Some(audience) = audience {
+                self.send_reports(box_index, audience);
             }
         }
     }
 
-    fn reports(&mut self) {
-        for of in 0..self.boxes.len() {
-            let judged = !self.boxes[of].1.tick(self.now).is_empty();
-            self.tell(of, if judged { Reach::Everyone } else { Reach::Region });
+    fn report_all(&mut self) {
+        for box_index in 0..self.boxes.len() {
+            let has_new_verdicts = !self.boxes[box_index].1.tick(self.now).is_empty();
+            self.send_reports(
+                box_index,
+                if has_new_verdicts { Audience::AllRegions } else { Audience::Region },
+            );
         }
     }
 
-    fn tell(&mut self, of: usize, reach: Reach) {
-        let (now, region) = (self.now, self.boxes[of].0);
-        let quarantine = &self.boxes[of].1;
-        let told = &mut self.told;
-        let mut news = |reach| Datagram {
-            of,
-            ends: quarantine.told_ends(reach, now),
-            verdicts: quarantine.told_verdicts(now, told),
-            trials: quarantine.trials(),
+    fn send_reports(&mut self, box_index: usize, audience: Audience) {
+        let (now, region) = (self.now, self.boxes[box_index].0);
+        let quarantine = &self.boxes[box_index].1;
+        let reports_rng = &mut self.reports_rng;
+        let mut datagram_for = |audience| Datagram {
+            box_index,
+            crashes: quarantine.crash_reports(audience, now),
+            verdicts: quarantine.verdict_reports(now, reports_rng),
+            trials: quarantine.own_reserved_servers(),
         };
-        let (near, far) = (Rc::new(news(Reach::Region)), Rc::new(news(Reach::Everyone)));
-        for to in (0..self.boxes.len()).filter(|to| *to != of) {
-            let is_near = self.boxes[to].0 == region;
-            if !is_near && reach == Reach::Region {
+        let (local, remote) =
+            (Rc::new(datagram_for(Audience::Region)), Rc::new(datagram_for(Audience::AllRegions)));
+        for to in (0..self.boxes.len()).filter(|to| *to != box_index) {
+            let is_same_region = self.boxes[to].0 == region;
+            if !is_same_region && audience == Audience::Region {
                 continue;
             }
-            let (datagram, way) = if is_near { (&near, NEAR) } else { (&far, FAR) };
+            let (datagram, latency) = if is_same_region {
+                (&local, LATENCY_IN_REGION)
+            } else {
+                (&remote, LATENCY_BETWEEN_REGIONS)
+            };
             // Some datagrams are lost.
             if self.rng.random_bool(0.98) {
                 let bytes = datagram.bytes();
                 self.bytes[to] += bytes;
-                self.outcome.datagram = self.outcome.datagram.max(bytes);
-                self.datagrams.push((now + way, to, Rc::clone(datagram)));
+                self.summary.datagram_bytes = self.summary.datagram_bytes.max(bytes);
+                self.datagrams.push((now + latency, to, Rc::clone(datagram)));
             }
         }
     }
 }
 
-/// Of 20 plays: 5.6 servers end on average, the last 1.8 s after the first at most; 6.5
-/// where an end counts only if the request was sent there after the one before.
+/// Of 20 simulations: on average 5.6 servers crash, the last one at most 1.8 s after the first; 6.5
+/// if a crash counted only when the request was sent there after the previous one.
 #[test]
-fn a_request_that_ends_servers_is_known_within_seconds() {
+fn a_request_that_crashes_servers_is_refused_within_seconds() {
     let mut total = 0;
     for seed in 0..20 {
-        let Outcome { ends, sends, served, refused, .. } = Load::new(seed, SMALL, PLAIN).play();
-        let third = ends[2];
-        let late = sends.iter().filter(|at| **at > third + KNOWN).count();
-        let last = ends[ends.len() - 1].duration_since(ends[0]);
-        assert!(late == 0, "seed {seed}: {late} sends long after the third end");
-        assert!(last < Duration::from_secs(2), "seed {seed}: the last end after {last:?}");
+        let Summary { crashes, sends, served, refused, .. } =
+            Simulation::new(seed, TWO_REGIONS, SINGLE_CALLER).simulate();
+        let third_crash_at = crashes[2];
+        let late = sends.iter().filter(|at| **at > third_crash_at + DETECTION_TIME).count();
+        let last = crashes[crashes.len() - 1].duration_since(crashes[0]);
+        assert!(late == 0, "seed {seed}: {late} sends long after the third crash");
+        assert!(last < Duration::from_secs(2), "seed {seed}: the last crash after {last:?}");
         assert!(refused * 50 < served, "seed {seed}: {refused} others refused, {served} served");
-        total += ends.len();
+        total += crashes.len();
     }
-    assert!(total <= 125, "{total} servers ended in 20 plays");
+    assert!(total <= 125, "{total} servers crashed in 20 simulations");
 }
 
-/// Servers that ended, others that were refused and others that were served, in five plays.
-fn five_plays(mix: Mix) -> (usize, usize, usize) {
-    plays(5, mix, true)
+/// Crashed servers, refused and served other requests, in five simulations.
+fn simulate_five(workload: Workload) -> (usize, usize, usize) {
+    simulate_many(5, workload, true)
 }
 
-fn plays(count: u64, mix: Mix, enters: bool) -> (usize, usize, usize) {
-    let (mut ended, mut refused, mut served) = (0, 0, 0);
+fn simulate_many(count: u64, workload: Workload, tracks_executions: bool) -> (usize, usize, usize) {
+    let (mut crashed, mut refused, mut served) = (0, 0, 0);
     for seed in 0..count {
-        let outcome = Load { enters, ..Load::new(seed, SMALL, mix) }.play();
-        let late = outcome.sends.iter().filter(|at| **at > outcome.ends[2] + KNOWN).count();
-        assert!(late == 0, "seed {seed}: {late} sends long after the third end, {mix:?}");
-        ended += outcome.ends.len();
-        refused += outcome.refused;
-        served += outcome.served;
+        let summary =
+            Simulation { tracks_executions, ..Simulation::new(seed, TWO_REGIONS, workload) }
+                .simulate();
+        let late =
+            summary.sends.iter().filter(|at| **at > summary.crashes[2] + DETECTION_TIME).count();
+        assert!(late == 0, "seed {seed}: {late} sends long after the third crash, {workload:?}");
+        crashed += summary.crashes.len();
+        refused += summary.refused;
+        served += summary.served;
     }
-    println!("{mix:?}: {ended} ended, {refused} others refused, {served} served");
-    (ended, refused, served)
+    println!("{workload:?}: {crashed} crashed, {refused} others refused, {served} served");
+    (crashed, refused, served)
 }
 
-/// The same content from one caller, ten and a hundred, as often as a frequent kind has it: how many callers there are
-/// makes no difference to the servers.
+/// The same content from one caller, ten and a hundred, at the rate of a frequent kind of request:
+/// the number of callers makes no difference to the servers.
 #[test]
-fn how_many_callers_send_the_request_makes_no_difference() {
-    for fatal_callers in [1, 10, 100] {
-        let mix = Mix { fatal_callers, fatal_rate: 6.0, alike: 0.0 };
-        let (ended, refused, served) = five_plays(mix);
-        assert!(ended <= 5 * 9, "{fatal_callers} callers: {ended} servers ended in 5 plays");
+fn the_number_of_callers_makes_no_difference() {
+    for crashing_callers in [1, 10, 100] {
+        let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.0 };
+        let (crashed, refused, served) = simulate_five(workload);
+        assert!(
+            crashed <= 5 * 9,
+            "{crashing_callers} callers: {crashed} servers crashed in 5 simulations"
+        );
         assert!(refused * 50 <= served, "{refused} others refused, {served} served");
     }
 }
 
-/// Half of the other requests are alike among all their callers, as those without a body are. They run on every server, so
-/// each end is under them too, and they are answered hundreds of times a second.
+/// Half of the other requests are identical among their callers, as those without a body are. They
+/// are executed on every server, so that they are present at each crash, and are answered hundreds
+/// of times a second.
 #[test]
-fn requests_that_are_alike_among_callers_are_served_beside_one_that_ends_servers() {
-    let mix = Mix { fatal_callers: 10, fatal_rate: 6.0, alike: 0.5 };
-    let (_, refused, served) = five_plays(mix);
+fn identical_requests_are_served_beside_one_that_crashes_servers() {
+    let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
+    let (_, refused, served) = simulate_five(workload);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
 #[test]
-fn requests_that_are_alike_are_served_though_nobody_enters_what_runs() {
-    let mix = Mix { fatal_callers: 10, fatal_rate: 6.0, alike: 0.5 };
-    let (_, refused, served) = plays(5, mix, false);
+fn identical_requests_are_served_if_executions_are_not_tracked() {
+    let workload = Workload { crashing_callers: 10, crashing_rate: 6.0, shared_fraction: 0.5 };
+    let (_, refused, served) = simulate_many(5, workload, false);
     assert!(refused * 50 <= served, "{refused} others refused, {served} served");
 }
 
-/// Boxes that hear each other know within it.
-const CONTACT: Duration = Duration::from_millis(1500);
+/// Time within which boxes that receive each other's reports refuse the request.
+const FAST_DETECTION_TIME: Duration = Duration::from_millis(1500);
 
 const THIRTY: Layout<'static> = Layout { boxes: &[10, 10, 10], servers: &[13, 13, 13] };
 const HUNDRED: Layout<'static> = Layout { boxes: &[34, 33, 33], servers: &[44, 43, 43] };
 
-/// Three regions, and a fifth of the other requests alike; for one caller of the fatal request, ten and a hundred.
-fn plays_at_size(layout: Layout<'_>) -> impl Iterator<Item = Outcome> {
-    [1, 10, 100].into_iter().map(move |fatal_callers| {
-        let mix = Mix { fatal_callers, fatal_rate: 6.0, alike: 0.2 };
-        let load = Load { length: LENGTH / 2, ..Load::new(1, layout, mix) };
-        let outcome = load.play();
-        let Outcome { ends, served, refused, second, datagram, .. } = &outcome;
-        println!("{layout:?} {mix:?}: {} ended, {refused} of {served} refused", ends.len());
-        println!("to one box {second} bytes in a second, {datagram} in a datagram");
-        outcome
+/// Three regions, with a fifth of the other requests identical; for one caller of the crashing
+/// request, ten and a hundred.
+fn simulate_at_size(layout: Layout<'_>) -> impl Iterator<Item = Summary> {
+    [1, 10, 100].into_iter().map(move |crashing_callers| {
+        let workload = Workload { crashing_callers, crashing_rate: 6.0, shared_fraction: 0.2 };
+        let simulation =
+            Simulation { duration: DURATION / 2, ..Simulation::new(1, layout, workload) };
+        let summary = simulation.simulate();
+        let Summary { crashes, served, refused, bytes_per_second, datagram_bytes, .. } = &summary;
+        println!(
+            "{layout:?} {workload:?}: {} crashed, {refused} of {served} refused",
+            crashes.len()
+        );
+        println!("to one box {bytes_per_second} bytes in a second, {datagram_bytes} in a datagram");
+        summary
     })
 }
 
-fn is_known_in_time(outcome: &Outcome) -> bool {
-    let Outcome { ends, sends, datagram, .. } = outcome;
-    let late = sends.iter().filter(|at| **at > ends[2] + CONTACT).count();
-    late <= 3 && *datagram <= 8 << 10
+fn is_refused_in_time(summary: &Summary) -> bool {
+    let Summary { crashes, sends, datagram_bytes, .. } = summary;
+    let late = sends.iter().filter(|at| **at > crashes[2] + FAST_DETECTION_TIME).count();
+    late <= 3 && *datagram_bytes <= 8 << 10
 }
 
-fn others_are_served(outcome: &Outcome) -> bool {
-    outcome.refused * 50 <= outcome.served
+fn serves_others(summary: &Summary) -> bool {
+    summary.refused * 50 <= summary.served
 }
 
 #[test]
-fn thirty_boxes_of_three_regions_know_as_soon_as_six() {
-    assert!(plays_at_size(THIRTY).all(|play| is_known_in_time(&play) && others_are_served(&play)));
+fn thirty_boxes_of_three_regions_refuse_as_soon_as_six() {
+    assert!(
+        simulate_at_size(THIRTY)
+            .all(|summary| is_refused_in_time(&summary) && serves_others(&summary))
+    );
 }
 
 #[test]
-fn a_hundred_boxes_of_three_regions_know_as_soon_as_six() {
-    assert!(plays_at_size(HUNDRED).all(|play| is_known_in_time(&play)));
+fn a_hundred_boxes_of_three_regions_refuse_as_soon_as_six() {
+    assert!(simulate_at_size(HUNDRED).all(|summary| is_refused_in_time(&summary)));
 }
 
 #[test]
-fn others_are_served_before_a_hundred_boxes() {
-    let are_served = |play: Outcome| play.refused * 45 <= play.served;
-    assert!(plays_at_size(HUNDRED).all(are_served));
+fn a_hundred_boxes_serve_other_requests() {
+    let serves_others = |summary: Summary| summary.refused * 45 <= summary.served;
+    assert!(simulate_at_size(HUNDRED).all(serves_others));
 }
