--- a/lib/benches/admission.rs
+++ b/lib/benches/admission.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 use copperweir_lib::coordination::identity;
-use copperweir_lib::coordination::identity::Claim;
-use copperweir_lib::coordination::quota::Bound;
+use copperweir_lib::coordination::identity::Credentials;
 use copperweir_lib::coordination::quota::Quotas;
+use copperweir_lib::coordination::quota::Tolerance;
 use copperweir_lib::coordination::rendezvous;
 use copperweir_lib::protocol::routing::Limits;
 use copperweir_lib::protocol::routing::Method;
@@ -57,14 +57,14 @@
     let routing = Routing::new(1, Vec::new(), BTreeMap::new(), Limits::default())
         .with_teams(Some(Teams::new((0..count).map(team))));
     let start = Instant::now();
-    let mut quotas = Quotas::new(Bound { slack: 0.0, dither: 0.5 }, start);
+    let mut quotas = Quotas::new(Tolerance { slack: 0.0, dither: 0.5 }, start);
     let (route, later) = (route(), start + Duration::from_secs(10));
     let keys: Vec<String> = (0..count).map(key).collect();
     let began = Instant::now();
     for number in 0..REQUESTS as usize {
         let digest = KeyDigest::of(&keys[number % count]);
-        let claim = Claim { key: Some(digest), checked: None };
-        let team = identity::team(&claim, &routing, &route, false).expect("held");
+        let claim = Credentials { key: Some(digest), forwarded: None };
+        let team = identity::resolve_team(&claim, &routing, &route, false).expect("held");
         let team = team.expect("a team");
         let now = later + Duration::from_micros(number as u64);
         let admitted = quotas.admit(rendezvous::weight(&team.name, ""), limit, 1000.0, now);
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::exchange::Exchange;
-use copperweir_lib::coordination::exchange::Extra;
+use copperweir_lib::coordination::gossip::Gossip;
+use copperweir_lib::coordination::gossip::Payload;
+use copperweir_lib::coordination::membership::Config;
 use copperweir_lib::coordination::membership::Membership;
-use copperweir_lib::coordination::membership::Tuning;
 use copperweir_lib::coordination::rendezvous;
 use copperweir_lib::protocol::name_hash;
 use copperweir_lib::protocol::peer::Demand;
@@ -46,7 +46,7 @@
 const TEAMS: usize = 20;
 
 struct Node {
-    exchange: Exchange,
+    exchange: Gossip,
     region: usize,
     version: u64,
     dead: bool,
@@ -111,8 +111,8 @@
             for number in 0..count {
                 let own = member(region, number, nodes.len());
                 addresses.insert(own.peers, nodes.len());
-                let membership = Membership::new(own, Tuning::default());
-                let exchange = Exchange { membership, load: Load::default() };
+                let membership = Membership::new(own, Config::default());
+                let exchange = Gossip { membership, load: Load::default() };
                 nodes.push(Node {
                     exchange,
                     region,
@@ -134,7 +134,7 @@
             .collect();
         let seeds: Vec<SocketAddr> = addresses.keys().copied().collect();
         for node in &mut nodes {
-            node.exchange.membership.learn_addresses(seeds.iter().copied());
+            node.exchange.membership.add_addresses(seeds.iter().copied());
         }
         let mut world = World {
             start,
@@ -185,26 +185,26 @@
         match what {
             What::Beat => {
                 let now = self.instant();
-                let period = self.nodes[node].exchange.membership.tuning().period;
+                let period = self.nodes[node].exchange.membership.config().period;
                 self.at(self.now + period, node, What::Beat);
                 let began = Instant::now();
                 let membership = &mut self.nodes[node].exchange.membership;
                 membership.tick(now, Duration::ZERO);
-                let targets = membership.targets(now, &mut self.rng);
+                let targets = membership.heartbeat_targets(now, &mut self.rng);
                 self.nodes[node].work += began.elapsed();
                 for target in targets {
-                    self.send(node, target, Extra::default());
+                    self.send(node, target, Payload::default());
                 }
             }
             What::Probe => self.probe(node),
             What::Request(from, bytes) => self.request(node, from, &bytes),
             What::Answer(peer, bytes) => {
-                self.nodes[node].exchange.membership.answered(peer);
+                self.nodes[node].exchange.membership.call_succeeded(peer);
                 self.hear(node, &bytes);
             }
             What::Unanswered(peer) => {
                 let now = self.instant();
-                if self.nodes[node].exchange.membership.unanswered(peer, now) {
+                if self.nodes[node].exchange.membership.call_failed(peer, now) {
                     self.spread(node);
                 }
             }
@@ -249,7 +249,7 @@
         self.nodes[node].duties_until = self.now + Duration::from_secs(10);
     }
 
-    fn compose(&mut self, node: usize, to: usize, mut extra: Extra) -> Vec<u8> {
+    fn compose(&mut self, node: usize, to: usize, mut extra: Payload) -> Vec<u8> {
         let now = self.instant();
         let demand =
             |team: usize| Demand { team: name_hash(&format!("team-{team}")), per_minute: 60 };
@@ -271,7 +271,7 @@
         if self.nodes[one].region == self.nodes[other].region { NEAR } else { FAR }
     }
 
-    fn send(&mut self, from: usize, target: SocketAddr, extra: Extra) {
+    fn send(&mut self, from: usize, target: SocketAddr, extra: Payload) {
         let Some(to) = self.addresses.get(&target).copied() else { return };
         let bytes = self.compose(from, to, extra);
         self.nodes[from].sent += 1;
@@ -294,13 +294,13 @@
         &mut self,
         node: usize,
         bytes: &[u8],
-    ) -> copperweir_lib::coordination::exchange::Heard {
+    ) -> copperweir_lib::coordination::gossip::Received {
         let now = self.instant();
         let began = Instant::now();
         let raw = wire::Heartbeat::decode(bytes).expect("our own encoding");
         let heartbeat = Heartbeat::try_from(raw).expect("our own heartbeat");
         let version = self.nodes[node].version;
-        let heard = self.nodes[node].exchange.hear(&heartbeat, version, now);
+        let heard = self.nodes[node].exchange.receive(&heartbeat, version, now);
         self.nodes[node].work += began.elapsed();
         if let Some((newer, _)) = heard.newer {
             // Fetching it takes a round trip; then the box tells others at once.
@@ -314,15 +314,15 @@
         heard
     }
 
-    fn hear_request(&mut self, node: usize, bytes: &[u8]) -> Extra {
+    fn hear_request(&mut self, node: usize, bytes: &[u8]) -> Payload {
         let follow_up = self.take_in(node, bytes).follow_up;
         let (wanted, given) = follow_up.map(|next| (next.wanted, next.given)).unwrap_or_default();
-        Extra { wanted, given, ..Extra::default() }
+        Payload { wanted, given, ..Payload::default() }
     }
 
     fn hear(&mut self, node: usize, bytes: &[u8]) {
         if let Some(next) = self.take_in(node, bytes).follow_up {
-            let extra = Extra { wanted: next.wanted, given: next.given, ..Extra::default() };
+            let extra = Payload { wanted: next.wanted, given: next.given, ..Payload::default() };
             self.send(node, next.to, extra);
         }
     }
@@ -330,12 +330,13 @@
     fn spread(&mut self, node: usize) {
         let now = self.instant();
         self.nodes[node].exchange.membership.update_own(|own| own.beat += 1);
-        let mut targets = self.nodes[node].exchange.membership.targets(now, &mut self.rng);
-        targets.extend(self.nodes[node].exchange.membership.targets(now, &mut self.rng));
+        let mut targets =
+            self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng);
+        targets.extend(self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng));
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
-            self.send(node, target, Extra::default());
+            self.send(node, target, Payload::default());
         }
     }
 
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::policy::Estimate;
+use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
 use copperweir_lib::coordination::pool::Lane;
@@ -38,8 +38,8 @@
 
 fn measure(count: usize) -> (f64, f64) {
     let now = Instant::now();
-    let limits = Limits { queue: 256, bytes: 1 << 30, boxes: 3 };
-    let mut pool = Pool::new(Estimate, limits, now);
+    let limits = Limits { max_queued: 256, max_queued_bytes: 1 << 30, boxes: 3 };
+    let mut pool = Pool::new(PrefixAffinity, limits, now);
     let mut rng = SmallRng::seed_from_u64(1);
     pool.update(limits, lanes(count, now), BTreeSet::new());
     let outcome = Outcome::Answered {
@@ -53,13 +53,13 @@
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(10),
             bytes: 100,
-            here: true,
-            elsewhere: Vec::new(),
+            local_allowed: true,
+            remote_regions: Vec::new(),
             prefix: Some(id % 200),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
         };
-        let (decision, _) = pool.arrive(arrival, now, &mut rng);
-        if let Decision::Now(Placement::Server(server, _)) = decision {
+        let (decision, _) = pool.submit(arrival, now, &mut rng);
+        if let Decision::Immediate(Placement::Server(server, _)) = decision {
             pool.finish(&server, outcome, now, &mut rng);
         }
     }
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -18,10 +18,10 @@
 use std::time::Instant;
 
 use copperweir_lib::coordination::policy::Candidate;
-use copperweir_lib::coordination::policy::Estimate;
 use copperweir_lib::coordination::policy::LeastInFlight;
 use copperweir_lib::coordination::policy::Policy;
-use copperweir_lib::coordination::policy::PrefixSticky;
+use copperweir_lib::coordination::policy::PrefixAffinity;
+use copperweir_lib::coordination::policy::PrefixHash;
 use copperweir_lib::coordination::policy::Random;
 use copperweir_lib::coordination::policy::Request as Asked;
 use copperweir_lib::coordination::policy::RoundRobin;
@@ -148,7 +148,7 @@
     format!("engine-{engine:02}")
 }
 
-const LIMITS: Limits = Limits { queue: 256, bytes: usize::MAX, boxes: BOXES };
+const LIMITS: Limits = Limits { max_queued: 256, max_queued_bytes: usize::MAX, boxes: BOXES };
 
 impl<'a, P: Policy + Default> World<'a, P> {
     fn new(kinds: &'a [Kind], oracle: bool, seed: u64) -> World<'a, P> {
@@ -214,17 +214,17 @@
             priority: kind.priority,
             deadline: self.instant() + patience,
             bytes: 1,
-            here: true,
-            elsewhere: Vec::new(),
+            local_allowed: true,
+            remote_regions: Vec::new(),
             prefix: Some(job.prefix),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
         };
         let (owner, id) = (job.owner, job.id);
         self.jobs.insert(id, job);
         let now = self.instant();
-        let (decision, wakes) = self.pools[owner].arrive(arrival, now, &mut self.rng);
+        let (decision, wakes) = self.pools[owner].submit(arrival, now, &mut self.rng);
         self.woken(wakes);
-        if let Decision::Now(placement) = decision {
+        if let Decision::Immediate(placement) = decision {
             self.placed(id, placement);
         }
     }
@@ -360,7 +360,7 @@
         let now = self.instant();
         for index in 0..BOXES {
             self.pools[index].update(LIMITS, lanes.clone(), BTreeSet::new());
-            let wakes = self.pools[index].pump(now, &mut self.rng);
+            let wakes = self.pools[index].dispatch_queued(now, &mut self.rng);
             self.woken(wakes);
         }
     }
@@ -411,7 +411,7 @@
 
 /// Estimate without prefix affinity.
 #[derive(Default)]
-struct NoPrefix(Estimate);
+struct NoPrefix(PrefixAffinity);
 
 impl Policy for NoPrefix {
     fn choose(
@@ -477,13 +477,13 @@
             "p95 range"
         );
         for load in LOADS {
-            let oracle = row::<Estimate>("oracle", kinds, load, true);
-            let ours = row::<Estimate>("estimate", kinds, load, false);
+            let oracle = row::<PrefixAffinity>("oracle", kinds, load, true);
+            let ours = row::<PrefixAffinity>("estimate", kinds, load, false);
             row::<NoPrefix>("- no prefix", kinds, load, false);
             row::<Random>("random", kinds, load, false);
             row::<RoundRobin>("round robin", kinds, load, false);
             row::<LeastInFlight>("least in flight", kinds, load, false);
-            row::<PrefixSticky>("prefix sticky", kinds, load, false);
+            row::<PrefixHash>("prefix sticky", kinds, load, false);
             println!("estimate p95 over the oracle's: {:.2}", ours[2] / oracle[2]);
         }
     }
--- a/lib/examples/balancer.rs
+++ b/lib/examples/balancer.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::policy::Estimate;
+use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
 use copperweir_lib::coordination::pool::Lane;
@@ -22,8 +22,8 @@
 fn main() {
     let now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(1);
-    let limits = Limits { queue: 2, bytes: 1 << 20, boxes: 1 };
-    let mut pool = Pool::new(Estimate, limits, now);
+    let limits = Limits { max_queued: 2, max_queued_bytes: 1 << 20, boxes: 1 };
+    let mut pool = Pool::new(PrefixAffinity, limits, now);
     let lane = |port| Lane {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         slots: 1,
@@ -41,14 +41,14 @@
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(10),
             bytes: 100,
-            here: true,
-            elsewhere: Vec::new(),
+            local_allowed: true,
+            remote_regions: Vec::new(),
             prefix: None,
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
         };
-        let (decision, _) = pool.arrive(arrival, now, &mut rng);
+        let (decision, _) = pool.submit(arrival, now, &mut rng);
         println!("request {id}: {decision:?}");
-        if let Decision::Now(Placement::Server(server, _)) = decision {
+        if let Decision::Immediate(Placement::Server(server, _)) = decision {
             running.push(server);
         }
     }
--- a/lib/examples/lease_holder.rs
+++ b/lib/examples/lease_holder.rs
@@ -7,12 +7,12 @@
 
 use copperweir_lib::coordination::lease::Action;
 use copperweir_lib::coordination::lease::Event;
-use copperweir_lib::coordination::lease::Holder;
-use copperweir_lib::coordination::lease::Tuning;
+use copperweir_lib::coordination::lease::LeaseClient;
+use copperweir_lib::coordination::lease::Timing;
 
 fn main() {
-    let tuning = Tuning::default();
-    let mut holders = [Holder::new(tuning), Holder::new(tuning)];
+    let timing = Timing::default();
+    let mut holders = [LeaseClient::new(timing), LeaseClient::new(timing)];
     let mut now = Instant::now();
     let mut stored: Option<(usize, Instant)> = None;
     let mut epoch = 0;
@@ -28,15 +28,15 @@
                 let event = match action {
                     Action::Acquire if stored.is_none() => {
                         epoch += 1;
-                        stored = Some((index, now + tuning.life));
+                        stored = Some((index, now + timing.ttl));
                         Event::Acquired { epoch, asked_at: now }
                     }
-                    Action::Acquire => Event::Refused(now),
+                    Action::Acquire => Event::AcquireFailed(now),
                     Action::Renew => {
-                        stored = Some((index, now + tuning.life));
+                        stored = Some((index, now + timing.ttl));
                         Event::Renewed { asked_at: now }
                     }
-                    Action::Begin(_) | Action::End(_) => continue,
+                    Action::StartLeading(_) | Action::StopLeading(_) => continue,
                 };
                 holder.handle(event);
             }
--- a/lib/src/coordination/drain.rs
+++ b/lib/src/coordination/drain.rs
@@ -11,7 +11,7 @@
 
 /// Times of a stop.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct Timeouts {
     /// How long an announced box still accepts.
     pub grace: Duration,
     /// Longest time from the request to stop to its end.
@@ -49,12 +49,12 @@
 
 impl Stage {
     /// Whether new requests are accepted.
-    pub fn accepts(self) -> bool {
+    pub fn accepts_requests(self) -> bool {
         matches!(self, Stage::Serving | Stage::Announced)
     }
 
     /// Whether the process should end.
-    pub fn ended(self) -> bool {
+    pub fn is_finished(self) -> bool {
         matches!(self, Stage::Done | Stage::Cut)
     }
 }
@@ -66,8 +66,8 @@
 
 impl Drain {
     /// A serving box.
-    pub fn new(tuning: Tuning) -> Drain {
-        Drain { machine: machine::Machine { tuning }.state_machine() }
+    pub fn new(timeouts: Timeouts) -> Drain {
+        Drain { machine: machine::Machine { timeouts }.state_machine() }
     }
 
     /// Takes an event and gives the stage after it.
@@ -93,7 +93,7 @@
     use super::*;
 
     pub struct Machine {
-        pub tuning: Tuning,
+        pub timeouts: Timeouts,
     }
 
     #[state_machine(initial = "State::serving()", state(derive(Debug)))]
@@ -110,7 +110,7 @@
         fn announced(&mut self, since: &mut Instant, event: &Event) -> Outcome<State> {
             match event {
                 Event::Stop(_) => Transition(State::cut()),
-                Event::Tick { now, .. } if *now >= *since + self.tuning.grace => {
+                Event::Tick { now, .. } if *now >= *since + self.timeouts.grace => {
                     Transition(State::closing(*since))
                 }
                 Event::Tick { .. } => Handled,
@@ -122,7 +122,7 @@
             match event {
                 Event::Stop(_) => Transition(State::cut()),
                 Event::Tick { in_flight: 0, .. } => Transition(State::done()),
-                Event::Tick { now, .. } if *now >= *since + self.tuning.limit => {
+                Event::Tick { now, .. } if *now >= *since + self.timeouts.limit => {
                     Transition(State::cut())
                 }
                 Event::Tick { .. } => Handled,
--- a/lib/src/coordination/exchange.rs
+++ b/lib/src/coordination/gossip.rs
@@ -25,7 +25,7 @@
 
 /// What a heartbeat brought.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct Received {
     /// Someone came, went or turned.
     pub members_changed: bool,
     /// A backend server became leaving or reachable, or ceased to be.
@@ -51,7 +51,7 @@
 
 /// What a heartbeat carries besides members and load.
 #[derive(Debug, Default)]
-pub struct Extra {
+pub struct Payload {
     /// Slots lent to the receiver.
     pub credits: Vec<Credit>,
     /// This box's demand by team.
@@ -63,19 +63,19 @@
 }
 
 /// One box's side of all exchanges.
-pub struct Exchange {
+pub struct Gossip {
     /// Members.
     pub membership: Membership,
     /// Observed load of the region's servers.
     pub load: Load,
 }
 
-impl Exchange {
+impl Gossip {
     /// Makes a heartbeat. `receiver` is the region it goes to, if known.
     pub fn compose(
         &self,
         receiver: Option<&RegionId>,
-        extra: Extra,
+        extra: Payload,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Heartbeat {
@@ -83,8 +83,8 @@
         let far_receiver = receiver.is_some_and(|region| *region != membership.own().region);
         let (near, far) = membership.beats(now, rng);
         let mut members = match far_receiver {
-            true => membership.introductions(now, rng),
-            false => membership.news(now, rng),
+            true => membership.region_sample(now, rng),
+            false => membership.recent_changes(now, rng),
         };
         members.extend(membership.records(&extra.given));
         // Counters and load of this region's own are of no use to another one.
@@ -105,17 +105,17 @@
     }
 
     /// Takes in a heartbeat, or the answer to one.
-    pub fn hear(&mut self, heartbeat: &Heartbeat, version: Version, now: Instant) -> Heard {
+    pub fn receive(&mut self, heartbeat: &Heartbeat, version: Version, now: Instant) -> Received {
         let sender = &heartbeat.sender;
         let own_region = self.membership.own().region.clone();
-        let mut heard = Heard::default();
-        heard.members_changed |= self.membership.hear(sender.clone(), now);
+        let mut heard = Received::default();
+        heard.members_changed |= self.membership.merge_member(sender.clone(), now);
         for member in &heartbeat.members {
-            heard.members_changed |= self.membership.hear(member.clone(), now);
+            heard.members_changed |= self.membership.merge_member(member.clone(), now);
         }
-        let mut wanted = self.membership.hear_beats(&heartbeat.near, now);
+        let mut wanted = self.membership.merge_beats(&heartbeat.near, now);
         wanted.truncate(WANTED);
-        self.membership.hear_beats(&heartbeat.far, now);
+        self.membership.merge_beats(&heartbeat.far, now);
         if sender.region == own_region {
             heard.load_changed = !heartbeat.reports.is_empty();
             for report in &heartbeat.reports {
--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -19,16 +19,16 @@
 
 /// What a request says of its caller.
 #[derive(Clone, Debug, Default)]
-pub struct Claim {
+pub struct Credentials {
     /// Digest of the caller's key.
     pub key: Option<KeyDigest>,
     /// What another box made of it.
-    pub checked: Option<Checked>,
+    pub forwarded: Option<ForwardedIdentity>,
 }
 
 /// What the box that a caller asked made of its key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Checked {
+pub struct ForwardedIdentity {
     /// Name of the team that holds it; `None` on routes that need no key.
     pub team: Option<String>,
     /// The configuration that it looked this up in.
@@ -38,13 +38,13 @@
 /// The team whose request it is; `None` where nobody needs a key. `stale` says that there may be a
 /// newer configuration, with keys that this one lacks: who brings such a key is asked to come back
 /// instead of being told that there is no such key.
-pub fn team(
-    claim: &Claim,
+pub fn resolve_team(
+    claim: &Credentials,
     routing: &Routing,
     route: &Route,
     stale: bool,
 ) -> Result<Option<Arc<Team>>, Failure> {
-    if let Some(checked) = claim.checked.as_ref().filter(|it| it.version > routing.version) {
+    if let Some(checked) = claim.forwarded.as_ref().filter(|it| it.version > routing.version) {
         return Ok(checked.team.as_deref().map(|name| by_name(routing, name)));
     }
     let Some(teams) = &routing.teams else { return Ok(None) };
--- a/lib/src/coordination/learning.rs
+++ b/lib/src/coordination/learning.rs
@@ -168,7 +168,7 @@
         }
         if is_whole || words.rate.is_some() {
             let before = self.throttles.rate(life);
-            if self.throttles.said(life, service, words.rate, now) {
+            if self.throttles.record_rate(life, service, words.rate, now) {
                 lesson.tell(Reach::Region);
             }
             if before != words.rate {
--- a/lib/src/coordination/lease.rs
+++ b/lib/src/coordination/lease.rs
@@ -17,24 +17,24 @@
 
 /// Times of a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct Timing {
     /// Life of a lease in the store.
-    pub life: Duration,
+    pub ttl: Duration,
     /// Time before its end at which the holder stops.
-    pub margin: Duration,
+    pub stop_margin: Duration,
     /// Time between attempts to become holder.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Longest flight of an order to a backend server.
-    pub flight: Duration,
+    pub max_order_delay: Duration,
 }
 
-impl Default for Tuning {
-    fn default() -> Tuning {
-        Tuning {
-            life: Duration::from_secs(9),
-            margin: Duration::from_secs(2),
-            retry: Duration::from_secs(3),
-            flight: Duration::from_secs(5),
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing {
+            ttl: Duration::from_secs(9),
+            stop_margin: Duration::from_secs(2),
+            retry_interval: Duration::from_secs(3),
+            max_order_delay: Duration::from_secs(5),
         }
     }
 }
@@ -52,7 +52,7 @@
         asked_at: Instant,
     },
     /// Another holds it, or the store did not answer.
-    Refused(Instant),
+    AcquireFailed(Instant),
     /// The lease was renewed.
     Renewed {
         /// When the renewal was asked for.
@@ -61,7 +61,7 @@
     /// The renewal failed; the lease may still live.
     RenewalFailed,
     /// The store says that the lease is over.
-    Over(Instant),
+    Expired(Instant),
 }
 
 /// What a holder asks for.
@@ -72,20 +72,20 @@
     /// Renew it.
     Renew,
     /// The duty begins.
-    Begin(Epoch),
+    StartLeading(Epoch),
     /// The duty ends.
-    End(Epoch),
+    StopLeading(Epoch),
 }
 
 /// One box's part in a duty.
-pub struct Holder {
+pub struct LeaseClient {
     machine: StateMachine<machine::Machine>,
 }
 
-impl Holder {
+impl LeaseClient {
     /// A box without the lease.
-    pub fn new(tuning: Tuning) -> Holder {
-        Holder { machine: machine::Machine::new(tuning).state_machine() }
+    pub fn new(timing: Timing) -> LeaseClient {
+        LeaseClient { machine: machine::Machine::new(timing).state_machine() }
     }
 
     /// Takes an event and gives what to do now.
@@ -96,7 +96,7 @@
     }
 
     /// When the holder must have stopped unless it renews; `None` without the lease.
-    pub fn until(&self) -> Option<Instant> {
+    pub fn held_until(&self) -> Option<Instant> {
         match self.machine.state() {
             machine::State::Holding { until, .. } => Some(*until),
             _ => None,
@@ -112,7 +112,7 @@
     }
 
     /// The epoch under which orders may go now to servers that do not check epochs.
-    pub fn epoch_unchecked(&self, now: Instant) -> Option<Epoch> {
+    pub fn exclusive_epoch(&self, now: Instant) -> Option<Epoch> {
         match self.machine.state() {
             machine::State::Holding { alone_from, .. } if now >= *alone_from => self.epoch(now),
             _ => None,
@@ -125,23 +125,23 @@
     use super::*;
 
     pub struct Machine {
-        tuning: Tuning,
+        timing: Timing,
         try_at: Option<Instant>,
         renewing: bool,
     }
 
     impl Machine {
-        pub fn new(tuning: Tuning) -> Machine {
-            Machine { tuning, try_at: None, renewing: false }
+        pub fn new(timing: Timing) -> Machine {
+            Machine { timing, try_at: None, renewing: false }
         }
 
         fn lapse(&mut self, now: Instant) {
             self.renewing = false;
-            self.try_at = Some(now + self.tuning.retry);
+            self.try_at = Some(now + self.timing.retry_interval);
         }
 
-        fn until(&self, asked_at: Instant) -> Instant {
-            asked_at + self.tuning.life - self.tuning.margin
+        fn held_until(&self, asked_at: Instant) -> Instant {
+            asked_at + self.timing.ttl - self.timing.stop_margin
         }
     }
 
@@ -162,11 +162,11 @@
         fn acquiring(&mut self, event: &Event, context: &mut Vec<Action>) -> Outcome<State> {
             match event {
                 Event::Acquired { epoch, asked_at } => {
-                    context.push(Action::Begin(*epoch));
-                    let alone_from = *asked_at + self.tuning.life + self.tuning.flight;
-                    Transition(State::holding(*epoch, self.until(*asked_at), alone_from))
+                    context.push(Action::StartLeading(*epoch));
+                    let alone_from = *asked_at + self.timing.ttl + self.timing.max_order_delay;
+                    Transition(State::holding(*epoch, self.held_until(*asked_at), alone_from))
                 }
-                Event::Refused(now) => {
+                Event::AcquireFailed(now) => {
                     self.lapse(*now);
                     Transition(State::free())
                 }
@@ -186,12 +186,12 @@
             let _ = alone_from;
             match event {
                 Event::Tick(now) if now >= until => {
-                    context.push(Action::End(*epoch));
+                    context.push(Action::StopLeading(*epoch));
                     self.lapse(*now);
                     Transition(State::free())
                 }
                 Event::Tick(now) => {
-                    let renew_from = *until - (self.tuning.life - self.tuning.margin) * 2 / 3;
+                    let renew_from = *until - (self.timing.ttl - self.timing.stop_margin) * 2 / 3;
                     if !self.renewing && *now >= renew_from {
                         self.renewing = true;
                         context.push(Action::Renew);
@@ -200,15 +200,15 @@
                 }
                 Event::Renewed { asked_at } => {
                     self.renewing = false;
-                    *until = self.until(*asked_at).max(*until);
+                    *until = self.held_until(*asked_at).max(*until);
                     Handled
                 }
                 Event::RenewalFailed => {
                     self.renewing = false;
                     Handled
                 }
-                Event::Over(now) => {
-                    context.push(Action::End(*epoch));
+                Event::Expired(now) => {
+                    context.push(Action::StopLeading(*epoch));
                     self.lapse(*now);
                     Transition(State::free())
                 }
--- a/lib/src/coordination/ledger.rs
+++ b/lib/src/coordination/ledger.rs
@@ -46,7 +46,7 @@
 
 /// What is to be done with a keyed request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Admission {
     /// Run it; conclude it afterwards.
     Run,
     /// Another request with the key is running; wait for its conclusion.
@@ -54,11 +54,11 @@
     /// It ran; this is the answer.
     Replay(Answer),
     /// It ran; the answer is no longer kept.
-    Ran,
+    AnswerDropped,
     /// It may have run.
     Unknown,
     /// The key was used with another request.
-    Reused,
+    KeyReused,
     /// No room for another key.
     Full,
 }
@@ -90,17 +90,17 @@
 
 /// Bounds of a ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct LedgerLimits {
     /// Most entries.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Most bytes of kept answers.
-    pub bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 /// The memory of one box.
 #[derive(Debug)]
 pub struct Ledger {
-    bounds: Bounds,
+    limits: LedgerLimits,
     entries: HashMap<Key, Entry>,
     by_expiry: BTreeSet<(Instant, Key)>,
     kept: BTreeSet<(Instant, Key)>,
@@ -109,9 +109,9 @@
 
 impl Ledger {
     /// An empty ledger.
-    pub fn new(bounds: Bounds) -> Ledger {
+    pub fn new(limits: LedgerLimits) -> Ledger {
         Ledger {
-            bounds,
+            limits,
             entries: HashMap::new(),
             by_expiry: BTreeSet::new(),
             kept: BTreeSet::new(),
@@ -146,17 +146,17 @@
         fingerprint: Fingerprint,
         keep_until: Instant,
         now: Instant,
-    ) -> Verdict {
+    ) -> Admission {
         self.expire(now);
         if let Some(entry) = self.entries.get(key) {
-            return verdict(entry, fingerprint);
+            return admission(entry, fingerprint);
         }
-        if self.entries.len() >= self.bounds.entries {
-            return Verdict::Full;
+        if self.entries.len() >= self.limits.max_entries {
+            return Admission::Full;
         }
         self.by_expiry.insert((keep_until, key.clone()));
         self.entries.insert(key.clone(), Entry { fingerprint, state: State::Running, keep_until });
-        Verdict::Run
+        Admission::Run
     }
 
     /// The request that was told to run has ended.
@@ -181,7 +181,7 @@
     }
 
     fn drop_answers(&mut self) {
-        while self.bytes > self.bounds.bytes {
+        while self.bytes > self.limits.max_answer_bytes {
             let Some((_, key)) = self.kept.pop_first() else { return };
             let Some(entry) = self.entries.get_mut(&key) else { continue };
             if let State::Answered(answer) = &mut entry.state {
@@ -214,14 +214,14 @@
     }
 }
 
-fn verdict(entry: &Entry, fingerprint: Fingerprint) -> Verdict {
+fn admission(entry: &Entry, fingerprint: Fingerprint) -> Admission {
     if entry.fingerprint != fingerprint {
-        return Verdict::Reused;
+        return Admission::KeyReused;
     }
     match &entry.state {
-        State::Running => Verdict::Wait,
-        State::Answered(Some(answer)) => Verdict::Replay(answer.clone()),
-        State::Answered(None) => Verdict::Ran,
-        State::Unknown => Verdict::Unknown,
+        State::Running => Admission::Wait,
+        State::Answered(Some(answer)) => Admission::Replay(answer.clone()),
+        State::Answered(None) => Admission::AnswerDropped,
+        State::Unknown => Admission::Unknown,
     }
 }
--- a/lib/src/coordination/lending.rs
+++ b/lib/src/coordination/lending.rs
@@ -15,7 +15,7 @@
 use crate::protocol::RegionId;
 
 /// How long a credit holds.
-pub const LIFE: Duration = Duration::from_secs(3);
+pub const CREDIT_LIFETIME: Duration = Duration::from_secs(3);
 
 /// What a box has lent of one pool.
 #[derive(Clone, Debug, Default)]
@@ -35,7 +35,7 @@
         let outstanding = self.outstanding(now);
         let slots = wanted.min(spare.saturating_sub(outstanding));
         if slots > 0 {
-            self.out.push((now + LIFE, slots));
+            self.out.push((now + CREDIT_LIFETIME, slots));
             invariant::check(Invariant::LentWithinSpare, outstanding + slots <= spare, || {
                 format!("outstanding={outstanding} slots={slots} spare={spare}")
             });
@@ -55,7 +55,7 @@
     pub fn receive(&mut self, region: RegionId, slots: u32, life: Duration, now: Instant) {
         let credits = self.credits.entry(region).or_default();
         credits.retain(|(until, _)| now < *until);
-        credits.push((now + life.min(LIFE), slots));
+        credits.push((now + life.min(CREDIT_LIFETIME), slots));
     }
 
     /// Slots of a region that may be used now.
@@ -65,7 +65,7 @@
     }
 
     /// Uses one slot of the allowed region that lends most.
-    pub fn take<'a>(
+    pub fn use_slot<'a>(
         &mut self,
         allowed: impl Iterator<Item = &'a RegionId>,
         now: Instant,
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -12,9 +12,9 @@
 
 use super::departures::told::Word as Leaving;
 use super::quarantine::told;
-use super::quota::Count;
-use super::quota::Flow;
-use super::throttle::told::News;
+use super::quota::BoxUsage;
+use super::quota::RegionUsage;
+use super::throttle::messages::ThrottleReport;
 use super::unlisted::Named;
 
 /// Age at which a report no longer counts: several have been lost by then, or the box is gone.
@@ -91,10 +91,10 @@
     pub unlisted: Vec<Named>,
     /// What the sender let in for teams, if that has changed; only for boxes of its region.
     #[prost(message, repeated, tag = "21")]
-    pub counts: Vec<Count>,
+    pub counts: Vec<BoxUsage>,
     /// What its region lets in for teams; only for boxes of other regions.
     #[prost(message, repeated, tag = "22")]
-    pub flows: Vec<Flow>,
+    pub flows: Vec<RegionUsage>,
     /// Servers that ended lately, and what they were running.
     #[prost(message, repeated, tag = "23")]
     pub ends: Vec<told::End>,
@@ -106,7 +106,7 @@
     pub trials: Vec<String>,
     /// Servers that name a rate, and what the sender sent them; only for boxes of its region.
     #[prost(message, optional, tag = "26")]
-    pub throttle: Option<News>,
+    pub throttle: Option<ThrottleReport>,
     /// Hashes of services whose servers in the sender's region take nothing now by their own word; only
     /// for boxes of other regions.
     #[prost(fixed64, repeated, tag = "27")]
--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -37,7 +37,7 @@
 
 /// How members are watched.
 #[derive(Clone, Debug)]
-pub struct Tuning {
+pub struct Config {
     /// Time between heartbeats.
     pub period: Duration,
     /// Boxes of the own region that each heartbeat goes to.
@@ -66,9 +66,9 @@
     pub stranger_share: f64,
 }
 
-impl Default for Tuning {
-    fn default() -> Tuning {
-        Tuning {
+impl Default for Config {
+    fn default() -> Config {
+        Config {
             period: Duration::from_secs(1),
             fan_out: 2,
             dead_after: Duration::from_secs(5),
@@ -115,7 +115,7 @@
 
 /// The members that one box knows.
 pub struct Membership {
-    tuning: Tuning,
+    config: Config,
     own: Member,
     others: BTreeMap<BoxId, Known>,
     by_id: HashMap<MemberId, BoxId>,
@@ -127,9 +127,9 @@
 
 impl Membership {
     /// A box that knows only itself.
-    pub fn new(own: Member, tuning: Tuning) -> Membership {
+    pub fn new(own: Member, config: Config) -> Membership {
         Membership {
-            tuning,
+            config,
             own,
             others: BTreeMap::new(),
             by_id: HashMap::new(),
@@ -140,8 +140,8 @@
     }
 
     /// How members are watched.
-    pub fn tuning(&self) -> &Tuning {
-        &self.tuning
+    pub fn config(&self) -> &Config {
+        &self.config
     }
 
     /// This box.
@@ -155,13 +155,13 @@
     }
 
     /// Peer addresses to try besides those of known members.
-    pub fn learn_addresses(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_addresses(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own.peers;
         self.addresses.extend(addresses.into_iter().filter(|address| *address != own));
     }
 
     /// Takes in a record; true where it changed who is live or leaving.
-    pub fn hear(&mut self, member: Member, now: Instant) -> bool {
+    pub fn merge_member(&mut self, member: Member, now: Instant) -> bool {
         if member.name == self.own.name {
             return self.hear_of_self(&member);
         }
@@ -204,7 +204,7 @@
     }
 
     /// A call got its answer.
-    pub fn answered(&mut self, peer: SocketAddr) {
+    pub fn call_succeeded(&mut self, peer: SocketAddr) {
         self.failing *= 1.0 - SMOOTHING;
         if let Some(known) = self.others.values_mut().find(|known| known.member.peers == peer) {
             known.failures = 0;
@@ -212,7 +212,7 @@
     }
 
     /// A call got no answer; true where its member is dead by that.
-    pub fn unanswered(&mut self, peer: SocketAddr, now: Instant) -> bool {
+    pub fn call_failed(&mut self, peer: SocketAddr, now: Instant) -> bool {
         let live = self
             .others
             .iter()
@@ -226,14 +226,14 @@
         }
         known.failures += 1;
         let beat = known.member.beat + DEATH_LEAD;
-        known.failures >= self.tuning.failures
+        known.failures >= self.config.failures
             && self.failing < SELF_BLAME
             && self.bury(&name, beat, now)
     }
 
     fn meet(&mut self, member: Member, now: Instant) -> bool {
         let near = member.region == self.own.region;
-        if !near && self.live_in(&member.region, now).count() >= self.tuning.contacts {
+        if !near && self.live_in(&member.region, now).count() >= self.config.contacts {
             return false;
         }
         self.insert(member, now, now);
@@ -248,7 +248,7 @@
     }
 
     /// Takes in counters; gives those whose members are not known.
-    pub fn hear_beats(&mut self, beats: &[Beat], now: Instant) -> Vec<MemberId> {
+    pub fn merge_beats(&mut self, beats: &[Beat], now: Instant) -> Vec<MemberId> {
         let own = self.own.id();
         let mut unknown = Vec::new();
         for beat in beats.iter().filter(|beat| beat.member != own) {
@@ -269,12 +269,12 @@
     /// Forgets members long silent. `late` is how much later than planned the
     /// tick came: if this box was frozen, silence so far proves nothing.
     pub fn tick(&mut self, now: Instant, late: Duration) {
-        if late > self.tuning.period {
+        if late > self.config.period {
             for known in self.others.values_mut() {
                 known.advanced_at = (known.advanced_at + late).min(now);
             }
         }
-        let forget_after = self.tuning.forget_after;
+        let forget_after = self.config.forget_after;
         self.others
             .retain(|_, known| now.saturating_duration_since(known.advanced_at) < forget_after);
         self.region_sizes.clear();
@@ -294,7 +294,7 @@
 
     fn silence_allowed(&self, member: &Member) -> Duration {
         let of_region = *self.region_sizes.get(&member.region).unwrap_or(&0);
-        self.tuning.dead_after + self.tuning.dead_after_per_box * of_region
+        self.config.dead_after + self.config.dead_after_per_box * of_region
     }
 
     fn live_known(&self, now: Instant) -> impl Iterator<Item = &Known> {
@@ -316,7 +316,7 @@
     }
 
     /// Members known, alive or not.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.others.len()
     }
 
@@ -328,14 +328,14 @@
     }
 
     /// Where this period's heartbeats go.
-    pub fn targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let near = self.live_in(&self.own.region, now).map(|member| member.peers);
-        let mut targets = near.choose_multiple(rng, self.tuning.fan_out);
+        let mut targets = near.choose_multiple(rng, self.config.fan_out);
         targets.extend(self.far_targets(now, rng));
         targets.extend(self.doubtful(now));
         let strangers = match targets.is_empty() {
             true => FIRST_CALLS,
-            false => usize::from(rng.random_bool(self.tuning.stranger_share)),
+            false => usize::from(rng.random_bool(self.config.stranger_share)),
         };
         targets.extend(self.strangers(now).choose_multiple(rng, strangers));
         targets
@@ -344,7 +344,7 @@
     /// Members whose last call got no answer: they are called again.
     fn doubtful(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let doubtful = self.live_known(now).filter(|known| known.failures > 0);
-        doubtful.map(|known| known.member.peers).take(self.tuning.fan_out)
+        doubtful.map(|known| known.member.peers).take(self.config.fan_out)
     }
 
     /// One contact in each other region, or less often where that region is
@@ -383,21 +383,21 @@
         let (near, far): (Vec<&Known>, Vec<&Known>) =
             live.into_iter().partition(|known| known.member.region == self.own.region);
         let beat = |known: &&Known| Beat { member: known.member.id(), beat: known.member.beat };
-        let near = near.iter().take(self.tuning.near_beats).map(beat).collect();
-        (near, far.iter().take(self.tuning.far_beats).map(beat).collect())
+        let near = near.iter().take(self.config.near_beats).map(beat).collect();
+        (near, far.iter().take(self.config.far_beats).map(beat).collect())
     }
 
     /// Records to pass on unasked within the region: those that changed lately,
     /// deaths among them, and now and then a contact in another region.
-    pub fn news(&self, now: Instant, rng: &mut impl Rng) -> Vec<Member> {
+    pub fn recent_changes(&self, now: Instant, rng: &mut impl Rng) -> Vec<Member> {
         let mut news: Vec<&Known> = self
             .others
             .values()
-            .filter(|known| now.saturating_duration_since(known.changed_at) < self.tuning.news_for)
+            .filter(|known| now.saturating_duration_since(known.changed_at) < self.config.news_for)
             .collect();
         news.shuffle(rng);
-        news.truncate(self.tuning.news);
-        if rng.random_bool(self.tuning.contact_share) {
+        news.truncate(self.config.news);
+        if rng.random_bool(self.config.contact_share) {
             let far = self.live_known(now).filter(|known| known.member.region != self.own.region);
             news.extend(far.choose(rng));
         }
@@ -405,7 +405,7 @@
     }
 
     /// Records to pass on to another region: some members of this one.
-    pub fn introductions(&self, now: Instant, rng: &mut impl Rng) -> Vec<Member> {
+    pub fn region_sample(&self, now: Instant, rng: &mut impl Rng) -> Vec<Member> {
         let near = self.live_in(&self.own.region, now);
         near.cloned().choose_multiple(rng, INTRODUCTIONS)
     }
--- a/lib/src/coordination/regions.rs
+++ b/lib/src/coordination/overflow.rs
@@ -25,14 +25,14 @@
 
 /// Requests on the servers of a service in one region, against their slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fullness {
+pub struct Utilization {
     /// Requests of all boxes.
     pub in_flight: f64,
     /// Slots of the servers that may get work.
     pub slots: f64,
 }
 
-impl Fullness {
+impl Utilization {
     fn ratio(&self) -> f64 {
         if self.slots > 0.0 { self.in_flight / self.slots } else { f64::INFINITY }
     }
@@ -40,37 +40,43 @@
 
 /// What was heard of other regions.
 #[derive(Debug, Default)]
-pub struct Regions {
-    heard: HashMap<(u64, RegionId), (Fullness, Instant)>,
+pub struct RegionUtilization {
+    heard: HashMap<(u64, RegionId), (Utilization, Instant)>,
     /// Services whose servers in a region take nothing now, and when that was heard.
     closed: HashMap<RegionId, (Vec<u64>, Instant)>,
 }
 
-impl Regions {
+impl RegionUtilization {
     /// A box says how full the servers of a service are in its region.
-    pub fn hear(&mut self, service: u64, region: RegionId, fullness: Fullness, now: Instant) {
+    pub fn record_utilization(
+        &mut self,
+        service: u64,
+        region: RegionId,
+        fullness: Utilization,
+        now: Instant,
+    ) {
         self.heard.insert((service, region), (fullness, now));
     }
 
     /// A box says which services have no room in its region, since their servers take nothing now by
     /// their own word.
-    pub fn hear_closed(&mut self, region: RegionId, services: Vec<u64>, now: Instant) {
+    pub fn record_closed_services(&mut self, region: RegionId, services: Vec<u64>, now: Instant) {
         self.closed.insert(region, (services, now));
     }
 
     /// Whether a service may have room in another region, as far as heard. Prompts that would be refused there
     /// after a way of 110 ms are not sent.
-    pub fn has_room(&self, service: u64, region: &str, now: Instant) -> bool {
+    pub fn may_have_room(&self, service: u64, region: &str, now: Instant) -> bool {
         let heard = self.closed.get(region).filter(|(_, at)| now < *at + LIFE);
         heard.is_none_or(|(services, _)| !services.contains(&service))
     }
 
     /// The region that has most room for a service, and the part of the requests that should
     /// go there; `None` if they should stay.
-    pub fn overflow(
+    pub fn overflow_target(
         &self,
         service: u64,
-        own: Fullness,
+        own: Utilization,
         allowed: impl Fn(&str) -> bool,
         now: Instant,
     ) -> Option<(&str, f64)> {
--- a/lib/src/coordination/placement/fullness.rs
+++ b/lib/src/coordination/placement/fullness.rs
@@ -6,7 +6,7 @@
 use super::Placement;
 use crate::coordination::candidate::Candidate;
 use crate::coordination::loads::Loads;
-use crate::coordination::regions::Fullness;
+use crate::coordination::overflow::Utilization;
 use crate::coordination::throttle::Throttles;
 
 /// Time that a request is taken to keep a slot busy at a server that names a rate.
@@ -21,9 +21,9 @@
 
     /// How full the servers are. One that names a rate counts with the slots that it keeps busy, one that rests
     /// with none.
-    pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Fullness {
+    pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Utilization {
         let unheard = self.sharers.saturating_sub(1 + loads.heard());
-        let mut fullness = Fullness::default();
+        let mut fullness = Utilization::default();
         for candidate in self.servers.values() {
             if candidate.is_usable() && self.rests.until(candidate.life, now).is_none() {
                 let slots = f64::from(candidate.known.server.slots);
@@ -46,7 +46,7 @@
                 resting = true;
             } else if !candidate.is_sound(now) || !candidate.has_room(load, false, now) {
                 busy = true;
-            } else if throttles.has_left(candidate.life, now) {
+            } else if throttles.has_capacity(candidate.life, now) {
                 return false;
             } else {
                 throttled = true;
--- a/lib/src/coordination/policy.rs
+++ b/lib/src/coordination/policy.rs
@@ -96,9 +96,9 @@
 
 /// The server that a prefix hashes to, however loaded.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PrefixSticky;
+pub struct PrefixHash;
 
-impl Policy for PrefixSticky {
+impl Policy for PrefixHash {
     fn choose(
         &mut self,
         request: Request,
@@ -118,12 +118,12 @@
 /// at random: that keeps boxes that act on the same old report from all
 /// choosing the same server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Estimate;
+pub struct PrefixAffinity;
 
 /// Load over the average, as a factor, at which a prefix goes elsewhere.
 const BOUNDED_LOAD: f64 = 1.25;
 
-impl Policy for Estimate {
+impl Policy for PrefixAffinity {
     fn choose(
         &mut self,
         request: Request,
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -13,20 +13,20 @@
 
 use rand::Rng;
 
-use super::bucket::Bucket;
 use super::invariant;
 use super::invariant::Invariant;
 use super::lending::Borrower;
 use super::policy::Policy;
 use super::policy::Request;
 use super::queue::Queue;
+use super::queue::QueuedRequest;
 use super::queue::RequestId;
-use super::queue::Waiting;
 use super::rest::Rests;
 use super::returns::Returns;
 pub use super::server::Lane;
 use super::server::Server;
 use super::server::smooth;
+use super::token_bucket::TokenBucket;
 use crate::error::Kind;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
@@ -61,13 +61,13 @@
     /// Bytes it holds while it waits.
     pub bytes: usize,
     /// Whether this region may run it.
-    pub here: bool,
+    pub local_allowed: bool,
     /// Other regions that may run it.
-    pub elsewhere: Vec<RegionId>,
+    pub remote_regions: Vec<RegionId>,
     /// Hash of the beginning of its prompt.
     pub prefix: Option<u64>,
     /// Servers that it was tried on already.
-    pub tried: Vec<ServerId>,
+    pub tried_servers: Vec<ServerId>,
 }
 
 /// Where a request goes.
@@ -85,9 +85,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
     /// Placed or refused at once.
-    Now(Placement),
+    Immediate(Placement),
     /// It waits; a [`Wake`] will come.
-    Wait,
+    Queued,
 }
 
 /// A request that waited has been placed.
@@ -114,7 +114,7 @@
     /// It refused, and wants nothing from this box for so long.
     Rests(Duration),
     /// The caller went away, or the server was not to blame.
-    Withdrawn,
+    Cancelled,
 }
 
 /// The pool.
@@ -126,7 +126,7 @@
     borrower: Borrower,
     regions_with_servers: BTreeSet<RegionId>,
     service_time: Option<Duration>,
-    retries: Bucket,
+    retries: TokenBucket,
     boxes: usize,
     rests: Rests,
     returns: Returns,
@@ -136,9 +136,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Requests that may wait.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Bytes that may wait.
-    pub bytes: usize,
+    pub max_queued_bytes: usize,
     /// Boxes that use the pool's servers, this one among them.
     pub boxes: usize,
 }
@@ -150,11 +150,11 @@
             policy,
             servers: BTreeMap::new(),
             departed: BTreeMap::new(),
-            queue: Queue::new(limits.queue, limits.bytes),
+            queue: Queue::new(limits.max_queued, limits.max_queued_bytes),
             borrower: Borrower::default(),
             regions_with_servers: BTreeSet::new(),
             service_time: None,
-            retries: Bucket::new(0.0, RETRY_BURST, now),
+            retries: TokenBucket::new(0.0, RETRY_BURST, now),
             boxes: limits.boxes.max(1),
             rests: Rests::default(),
             returns: Returns::default(),
@@ -169,7 +169,7 @@
         lanes: BTreeMap<ServerId, Lane>,
         regions_with_servers: BTreeSet<RegionId>,
     ) {
-        self.queue.set_limits(limits.queue, limits.bytes);
+        self.queue.set_limits(limits.max_queued, limits.max_queued_bytes);
         self.boxes = limits.boxes.max(1);
         self.regions_with_servers = regions_with_servers;
         let mut previous = std::mem::take(&mut self.servers);
@@ -185,12 +185,12 @@
     }
 
     /// A region lends slots.
-    pub fn credit(&mut self, region: RegionId, slots: u32, life: Duration, now: Instant) {
+    pub fn add_credit(&mut self, region: RegionId, slots: u32, life: Duration, now: Instant) {
         self.borrower.receive(region, slots, life, now);
     }
 
     /// Slots of this region that are free, as far as this box knows.
-    pub fn spare(&self, now: Instant) -> u32 {
+    pub fn free_slots(&self, now: Instant) -> u32 {
         if !self.queue.is_empty() {
             return 0;
         }
@@ -205,38 +205,38 @@
 
     /// Requests of this box on servers of the pool.
     pub fn in_flight(&self) -> u32 {
-        let here: u32 = self.servers.values().map(|server| server.in_flight).sum();
-        here + self.departed.values().sum::<u32>()
+        let listed: u32 = self.servers.values().map(|server| server.in_flight).sum();
+        listed + self.departed.values().sum::<u32>()
     }
 
     /// Places, queues or refuses a request.
-    pub fn arrive(
+    pub fn submit(
         &mut self,
         arrival: Arrival,
         now: Instant,
         rng: &mut impl Rng,
     ) -> (Decision, Vec<Wake>) {
-        if arrival.tried.is_empty() {
+        if arrival.tried_servers.is_empty() {
             self.retries.add(RETRY_SHARE);
         }
         if now >= arrival.deadline {
             return (refused(Kind::WouldBeLate, Duration::ZERO), Vec::new());
         }
-        if !arrival.here {
-            return (Decision::Now(self.without_local_server(&arrival, now)), Vec::new());
+        if !arrival.local_allowed {
+            return (Decision::Immediate(self.without_local_server(&arrival, now)), Vec::new());
         }
         let behind = self.queue.ahead(arrival.priority, arrival.deadline);
         if behind == 0
             && let Some(placement) = self.place(&arrival, now, rng)
         {
-            return (Decision::Now(placement), Vec::new());
+            return (Decision::Immediate(placement), Vec::new());
         }
         let wait = self.expected_wait(behind, now);
         if let Some(region) = self.borrow(&arrival, wait, now) {
-            return (Decision::Now(Placement::Region(region)), Vec::new());
+            return (Decision::Immediate(Placement::Region(region)), Vec::new());
         }
         if !self.has_hope(&arrival, now) {
-            return (Decision::Now(self.without_local_server(&arrival, now)), Vec::new());
+            return (Decision::Immediate(self.without_local_server(&arrival, now)), Vec::new());
         }
         if now + wait + self.service_time.unwrap_or_default() > arrival.deadline {
             return (refused(Kind::WouldBeLate, wait), Vec::new());
@@ -246,14 +246,14 @@
 
     fn enqueue(&mut self, arrival: Arrival, wait: Duration) -> (Decision, Vec<Wake>) {
         let id = arrival.id;
-        let displaced = self.queue.push(Waiting {
+        let displaced = self.queue.push(QueuedRequest {
             id,
             priority: arrival.priority,
             deadline: arrival.deadline,
             bytes: arrival.bytes,
-            detail: arrival,
+            request: arrival,
         });
-        let mut decision = Decision::Wait;
+        let mut decision = Decision::Queued;
         let mut wakes = Vec::new();
         for waiting in displaced {
             if waiting.id == id {
@@ -272,12 +272,13 @@
             self.rests.until(server.hash, now).is_none_or(|until| until < arrival.deadline)
         };
         let mut up = self.servers.iter().filter(|(_, server)| server.up() && in_time(server));
-        up.any(|(id, _)| !arrival.tried.contains(id))
+        up.any(|(id, _)| !arrival.tried_servers.contains(id))
     }
 
     fn without_local_server(&mut self, arrival: &Arrival, now: Instant) -> Placement {
         let regions = &self.regions_with_servers;
-        if let Some(region) = arrival.elsewhere.iter().find(|region| regions.contains(*region)) {
+        if let Some(region) = arrival.remote_regions.iter().find(|region| regions.contains(*region))
+        {
             return Placement::Region(region.clone());
         }
         let come_back = self.first_rest_ends(now).map(|until| self.returns.next(until, now));
@@ -293,12 +294,12 @@
     }
 
     fn borrow(&mut self, arrival: &Arrival, wait: Duration, now: Instant) -> Option<RegionId> {
-        if wait < LENDING_MARGIN || arrival.elsewhere.is_empty() {
+        if wait < LENDING_MARGIN || arrival.remote_regions.is_empty() {
             return None;
         }
         let regions = &self.regions_with_servers;
-        let allowed = arrival.elsewhere.iter().filter(|region| regions.contains(*region));
-        self.borrower.take(allowed, now)
+        let allowed = arrival.remote_regions.iter().filter(|region| regions.contains(*region));
+        self.borrower.use_slot(allowed, now)
     }
 
     /// Time until a request with this many before it would be placed.
@@ -325,7 +326,7 @@
             load += candidate.load;
             slots += candidate.slots;
             let full = candidate.load >= candidate.slots * SERVER_FULL;
-            if !full && !arrival.tried.contains(id) {
+            if !full && !arrival.tried_servers.contains(id) {
                 candidates.push(candidate);
             }
         }
@@ -371,7 +372,7 @@
         } else {
             invariant::check(Invariant::SlotsBalance, false, || format!("server={id} unknown"));
         }
-        self.pump(now, rng)
+        self.dispatch_queued(now, rng)
     }
 
     fn learn(&mut self, id: &ServerId, outcome: Outcome, now: Instant) {
@@ -391,7 +392,7 @@
                 self.rests.ask(server.hash, rest, now);
                 log::info!("event=server_rests server={id} rest_ms={}", rest.as_millis());
             }
-            Outcome::Withdrawn => {}
+            Outcome::Cancelled => {}
         }
     }
 
@@ -408,28 +409,28 @@
     }
 
     /// Whether one more attempt fits the retry budget.
-    pub fn may_retry(&mut self, now: Instant) -> bool {
+    pub fn take_retry(&mut self, now: Instant) -> bool {
         self.retries.take(1.0, now).is_ok()
     }
 
     /// A caller that waited went away.
-    pub fn withdraw(&mut self, id: RequestId, priority: Priority, deadline: Instant) -> bool {
+    pub fn cancel(&mut self, id: RequestId, priority: Priority, deadline: Instant) -> bool {
         self.queue.remove(id, priority, deadline)
     }
 
     /// Refuses what is too late and places what waits and fits.
-    pub fn pump(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Wake> {
+    pub fn dispatch_queued(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Wake> {
         let late = self.queue.expired(now).into_iter().map(|waiting| Wake {
             id: waiting.id,
             placement: Placement::Refused(Kind::WouldBeLate, Duration::ZERO),
         });
         let mut wakes: Vec<Wake> = late.collect();
         while let Some(waiting) = self.queue.pop() {
-            match self.place(&waiting.detail, now, rng) {
+            match self.place(&waiting.request, now, rng) {
                 Some(placement) => wakes.push(Wake { id: waiting.id, placement }),
                 // No server is left for it here: it goes elsewhere or gets its answer.
-                None if !self.has_hope(&waiting.detail, now) => {
-                    let placement = self.without_local_server(&waiting.detail, now);
+                None if !self.has_hope(&waiting.request, now) => {
+                    let placement = self.without_local_server(&waiting.request, now);
                     wakes.push(Wake { id: waiting.id, placement });
                 }
                 None => {
@@ -443,5 +444,5 @@
 }
 
 fn refused(kind: Kind, after: Duration) -> Decision {
-    Decision::Now(Placement::Refused(kind, after.max(Duration::from_secs(1))))
+    Decision::Immediate(Placement::Refused(kind, after.max(Duration::from_secs(1))))
 }
--- a/lib/src/coordination/queue.rs
+++ b/lib/src/coordination/queue.rs
@@ -17,7 +17,7 @@
 
 /// A waiting request.
 #[derive(Clone, Debug)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// Which.
     pub id: RequestId,
     /// Priority.
@@ -27,13 +27,13 @@
     /// Bytes it holds.
     pub bytes: usize,
     /// What the pool needs to place it.
-    pub detail: T,
+    pub request: T,
 }
 
 /// A bounded queue.
 #[derive(Debug)]
 pub struct Queue<T> {
-    classes: [BTreeMap<(Instant, RequestId), Waiting<T>>; Priority::ALL.len()],
+    classes: [BTreeMap<(Instant, RequestId), QueuedRequest<T>>; Priority::ALL.len()],
     limit: usize,
     byte_limit: usize,
     bytes: usize,
@@ -77,7 +77,7 @@
 
     /// Adds a request. Gives back those that lost their place; the request
     /// itself among them where it is the least urgent and there is no room.
-    pub fn push(&mut self, waiting: Waiting<T>) -> Vec<Waiting<T>> {
+    pub fn push(&mut self, waiting: QueuedRequest<T>) -> Vec<QueuedRequest<T>> {
         self.bytes += waiting.bytes;
         let class = waiting.priority as usize;
         self.classes[class].insert((waiting.deadline, waiting.id), waiting);
@@ -89,7 +89,7 @@
         out
     }
 
-    fn pop_least_urgent(&mut self) -> Option<Waiting<T>> {
+    fn pop_least_urgent(&mut self) -> Option<QueuedRequest<T>> {
         let class = self.classes.iter_mut().find(|class| !class.is_empty())?;
         let (_, waiting) = class.pop_last()?;
         self.bytes -= waiting.bytes;
@@ -97,7 +97,7 @@
     }
 
     /// Takes the next request whose turn it is.
-    pub fn pop(&mut self) -> Option<Waiting<T>> {
+    pub fn pop(&mut self) -> Option<QueuedRequest<T>> {
         self.turns += 1;
         let least_urgent = self.turns.is_multiple_of(LEAST_URGENT_TURN);
         let mut waiting = self.classes.iter_mut().filter(|class| !class.is_empty());
@@ -109,7 +109,7 @@
 
     /// Puts back a request that was taken and could not be placed; the turn
     /// is still to be had.
-    pub fn put_back(&mut self, waiting: Waiting<T>) {
+    pub fn put_back(&mut self, waiting: QueuedRequest<T>) {
         self.turns -= 1;
         self.bytes += waiting.bytes;
         let class = waiting.priority as usize;
@@ -124,7 +124,7 @@
     }
 
     /// Takes out all whose deadline has passed.
-    pub fn expired(&mut self, now: Instant) -> Vec<Waiting<T>> {
+    pub fn expired(&mut self, now: Instant) -> Vec<QueuedRequest<T>> {
         let mut out = Vec::new();
         for class in &mut self.classes {
             while class.first_key_value().is_some_and(|((deadline, _), _)| *deadline <= now) {
--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -62,7 +62,7 @@
 
 /// What a box tells those of its region of a team.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Count {
+pub struct BoxUsage {
     /// The team.
     #[prost(fixed64, tag = "1")]
     pub team: TeamHash,
@@ -79,7 +79,7 @@
 
 /// What a box tells those of other regions of a team, about all boxes of its own.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Flow {
+pub struct RegionUsage {
     /// The team.
     #[prost(fixed64, tag = "1")]
     pub team: TeamHash,
@@ -96,7 +96,7 @@
 
 /// Who tells counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Teller {
+pub struct ReportId {
     /// What stands for the box.
     pub sender: u64,
     /// Its start; a newer one supersedes.
@@ -107,7 +107,7 @@
 
 /// What holds for the limits of all teams.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct Tolerance {
     /// Units that a window may hold beyond the limit of a team, whatever that is.
     pub slack: f64,
     /// Drawn from 0 to 1 by each box: how much of its first request it owes when it begins to keep to
@@ -117,7 +117,7 @@
 
 /// How many boxes there are.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Fleet {
+pub struct FleetSize {
     /// Boxes of all regions, this one included.
     pub boxes: usize,
     /// Reports until each box of this region has got one.
@@ -137,8 +137,8 @@
 #[derive(Debug)]
 pub struct Quotas {
     started_at: Instant,
-    bound: Bound,
-    fleet: Fleet,
+    bound: Tolerance,
+    fleet: FleetSize,
     accounts: HashMap<TeamHash, Account>,
     boxes: HashMap<u64, Source>,
     regions: HashMap<RegionId, Source>,
@@ -147,11 +147,11 @@
 impl Quotas {
     /// No accounts yet, in a box that started then. What others let in before is not known, so an
     /// account begins with what has come in since.
-    pub fn new(bound: Bound, started_at: Instant) -> Quotas {
+    pub fn new(bound: Tolerance, started_at: Instant) -> Quotas {
         Quotas {
             started_at,
             bound,
-            fleet: Fleet { boxes: 1, rounds: 1 },
+            fleet: FleetSize { boxes: 1, rounds: 1 },
             accounts: HashMap::new(),
             boxes: HashMap::new(),
             regions: HashMap::new(),
@@ -180,13 +180,13 @@
     }
 
     /// A request that was let in has reached no server.
-    pub fn give_back(&mut self, team: TeamHash, cost: f64) {
-        self.account(team).give_back(cost);
+    pub fn refund(&mut self, team: TeamHash, cost: f64) {
+        self.account(team).refund(cost);
     }
 
     /// A box of this region says what it let in.
-    pub fn hear_box(&mut self, teller: Teller, counts: &[Count], now: Instant) {
-        let Teller { sender, incarnation, number } = teller;
+    pub fn record_box_usage(&mut self, teller: ReportId, counts: &[BoxUsage], now: Instant) {
+        let ReportId { sender, incarnation, number } = teller;
         let known = self.boxes.get(&sender).map(|source| (source.incarnation, source.number));
         if known.is_some_and(|known| known >= (incarnation, number)) {
             return;
@@ -212,17 +212,17 @@
         for (team, units) in news {
             let account = self.account(team);
             account.fill(now);
-            account.left -= units;
+            account.remaining -= units;
             account.in_region.add(units, now);
         }
     }
 
     /// A box of another region says what its region lets in.
-    pub fn hear_region(&mut self, region: &RegionId, flows: &[Flow], now: Instant) {
+    pub fn record_region_usage(&mut self, region: &RegionId, flows: &[RegionUsage], now: Instant) {
         let source = self.regions.entry(region.clone()).or_insert_with(|| Source::new(now));
         source.heard_at = now;
         source.parts = None;
-        let word = |flow: &Flow| Word {
+        let word = |flow: &RegionUsage| Word {
             admitted: flow.admitted as f64,
             demand: flow.demand as f64,
             usual: flow.usual as f64,
@@ -247,7 +247,7 @@
     }
 
     /// Works out the parts anew; call some times a second.
-    pub fn tick(&mut self, fleet: Fleet, now: Instant) {
+    pub fn tick(&mut self, fleet: FleetSize, now: Instant) {
         self.fleet = fleet;
         self.boxes.retain(|_, source| now < source.heard_at + MEMORY);
         self.regions.retain(|_, source| now < source.heard_at + MEMORY);
@@ -328,14 +328,14 @@
     }
 
     /// What a team has left over all boxes, as far as this one knows; `None` without an account.
-    pub fn left(&mut self, team: TeamHash, now: Instant) -> Option<f64> {
+    pub fn remaining(&mut self, team: TeamHash, now: Instant) -> Option<f64> {
         let account = self.accounts.get_mut(&team)?;
         account.fill(now);
-        Some(account.left)
+        Some(account.remaining)
     }
 
     /// What to tell the boxes of this region: counts that have changed of late.
-    pub fn counts(&mut self, now: Instant) -> Vec<Count> {
+    pub fn box_usage_to_report(&mut self, now: Instant) -> Vec<BoxUsage> {
         for account in self.accounts.values_mut().filter(|account| account.changed) {
             account.changed = false;
             account.tell = self.fleet.rounds + REPEATS;
@@ -345,17 +345,17 @@
             account.tell -= 1;
             let demand = account.demand.get(now) as u64;
             let usual = account.usual.since_start(now) as u64;
-            Count { team: *team, admitted: account.admitted as u64, demand, usual }
+            BoxUsage { team: *team, admitted: account.admitted as u64, demand, usual }
         };
         changed.take(TOLD).map(count).collect()
     }
 
     /// What to tell boxes of other regions of this one.
-    pub fn flows(&self, now: Instant) -> Vec<Flow> {
+    pub fn region_usage_to_report(&self, now: Instant) -> Vec<RegionUsage> {
         if now < self.started_at + HEARD_ALL {
             return Vec::new();
         }
-        let flow = |(team, account): (&TeamHash, &Account)| Flow {
+        let flow = |(team, account): (&TeamHash, &Account)| RegionUsage {
             team: *team,
             admitted: account.in_region.get(now) as u64,
             demand: account.region_demand as u64,
--- a/lib/src/coordination/quota/account.rs
+++ b/lib/src/coordination/quota/account.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
     /// When there is room.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// Units that the team has left, debt below zero.
-    pub left: f64,
+    pub remaining: f64,
     /// Units a second that all boxes are asked for.
     pub demand: f64,
 }
@@ -45,9 +45,9 @@
     /// The limit, once a request has come.
     pub limit: Option<Limit>,
     /// What all boxes together have left; below zero is debt.
-    pub left: f64,
+    pub remaining: f64,
     /// What this box has left of its own part.
-    own_left: f64,
+    own_remaining: f64,
     filled_at: Instant,
     /// Units that this box let in.
     pub admitted: f64,
@@ -80,8 +80,8 @@
     pub fn new(started_at: Instant, part: f64) -> Account {
         Account {
             limit: None,
-            left: 0.0,
-            own_left: 0.0,
+            remaining: 0.0,
+            own_remaining: 0.0,
             filled_at: started_at,
             admitted: 0.0,
             in_region: Rate::new(FLOW_SMOOTHING, started_at),
@@ -109,10 +109,10 @@
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
         let rest = 1.0 - self.silent;
-        let left = self.left + (limit.rate * rest - self.elsewhere) * passed;
-        self.left = left.min(limit.burst * rest);
+        let remaining = self.remaining + (limit.rate * rest - self.elsewhere) * passed;
+        self.remaining = remaining.min(limit.burst * rest);
         // Nothing is saved up for later: what all have left is what may be spent at once.
-        self.own_left = (self.own_left + limit.rate * self.part * passed).min(0.0);
+        self.own_remaining = (self.own_remaining + limit.rate * self.part * passed).min(0.0);
     }
 
     /// Lets a request in, or says when to come back.
@@ -125,7 +125,7 @@
     ) -> Result<(), Refusal> {
         let Terms { debt, dither, fresh } = terms;
         if self.limit.is_none() && cost > limit.burst * self.part {
-            self.own_left = -dither * cost;
+            self.own_remaining = -dither * cost;
         }
         self.limit = Some(limit);
         self.fill(now);
@@ -134,32 +134,32 @@
         let rest = 1.0 - self.silent;
         let rate = (limit.rate * rest).max(1.0);
         let over = fresh || self.all_demand > rate;
-        let by_part = over && self.left < limit.burst * rest;
-        let left = self.left + debt * rest;
-        if left > 0.0 && (!by_part || self.own_left >= 0.0) {
+        let by_part = over && self.remaining < limit.burst * rest;
+        let remaining = self.remaining + debt * rest;
+        if remaining > 0.0 && (!by_part || self.own_remaining >= 0.0) {
             self.charge(cost, now);
             return Ok(());
         }
-        let missing = (-left).max(0.0) / rate;
+        let missing = (-remaining).max(0.0) / rate;
         let own_rate = (limit.rate * self.part).max(1.0);
-        let own_missing = if by_part { (-self.own_left).max(0.0) / own_rate } else { 0.0 };
-        let come_back = Duration::try_from_secs_f64(missing.max(own_missing));
-        let come_back = come_back.unwrap_or(COME_BACK.1).clamp(COME_BACK.0, COME_BACK.1);
-        Err(Refusal { come_back, left: self.left, demand: self.all_demand })
+        let own_missing = if by_part { (-self.own_remaining).max(0.0) / own_rate } else { 0.0 };
+        let retry_after = Duration::try_from_secs_f64(missing.max(own_missing));
+        let retry_after = retry_after.unwrap_or(COME_BACK.1).clamp(COME_BACK.0, COME_BACK.1);
+        Err(Refusal { retry_after, remaining: self.remaining, demand: self.all_demand })
     }
 
     /// What was let in has reached no server.
-    pub fn give_back(&mut self, cost: f64) {
-        self.left += cost;
-        self.own_left += cost;
+    pub fn refund(&mut self, cost: f64) {
+        self.remaining += cost;
+        self.own_remaining += cost;
         self.admitted = (self.admitted - cost).max(0.0);
         self.changed = true;
     }
 
     fn charge(&mut self, cost: f64, now: Instant) {
-        self.left -= cost;
+        self.remaining -= cost;
         // A box that let in more than its part while there was enough owes one request at most.
-        self.own_left = (self.own_left - cost).max(-cost);
+        self.own_remaining = (self.own_remaining - cost).max(-cost);
         self.admitted += cost;
         self.in_region.add(cost, now);
         self.changed = true;
--- a/lib/src/coordination/limit.rs
+++ b/lib/src/coordination/rate_limiter.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::bucket::Bucket;
+use super::token_bucket::TokenBucket;
 use crate::protocol::BoxId;
 use crate::protocol::NameHash;
 use crate::protocol::TeamId;
@@ -28,7 +28,7 @@
 const BURST: Duration = Duration::from_secs(1);
 
 struct TeamState {
-    bucket: Bucket,
+    bucket: TokenBucket,
     rate: f64,
     arrivals: u32,
     per_minute: f64,
@@ -36,12 +36,12 @@
 
 /// The limits that one box applies.
 #[derive(Default)]
-pub struct Limiter {
+pub struct RateLimiter {
     teams: HashMap<TeamId, TeamState>,
     others: HashMap<BoxId, HashMap<NameHash, u32>>,
 }
 
-impl Limiter {
+impl RateLimiter {
     /// Admits a request of a team whose rate over all boxes is `rate`, or says
     /// when to come back.
     pub fn admit(&mut self, team: &TeamId, rate: f64, now: Instant) -> Result<(), Duration> {
@@ -61,13 +61,13 @@
     }
 
     /// A box said what demand it sees.
-    pub fn hear(&mut self, from: &BoxId, demands: &[Demand]) {
+    pub fn record_demands(&mut self, from: &BoxId, demands: &[Demand]) {
         let demands = demands.iter().map(|demand| (demand.team, demand.per_minute));
         self.others.insert(from.clone(), demands.collect());
     }
 
     /// Boxes that left or were replaced have no share any more.
-    pub fn keep_boxes(&mut self, keep: impl Fn(&BoxId) -> bool) {
+    pub fn retain_boxes(&mut self, keep: impl Fn(&BoxId) -> bool) {
         self.others.retain(|name, _| keep(name));
     }
 
@@ -127,6 +127,6 @@
     (rate * BURST.as_secs_f64()).max(1.0)
 }
 
-fn bucket(rate: f64, now: Instant) -> Bucket {
-    Bucket::new(rate, burst(rate), now)
+fn bucket(rate: f64, now: Instant) -> TokenBucket {
+    TokenBucket::new(rate, burst(rate), now)
 }
--- a/lib/src/coordination/retries.rs
+++ b/lib/src/coordination/retries.rs
@@ -14,7 +14,7 @@
 
 /// The bound on all boxes together.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct RetryLimit {
     /// Sends beyond the first for each request.
     pub ratio: f64,
     /// Length of the window.
@@ -32,16 +32,16 @@
 
 /// What one box has sent to one service.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    bound: Bound,
+pub struct RetryBudget {
+    bound: RetryLimit,
     started_at: Instant,
     slices: [Slice; SLICES],
 }
 
-impl Budget {
+impl RetryBudget {
     /// A fresh budget.
-    pub fn new(bound: Bound, now: Instant) -> Budget {
-        Budget { bound, started_at: now, slices: [Slice::default(); SLICES] }
+    pub fn new(bound: RetryLimit, now: Instant) -> RetryBudget {
+        RetryBudget { bound, started_at: now, slices: [Slice::default(); SLICES] }
     }
 
     fn slice(&mut self, now: Instant) -> &mut Slice {
@@ -56,12 +56,12 @@
     }
 
     /// A request was sent for the first time.
-    pub fn first(&mut self, now: Instant) {
+    pub fn record_first_send(&mut self, now: Instant) {
         self.slice(now).requests += 1;
     }
 
     /// Takes one further send, if the share of a box among `boxes` has one left.
-    pub fn repeat(&mut self, boxes: usize, now: Instant) -> bool {
+    pub fn try_resend(&mut self, boxes: usize, now: Instant) -> bool {
         let newest = self.slice(now).number;
         let counted =
             |slice: &&Slice| slice.number + SLICES as u64 > newest && slice.number <= newest;
--- a/lib/src/coordination/rollout.rs
+++ b/lib/src/coordination/rollout.rs
@@ -57,17 +57,17 @@
     }
 
     /// One more source was asked at the start.
-    pub fn asked(&mut self) {
+    pub fn query_started(&mut self) {
         self.asked += 1;
     }
 
     /// One of them answered, or failed.
-    pub fn answered(&mut self) {
+    pub fn query_finished(&mut self) {
         self.answered += 1;
     }
 
     /// Weighs an offered version.
-    pub fn offer(&mut self, version: Version) -> Offer {
+    pub fn check_offer(&mut self, version: Version) -> Offer {
         match version.cmp(&self.version) {
             std::cmp::Ordering::Greater => Offer::Adopt,
             std::cmp::Ordering::Equal => Offer::Same,
@@ -79,7 +79,7 @@
     }
 
     /// A version was put in force.
-    pub fn adopted(&mut self, version: Version) {
+    pub fn adopt(&mut self, version: Version) {
         invariant::check(Invariant::VersionGrows, version > self.version, || {
             format!("from={} to={version}", self.version)
         });
--- a/lib/src/coordination/throttle.rs
+++ b/lib/src/coordination/throttle.rs
@@ -21,9 +21,9 @@
 
 mod account;
 mod demand;
-mod exchange;
-mod region;
-pub mod told;
+pub mod messages;
+mod peers;
+mod reports;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -35,10 +35,10 @@
 
 use self::account::Account;
 use self::account::Difference;
-use self::account::Said;
+use self::account::StatedRate;
 use self::demand::Demand;
-use self::region::Region;
-use self::region::Source;
+use self::peers::Region;
+use self::peers::Source;
 use super::rendezvous;
 
 /// What stands for one life of a server.
@@ -72,7 +72,7 @@
 
 /// A word as the store keeps it, for boxes that start when all others have forgotten it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredRate {
     /// The life of the server.
     pub server: ServerLife,
     /// Its service.
@@ -122,30 +122,30 @@
 
     /// A server named a rate in an answer to this box, or none. Says whether the others must hear of
     /// it at once.
-    pub fn said(
+    pub fn record_rate(
         &mut self,
         server: ServerLife,
         service: ServiceHash,
         rate: Option<f64>,
         now: Instant,
     ) -> bool {
-        self.hear_word(server, service, Said { rate, at: now }, now) == Difference::Urgent
+        self.hear_word(server, service, StatedRate { rate, at: now }, now) == Difference::Urgent
     }
 
     fn hear_word(
         &mut self,
         server: ServerLife,
         service: ServiceHash,
-        said: Said,
+        stated: StatedRate,
         now: Instant,
     ) -> Difference {
         let (news_takes, rounds) = (self.news_takes(), self.rounds);
         let is_full = self.servers.len() >= SERVERS;
         let difference = match self.servers.get_mut(&server) {
-            Some(account) => account.hear(said, now, news_takes),
-            None if said.rate.is_none() || is_full => return Difference::Same,
+            Some(account) => account.hear(stated, now, news_takes),
+            None if stated.rate.is_none() || is_full => return Difference::Same,
             None => {
-                let mut account = Account::new(service, said, now);
+                let mut account = Account::new(service, stated, now);
                 account.keep_to(self.rest, self.dither, now, news_takes);
                 self.servers.insert(server, account);
                 Difference::Urgent
@@ -162,12 +162,12 @@
 
     /// The rate that a server names, if it does.
     pub fn rate(&self, server: ServerLife) -> Option<f64> {
-        self.servers.get(&server)?.said.rate
+        self.servers.get(&server)?.stated.rate
     }
 
     /// How many servers name a rate.
     pub fn len(&self) -> usize {
-        self.servers.values().filter(|account| account.said.rate.is_some()).count()
+        self.servers.values().filter(|account| account.stated.rate.is_some()).count()
     }
 
     /// Whether none does.
@@ -176,7 +176,7 @@
     }
 
     /// This box is asked for a place on a server of a service.
-    pub fn asked(&mut self, service: ServiceHash, now: Instant) {
+    pub fn record_request(&mut self, service: ServiceHash, now: Instant) {
         self.services.entry(service).or_insert_with(|| Demand::new(now)).asked(now);
     }
 
@@ -191,13 +191,13 @@
     }
 
     /// Whether a server has a whole request left, or names no rate.
-    pub fn has_left(&self, server: ServerLife, now: Instant) -> bool {
+    pub fn has_capacity(&self, server: ServerLife, now: Instant) -> bool {
         let account = self.servers.get(&server);
         account.is_none_or(|account| account.left(now, self.news_takes()) >= 1.0)
     }
 
     /// A request goes to a server.
-    pub fn sent(&mut self, server: ServerLife, now: Instant) {
+    pub fn record_sent(&mut self, server: ServerLife, now: Instant) {
         let (news_takes, rounds) = (self.news_takes(), self.rounds);
         let Some(account) = self.servers.get_mut(&server) else { return };
         account.charge(1.0, now, news_takes);
@@ -208,7 +208,7 @@
     /// When a caller should come back who finds only servers that have nothing left: one after the
     /// other, as this box's part of what these servers take allows. Told half of a latency objective each,
     /// callers of six simulated rushes were refused 19,763 times, so 5,464, and as many were served.
-    pub fn come_back(
+    pub fn retry_after(
         &mut self,
         service: ServiceHash,
         servers: impl Iterator<Item = ServerLife>,
@@ -257,7 +257,7 @@
         let servers = &mut self.servers;
         let mut gone = HashSet::new();
         servers.retain(|server, account| {
-            let stays = now < account.said.at + WORD_LIFE;
+            let stays = now < account.stated.at + WORD_LIFE;
             stays || !gone.insert(*server)
         });
         if gone.is_empty() {
@@ -269,7 +269,7 @@
     }
 
     fn limited_services(&self) -> Vec<ServiceHash> {
-        let limited = self.servers.values().filter(|account| account.said.rate.is_some());
+        let limited = self.servers.values().filter(|account| account.stated.rate.is_some());
         let mut services: Vec<ServiceHash> = limited.map(|account| account.service).collect();
         services.sort_unstable();
         services.dedup();
@@ -277,11 +277,11 @@
     }
 
     /// The store shows a word of a server, or none any more.
-    pub fn stored(&mut self, word: Stored, now: Instant) {
-        let Stored { server, service, rate } = word;
+    pub fn merge_stored(&mut self, word: StoredRate, now: Instant) {
+        let StoredRate { server, service, rate } = word;
         if rate.is_some() && !self.servers.contains_key(&server) {
             let at = now.checked_sub(STORED_AGE).unwrap_or(now);
-            self.hear_word(server, service, Said { rate, at }, now);
+            self.hear_word(server, service, StatedRate { rate, at }, now);
         }
         if let Some(account) = self.servers.get_mut(&server) {
             account.stored = rate;
@@ -291,17 +291,17 @@
 
     /// What this box should write to the store now: words that it shows otherwise. One box after the
     /// other does so, by its rank for the server, until the word is there.
-    pub fn unwritten(&self, own: u64, now: Instant) -> Vec<Stored> {
+    pub fn rates_to_write(&self, own: u64, now: Instant) -> Vec<StoredRate> {
         let is_due = |server: ServerLife, account: &Account| {
             let rank = self.rank(own, server);
             let pause = WRITE_GAP * (rank as u32 + 1);
             rank < WRITERS && account.unstored_since.is_some_and(|since| now >= since + pause)
         };
         let due = self.servers.iter().filter(|(server, account)| is_due(**server, account));
-        let word = |(server, account): (&ServerLife, &Account)| Stored {
+        let word = |(server, account): (&ServerLife, &Account)| StoredRate {
             server: *server,
             service: account.service,
-            rate: account.said.rate,
+            rate: account.stated.rate,
         };
         due.take(WRITTEN).map(word).collect()
     }
--- a/lib/src/coordination/throttle/account.rs
+++ b/lib/src/coordination/throttle/account.rs
@@ -21,7 +21,7 @@
 
 /// What a server said of its rate, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct StatedRate {
     /// Requests a second from all boxes; `None` for no rate.
     pub rate: Option<f64>,
     /// When it said so.
@@ -45,7 +45,7 @@
     /// Service of the server.
     pub service: ServiceHash,
     /// Its last word.
-    pub said: Said,
+    pub stated: StatedRate,
     /// Requests of this box since there is an account.
     pub sent: u64,
     /// What the store shows of its rate.
@@ -66,10 +66,10 @@
 impl Account {
     /// An account of a server that has just said something. It begins with nothing: what the server
     /// got before it said so was more than it takes.
-    pub fn new(service: ServiceHash, said: Said, now: Instant) -> Account {
+    pub fn new(service: ServiceHash, stated: StatedRate, now: Instant) -> Account {
         Account {
             service,
-            said,
+            stated,
             sent: 0,
             stored: None,
             unstored_since: None,
@@ -95,7 +95,7 @@
 
     /// Notes since when the store has shown something else than the server said.
     pub fn compare_stored(&mut self, now: Instant) {
-        let differs = match (self.stored, self.said.rate) {
+        let differs = match (self.stored, self.stated.rate) {
             (None, None) => false,
             (Some(stored), Some(rate)) => {
                 rate.max(stored) > STORED_ABOUT * rate.min(stored).max(LEAST_RATE)
@@ -111,20 +111,20 @@
 
     /// Requests a second that boxes which hear each other may send; `None` without a limit.
     pub fn rate(&self) -> Option<f64> {
-        self.said.rate.map(|rate| rate.max(LEAST_RATE) * self.rest)
+        self.stated.rate.map(|rate| rate.max(LEAST_RATE) * self.rest)
     }
 
     /// Takes in what the server said; an older word changes nothing.
-    pub fn hear(&mut self, said: Said, now: Instant, news_takes: Duration) -> Difference {
-        if said.at < self.said.at {
+    pub fn hear(&mut self, stated: StatedRate, now: Instant, news_takes: Duration) -> Difference {
+        if stated.at < self.stated.at {
             return Difference::Same;
         }
         self.fill(now, news_takes);
-        let before = std::mem::replace(&mut self.said, said);
+        let before = std::mem::replace(&mut self.stated, stated);
         if before.rate.is_none() {
             self.left = 0.0;
         }
-        match (before.rate, said.rate) {
+        match (before.rate, stated.rate) {
             (before, after) if before == after => Difference::Same,
             (Some(before), Some(after)) if after > before * (1.0 - FALL) => Difference::Slight,
             _ => Difference::Urgent,
@@ -141,7 +141,7 @@
 
     /// Brings the account up to a moment.
     pub fn fill(&mut self, now: Instant, news_takes: Duration) {
-        if self.said.rate.is_some() {
+        if self.stated.rate.is_some() {
             self.left = self.left(now, news_takes);
         }
         self.filled_at = self.filled_at.max(now);
--- a/lib/src/coordination/throttle/told.rs
+++ b/lib/src/coordination/throttle/messages.rs
@@ -5,7 +5,7 @@
 
 /// What a server last said.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Word {
+pub struct ServerRate {
     /// The life of the server.
     #[prost(fixed64, tag = "1")]
     pub server: ServerLife,
@@ -47,10 +47,10 @@
 
 /// All of it in one report.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct News {
+pub struct ThrottleReport {
     /// What servers said.
     #[prost(message, repeated, tag = "1")]
-    pub words: Vec<Word>,
+    pub words: Vec<ServerRate>,
     /// What was sent to them.
     #[prost(message, repeated, tag = "2")]
     pub counts: Vec<Count>,
@@ -59,7 +59,7 @@
     pub demands: Vec<Demand>,
 }
 
-impl News {
+impl ThrottleReport {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.words.is_empty() && self.counts.is_empty() && self.demands.is_empty()
--- a/lib/src/coordination/throttle/exchange.rs
+++ b/lib/src/coordination/throttle/reports.rs
@@ -11,14 +11,14 @@
 use super::WORD_LIFE;
 use super::account::Account;
 use super::account::Difference;
-use super::account::Said;
+use super::account::StatedRate;
 use super::demand::Asked;
-use super::region::Source;
-use super::told;
-use super::told::Count;
-use super::told::News;
-use super::told::Word;
-use crate::coordination::quota::Teller;
+use super::messages;
+use super::messages::Count;
+use super::messages::ServerRate;
+use super::messages::ThrottleReport;
+use super::peers::Source;
+use crate::coordination::quota::ReportId;
 
 /// Reports after its start within which all that a box has sent is new to those that hear it first.
 const FIRST_REPORTS: u64 = 10;
@@ -35,8 +35,8 @@
 
 impl Throttles {
     /// What to tell the other boxes of the region in the next report.
-    pub fn news(&mut self, now: Instant) -> News {
-        let mut news = News::default();
+    pub fn next_report(&mut self, now: Instant) -> ThrottleReport {
+        let mut news = ThrottleReport::default();
         let mut servers: Vec<ServerLife> = self.servers.keys().copied().collect();
         servers.sort_unstable();
         for server in &servers {
@@ -61,7 +61,7 @@
         let told = limited.iter().cycle().skip(first).take(limited.len().min(DEMANDS));
         let own = |service: &ServiceHash| {
             let own = self.services.get(service).map_or(Asked::default(), |asked| asked.own(now));
-            told::Demand {
+            messages::Demand {
                 service: *service,
                 per_minute: (own.lately * 60.0).ceil() as u32,
                 usual_per_minute: (own.usual * 60.0).ceil() as u32,
@@ -72,16 +72,21 @@
     }
 
     /// What to tell a box that has just started: whatever there is room for.
-    pub fn all_words(&self, now: Instant) -> News {
-        let limited = self.servers.iter().filter(|(_, account)| account.said.rate.is_some());
+    pub fn all_rates(&self, now: Instant) -> ThrottleReport {
+        let limited = self.servers.iter().filter(|(_, account)| account.stated.rate.is_some());
         let words = limited.take(WORDS).map(|(server, account)| word(*server, account, now));
-        News { words: words.collect(), ..News::default() }
+        ThrottleReport { words: words.collect(), ..ThrottleReport::default() }
     }
 
     /// Another box of the region told something. Says whether it is new to this one, so that it
     /// should hear what servers said.
-    pub fn hear(&mut self, teller: Teller, news: &News, now: Instant) -> bool {
-        let Teller { sender, incarnation, number } = teller;
+    pub fn receive_report(
+        &mut self,
+        teller: ReportId,
+        news: &ThrottleReport,
+        now: Instant,
+    ) -> bool {
+        let ReportId { sender, incarnation, number } = teller;
         let known = self.boxes.get(&sender).map(|source| (source.incarnation, source.number));
         if known.is_some_and(|known| known >= (incarnation, number)) {
             return false;
@@ -102,7 +107,7 @@
             source.counts.clear();
         }
         (source.incarnation, source.number, source.heard_at) = (incarnation, number, now);
-        let asked = |told: &told::Demand| Asked {
+        let asked = |told: &messages::Demand| Asked {
             lately: f64::from(told.per_minute) / 60.0,
             usual: f64::from(told.usual_per_minute) / 60.0,
         };
@@ -112,7 +117,7 @@
             let before = source.counts.insert(*server, *count).unwrap_or(0);
             sent.push((*server, count.saturating_sub(before)));
         }
-        self.hear_words(&news.words, now);
+        self.merge_rates(&news.words, now);
         let news_takes = self.news_takes();
         for (server, requests) in sent.into_iter().filter(|_| counts_all) {
             if let Some(account) = self.servers.get_mut(&server) {
@@ -123,44 +128,44 @@
     }
 
     /// Another box of the region told what servers said.
-    pub fn hear_words(&mut self, words: &[Word], now: Instant) {
+    pub fn merge_rates(&mut self, words: &[ServerRate], now: Instant) {
         words.iter().for_each(|told| self.hear_word_told(told, now));
     }
 
-    fn hear_word_told(&mut self, told: &Word, now: Instant) {
+    fn hear_word_told(&mut self, told: &ServerRate, now: Instant) {
         let age = Duration::from_millis(u64::from(told.said_ms));
         let Some(at) = now.checked_sub(age).filter(|_| age < WORD_LIFE) else { return };
         let rate = told.rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
-        let own = self.servers.get(&told.server).map(|account| account.said);
+        let own = self.servers.get(&told.server).map(|account| account.stated);
         if own.is_some_and(|own| own.rate == rate && at < own.at + CONFIRMED_AFTER) {
             return;
         }
-        let difference = self.hear_word(told.server, told.service, Said { rate, at }, now);
+        let difference = self.hear_word(told.server, told.service, StatedRate { rate, at }, now);
         if difference != Difference::Same {
             log::info!(
                 "event=server_rate life={:x} rate={rate:?} before={:?} said_ms={} by=box",
                 told.server,
-                own.and_then(|said| said.rate),
+                own.and_then(|stated| stated.rate),
                 told.said_ms
             );
         }
         // Who tells of an older word has not heard the newer one.
         let rounds = self.rounds;
         if let Some(account) = self.servers.get_mut(&told.server)
-            && account.said.at > at
-            && account.said.rate != rate
+            && account.stated.at > at
+            && account.stated.rate != rate
         {
             account.tell_word = account.tell_word.max(rounds);
         }
     }
 }
 
-fn word(server: ServerLife, account: &Account, now: Instant) -> Word {
-    let said_ms = now.saturating_duration_since(account.said.at).as_millis();
-    Word {
+fn word(server: ServerLife, account: &Account, now: Instant) -> ServerRate {
+    let said_ms = now.saturating_duration_since(account.stated.at).as_millis();
+    ServerRate {
         server,
         service: account.service,
-        rate: account.said.rate,
+        rate: account.stated.rate,
         said_ms: u32::try_from(said_ms).unwrap_or(u32::MAX),
     }
 }
--- a/lib/src/coordination/bucket.rs
+++ b/lib/src/coordination/token_bucket.rs
@@ -5,17 +5,17 @@
 
 /// Tokens that come back at a rate, up to a burst.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     rate: f64,
     burst: f64,
     filled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket; `rate` in tokens a second.
-    pub fn new(rate: f64, burst: f64, now: Instant) -> Bucket {
-        Bucket { tokens: burst, rate, burst, filled_at: now }
+    pub fn new(rate: f64, burst: f64, now: Instant) -> TokenBucket {
+        TokenBucket { tokens: burst, rate, burst, filled_at: now }
     }
 
     /// Changes rate and burst; keeps what is in the bucket, up to the new burst.
--- a/lib/src/daemon/caller.rs
+++ b/lib/src/daemon/caller.rs
@@ -101,7 +101,7 @@
         Endpoint::Boxes => return boxes(shared, snapshot),
         _ => {}
     }
-    if !snapshot.stage.accepts() {
+    if !snapshot.stage.accepts_requests() {
         return Err(leaving(snapshot));
     }
     limit(shared, &snapshot.configuration, &team)?;
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -39,7 +39,7 @@
 impl Control {
     /// A fresh box asks the store and the peers that its settings name.
     pub(super) fn ask_for_configuration(&mut self) {
-        self.rollout.asked();
+        self.rollout.query_started();
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
@@ -49,7 +49,7 @@
             let _ = events.send(Event::SourceDone).await;
         });
         // The list names peers to ask; until it has come, not all have been asked.
-        self.rollout.asked();
+        self.rollout.query_started();
         self.read_list(true);
         for seed in self.shared.settings.seeds.clone() {
             self.ask_peer_at_start(seed);
@@ -61,7 +61,7 @@
         if address == self.shared.addresses.peers || !self.asked.insert(address) {
             return;
         }
-        self.rollout.asked();
+        self.rollout.query_started();
         let peers = Arc::clone(&self.peers);
         let events = self.events.clone();
         tokio::spawn(async move {
@@ -151,7 +151,7 @@
                 return;
             }
         };
-        match self.rollout.offer(document.version) {
+        match self.rollout.check_offer(document.version) {
             Offer::Same => {}
             Offer::Older => self.count(Counter::OlderOffers),
             Offer::Adopt => self.adopt(&document, bytes),
@@ -169,7 +169,7 @@
                 return;
             }
         };
-        self.rollout.adopted(document.version);
+        self.rollout.adopt(document.version);
         self.configuration = Arc::new(configuration);
         self.shared.document.store(Arc::new(bytes));
         self.count(Counter::ConfigurationsAdopted);
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -10,7 +10,7 @@
 
 use super::Control;
 use super::Event;
-use crate::coordination::exchange::Extra;
+use crate::coordination::gossip::Payload;
 use crate::daemon::shared::lock;
 use crate::protocol::RegionId;
 use crate::protocol::peer::Credit;
@@ -41,11 +41,11 @@
     pub(super) fn beat(&mut self, now: Instant, late: Duration) {
         self.exchange.membership.tick(now, late);
         self.choose_watchers(now);
-        let period = self.exchange.membership.tuning().period;
+        let period = self.exchange.membership.config().period;
         lock(&self.shared.limiter).tick(period, now);
         self.log_members(now);
         self.publish();
-        for target in self.exchange.membership.targets(now, &mut self.rng) {
+        for target in self.exchange.membership.heartbeat_targets(now, &mut self.rng) {
             self.send_heartbeat(target, now);
         }
     }
@@ -55,7 +55,7 @@
         let now = clock::now();
         let mut targets = Vec::new();
         while targets.len() < TOLD_AT_ONCE {
-            let more = self.exchange.membership.targets(now, &mut self.rng);
+            let more = self.exchange.membership.heartbeat_targets(now, &mut self.rng);
             if more.is_empty() {
                 break;
             }
@@ -83,11 +83,11 @@
     }
 
     fn send_heartbeat(&mut self, target: SocketAddr, now: Instant) {
-        let extra = Extra { demands: lock(&self.shared.limiter).demands(), ..Extra::default() };
+        let extra = Payload { demands: lock(&self.shared.limiter).demands(), ..Payload::default() };
         self.send_with(target, extra, now);
     }
 
-    fn send_with(&mut self, target: SocketAddr, extra: Extra, now: Instant) {
+    fn send_with(&mut self, target: SocketAddr, extra: Payload, now: Instant) {
         let member = self.exchange.membership.live(now).find(|member| member.peers == target);
         let region = member.map(|member| member.region.clone());
         let heartbeat = wire::Heartbeat::from(&self.compose(region.as_ref(), extra, now));
@@ -111,7 +111,7 @@
     fn compose(
         &mut self,
         receiver: Option<&RegionId>,
-        mut extra: Extra,
+        mut extra: Payload,
         now: Instant,
     ) -> Heartbeat {
         if receiver.is_some_and(|region| *region != self.shared.settings.region) {
@@ -124,11 +124,11 @@
     pub(super) fn called(&mut self, peer: SocketAddr, answered: bool, sent_at: Instant) {
         let now = clock::now();
         if answered {
-            return self.exchange.membership.answered(peer);
+            return self.exchange.membership.call_succeeded(peer);
         }
         // A call that ended much later than it can have: this box was frozen, not the other.
         let frozen = now.saturating_duration_since(sent_at) > LONGEST_CALL;
-        if !frozen && self.exchange.membership.unanswered(peer, now) {
+        if !frozen && self.exchange.membership.call_failed(peer, now) {
             self.log_members(now);
             self.publish();
             self.spread();
@@ -145,12 +145,12 @@
         let mut credits = Vec::new();
         for (id, pool) in &self.configuration.pools {
             let Some(shared) = self.shared.pools.get(id) else { continue };
-            let spare = f64::from(shared.with(|pool| pool.spare(now)));
+            let spare = f64::from(shared.with(|pool| pool.free_slots(now)));
             let share = (spare * pool.lend_share / boxes) as u32;
             let lender = self.lenders.entry(id.clone()).or_default();
             let slots = lender.lend(share, share.div_ceil(2), now);
             if slots > 0 {
-                let life = crate::coordination::lending::LIFE;
+                let life = crate::coordination::lending::CREDIT_LIFETIME;
                 credits.push(Credit { pool: id.clone(), slots, life });
             }
         }
@@ -164,10 +164,10 @@
         answer: Option<oneshot::Sender<Heartbeat>>,
     ) {
         let now = clock::now();
-        let heard = self.exchange.hear(&heartbeat, self.rollout.version(), now);
+        let heard = self.exchange.receive(&heartbeat, self.rollout.version(), now);
         let sender = &heartbeat.sender;
         self.hear_credits(&sender.region, &heartbeat.credits, now);
-        lock(&self.shared.limiter).hear(&sender.name, &heartbeat.demands);
+        lock(&self.shared.limiter).record_demands(&sender.name, &heartbeat.demands);
         if let Some((_, peer)) = heard.newer {
             self.fetch_from(peer);
         }
@@ -185,11 +185,12 @@
             (Some(answer), follow_up) => {
                 let (wanted, given) =
                     follow_up.map(|next| (next.wanted, next.given)).unwrap_or_default();
-                let extra = Extra { wanted, given, ..Extra::default() };
+                let extra = Payload { wanted, given, ..Payload::default() };
                 let _ = answer.send(self.compose(Some(&sender.region), extra, now));
             }
             (None, Some(next)) => {
-                let extra = Extra { wanted: next.wanted, given: next.given, ..Extra::default() };
+                let extra =
+                    Payload { wanted: next.wanted, given: next.given, ..Payload::default() };
                 self.send_with(next.to, extra, now);
             }
             (None, None) => {}
@@ -202,7 +203,7 @@
         }
         for credit in credits {
             if let Some(pool) = self.shared.pools.get(&credit.pool) {
-                pool.with(|pool| pool.credit(from.clone(), credit.slots, credit.life, now));
+                pool.with(|pool| pool.add_credit(from.clone(), credit.slots, credit.life, now));
             }
         }
     }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -32,9 +32,9 @@
 use crate::coordination::drain;
 use crate::coordination::drain::Drain;
 use crate::coordination::drain::Stage;
-use crate::coordination::exchange::Exchange;
+use crate::coordination::gossip::Gossip;
 use crate::coordination::lease;
-use crate::coordination::lease::Holder;
+use crate::coordination::lease::LeaseClient;
 use crate::coordination::lending::Lender;
 use crate::coordination::membership;
 use crate::coordination::membership::Membership;
@@ -136,11 +136,11 @@
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     stop: watch::Sender<Stop>,
-    exchange: Exchange,
+    exchange: Gossip,
     rollout: Rollout,
     configuration: Arc<Configuration>,
     drain: Drain,
-    holder: Holder,
+    holder: LeaseClient,
     lease: Option<LeaseId>,
     lenders: BTreeMap<PoolId, Lender>,
     peers: Arc<peer::Client>,
@@ -169,20 +169,20 @@
     ) -> Control {
         let now = clock::now();
         let settings = &shared.settings;
-        let tuning = drain::Tuning { grace: settings.stop_grace, limit: settings.stop_limit };
-        let mut membership = Membership::new(own, membership::Tuning::default());
-        membership.learn_addresses(settings.seeds.iter().copied());
+        let timeouts = drain::Timeouts { grace: settings.stop_grace, limit: settings.stop_limit };
+        let mut membership = Membership::new(own, membership::Config::default());
+        membership.add_addresses(settings.seeds.iter().copied());
         let metrics = settings.statsd.and_then(|address| {
             metrics::Sink::open(address, &settings.name, &settings.region)
                 .inspect_err(|error| log::warn!("event=metrics_off error=\"{error}\""))
                 .ok()
         });
         Control {
-            exchange: Exchange { membership, load: Load::default() },
+            exchange: Gossip { membership, load: Load::default() },
             rollout: Rollout::new(now, START_WAIT),
             configuration: Arc::new(Configuration::default()),
-            drain: Drain::new(tuning),
-            holder: Holder::new(lease::Tuning::default()),
+            drain: Drain::new(timeouts),
+            holder: LeaseClient::new(lease::Timing::default()),
             lease: None,
             lenders: BTreeMap::new(),
             peers: Arc::new(peers),
@@ -211,7 +211,7 @@
         self.watch_configuration();
         while let Some(event) = events.recv().await {
             self.handle(event);
-            if self.drain.stage().ended() {
+            if self.drain.stage().is_finished() {
                 break;
             }
         }
@@ -223,7 +223,7 @@
 
     fn start_timers(&self) {
         let mut timer = Timer::default();
-        let period = membership::Tuning::default().period;
+        let period = membership::Config::default().period;
         // Boxes that start together do not stay in step.
         let first = |period: Duration| period.mul_f64(self.jitter());
         timer.subscribe(Topic::Heartbeat, period, Duration::ZERO);
@@ -261,7 +261,7 @@
             Event::Called { peer, answered, sent_at } => self.called(peer, answered, sent_at),
             Event::Document(document) => self.offered(document),
             Event::SourceDone => {
-                self.rollout.answered();
+                self.rollout.query_finished();
                 self.publish();
             }
             Event::Behind(version) => self.fetch_from_any(version),
@@ -378,7 +378,7 @@
             }
         }
         let limiter = &self.shared.limiter;
-        lock(limiter).keep_boxes(|name| live.iter().any(|(live, ..)| live == name));
+        lock(limiter).retain_boxes(|name| live.iter().any(|(live, ..)| live == name));
         if live != self.live {
             self.live = live;
             self.choose_probes(now);
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -84,8 +84,8 @@
             match action {
                 Action::Acquire => self.acquire(),
                 Action::Renew => self.renew(),
-                Action::Begin(epoch) => log::info!("event=orders_begin epoch={epoch}"),
-                Action::End(epoch) => log::info!("event=orders_end epoch={epoch}"),
+                Action::StartLeading(epoch) => log::info!("event=orders_begin epoch={epoch}"),
+                Action::StopLeading(epoch) => log::info!("event=orders_end epoch={epoch}"),
             }
         }
     }
@@ -109,7 +109,7 @@
             let asked_at = clock::now();
             let event = match platform.renew(lease).await {
                 Ok(()) => lease::Event::Renewed { asked_at },
-                Err(PlatformError::LeaseOver) => lease::Event::Over(clock::now()),
+                Err(PlatformError::LeaseOver) => lease::Event::Expired(clock::now()),
                 Err(_) => lease::Event::RenewalFailed,
             };
             let _ = events.send(Event::Lease(event, None)).await;
@@ -119,8 +119,8 @@
     /// Orders every engine of this region that may be ordered now.
     pub(super) fn give_orders(&mut self, now: Instant) {
         let Some(epoch) = self.holder.epoch(now) else { return };
-        let alone = self.holder.epoch_unchecked(now).is_some();
-        let Some(until) = self.holder.until() else { return };
+        let alone = self.holder.exclusive_epoch(now).is_some();
+        let Some(until) = self.holder.held_until() else { return };
         let region = &self.shared.settings.region;
         for (pool_id, pool) in &self.configuration.pools {
             if self.configuration.services.contains_key(pool_id) {
@@ -152,13 +152,13 @@
 
 async fn acquire(platform: &Platform, key: &str, name: &str) -> (lease::Event, Option<LeaseId>) {
     let asked_at = clock::now();
-    let refused = || (lease::Event::Refused(clock::now()), None);
+    let refused = || (lease::Event::AcquireFailed(clock::now()), None);
     // Most attempts find another holder: a read is cheaper than a lease and a write.
     match platform.get(key).await {
         Ok(None) => {}
         _ => return refused(),
     }
-    let life = lease::Tuning::default().life;
+    let life = lease::Timing::default().ttl;
     let Ok(lease) = platform.grant(life).await else { return refused() };
     let value = json!({"box": name, "lease": lease}).to_string();
     let put = Put { value: value.clone(), expect: 0, lease: Some(lease), life_ms: None };
@@ -198,7 +198,7 @@
             format!("server={} epoch={}", self.server, self.wanted.epoch)
         });
         counters.count(Counter::Orders);
-        let timeout = lease::Tuning::default().flight;
+        let timeout = lease::Timing::default().max_order_delay;
         let epoch: Epoch = self.wanted.epoch;
         match engine.order(self.address, &self.wanted, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -195,7 +195,7 @@
                 self.ask_peer_at_start(address);
             }
         }
-        self.exchange.membership.learn_addresses(addresses);
+        self.exchange.membership.add_addresses(addresses);
         let now = clock::now();
         let mut news = false;
         for row in listed.iter().filter(|row| row.state == ListedState::Leaving) {
@@ -210,7 +210,7 @@
 }
 
 fn limits(pool: &config::Pool, boxes: usize) -> pool::Limits {
-    pool::Limits { queue: pool.queue_limit, bytes: pool.queue_bytes, boxes }
+    pool::Limits { max_queued: pool.queue_limit, max_queued_bytes: pool.queue_bytes, boxes }
 }
 
 async fn connects(address: SocketAddr) -> Option<Load> {
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -134,7 +134,7 @@
 }
 
 fn may_retry(pool: &pools::Shared) -> bool {
-    pool.with(|pool| pool.may_retry(clock::now()))
+    pool.with(|pool| pool.take_retry(clock::now()))
 }
 
 /// A request that found no further place after an attempt that may have run
@@ -153,10 +153,10 @@
         priority: call.priority,
         deadline: call.deadline,
         bytes: call.incoming.body.len(),
-        here: call.allowed.contains(&call.snapshot.own.region),
-        elsewhere: elsewhere.to_vec(),
+        local_allowed: call.allowed.contains(&call.snapshot.own.region),
+        remote_regions: elsewhere.to_vec(),
         prefix: call.prefix(),
-        tried: tried.to_vec(),
+        tried_servers: tried.to_vec(),
     }
 }
 
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -37,7 +37,7 @@
 use self::shared::Addresses;
 use self::shared::Shared;
 use crate::coordination::drain::Stage;
-use crate::coordination::limit::Limiter;
+use crate::coordination::rate_limiter::RateLimiter;
 use crate::protocol::Incarnation;
 use crate::protocol::config::Configuration;
 use crate::protocol::peer::Member;
@@ -204,7 +204,7 @@
         snapshot: Arc::new(ArcSwap::from_pointee(snapshot)),
         document: ArcSwap::from_pointee(Bytes::new()),
         pools: pools::Table::default(),
-        limiter: Mutex::new(Limiter::default()),
+        limiter: Mutex::new(RateLimiter::default()),
         once: once::Memory::default(),
         burn: Mutex::new(Burn::new(now)),
         counters,
--- a/lib/src/daemon/once.rs
+++ b/lib/src/daemon/once.rs
@@ -31,12 +31,12 @@
 use super::relay::Relay;
 use super::shared::Shared;
 use super::shared::lock;
+use crate::coordination::ledger::Admission;
 use crate::coordination::ledger::Answer as Kept;
-use crate::coordination::ledger::Bounds;
 use crate::coordination::ledger::Conclusion;
 use crate::coordination::ledger::Key;
 use crate::coordination::ledger::Ledger;
-use crate::coordination::ledger::Verdict;
+use crate::coordination::ledger::LedgerLimits;
 use crate::coordination::ticket::Ticket;
 use crate::error::Failure;
 use crate::error::Kind;
@@ -52,7 +52,8 @@
 use crate::transport::timer;
 
 /// Bounds of the memory.
-pub const BOUNDS: Bounds = Bounds { entries: 100_000, bytes: 64 << 20 };
+pub const LEDGER_LIMITS: LedgerLimits =
+    LedgerLimits { max_entries: 100_000, max_answer_bytes: 64 << 20 };
 /// Largest answer that is kept.
 const MAX_KEPT: usize = 256 << 10;
 /// Life of a claim in the store.
@@ -74,7 +75,7 @@
 
 impl Default for Memory {
     fn default() -> Memory {
-        let inner = Inner { ledger: Ledger::new(BOUNDS), waiting: HashMap::new() };
+        let inner = Inner { ledger: Ledger::new(LEDGER_LIMITS), waiting: HashMap::new() };
         Memory { inner: Mutex::new(inner) }
     }
 }
@@ -100,15 +101,15 @@
         key: &Key,
         call: &Call,
         keep_until: Instant,
-    ) -> (Verdict, Option<oneshot::Receiver<()>>) {
+    ) -> (Admission, Option<oneshot::Receiver<()>>) {
         let inner = &mut *lock(&self.inner);
-        let verdict = inner.ledger.begin(key, call.fingerprint(), keep_until, clock::now());
-        let waiter = matches!(verdict, Verdict::Wait).then(|| {
+        let admission = inner.ledger.begin(key, call.fingerprint(), keep_until, clock::now());
+        let waiter = matches!(admission, Admission::Wait).then(|| {
             let (sender, receiver) = oneshot::channel();
             inner.waiting.entry(key.clone()).or_default().push(sender);
             receiver
         });
-        (verdict, waiter)
+        (admission, waiter)
     }
 
     fn conclude(&self, key: &Key, conclusion: Conclusion) {
@@ -158,14 +159,14 @@
         Owner::Here { keep_until, claim } => (keep_until, claim),
     };
     loop {
-        let (verdict, waiter) = shared.once.begin(&ledger_key, &call, keep_until);
-        match (verdict, waiter) {
-            (Verdict::Run, _) => return start(shared, call, ledger_key, claim).await,
-            (Verdict::Wait, Some(waiter)) => {
+        let (admission, waiter) = shared.once.begin(&ledger_key, &call, keep_until);
+        match (admission, waiter) {
+            (Admission::Run, _) => return start(shared, call, ledger_key, claim).await,
+            (Admission::Wait, Some(waiter)) => {
                 let ended = timer::timeout_at(call.deadline, waiter).await;
                 ended.map_err(|_| still_running())?.ok();
             }
-            (verdict, _) => return settled(shared, verdict),
+            (admission, _) => return settled(shared, admission),
         }
     }
 }
@@ -175,25 +176,25 @@
     Failure::new(Kind::BackendTimeout, message).with_ran(Ran::Unknown)
 }
 
-fn settled(shared: &Shared, verdict: Verdict) -> Result<Replied, Failure> {
-    match verdict {
-        Verdict::Replay(kept) => {
+fn settled(shared: &Shared, admission: Admission) -> Result<Replied, Failure> {
+    match admission {
+        Admission::Replay(kept) => {
             shared.counters.count(Counter::Replayed);
             Ok(replay(shared, kept))
         }
-        Verdict::Ran => {
+        Admission::AnswerDropped => {
             let message = "the request ran; its answer is no longer kept";
             Err(Failure::new(Kind::AlreadyRan, message))
         }
-        Verdict::Reused => {
+        Admission::KeyReused => {
             let message = "the key was used before with another request";
             Err(Failure::new(Kind::KeyReused, message))
         }
-        Verdict::Full => {
+        Admission::Full => {
             let message = "the box remembers as many keys as it can";
             Err(Failure::new(Kind::LedgerFull, message))
         }
-        Verdict::Unknown | Verdict::Run | Verdict::Wait => {
+        Admission::Unknown | Admission::Run | Admission::Wait => {
             let message = "an earlier request with this key may have run";
             Err(Failure::new(Kind::BackendFailed, message).with_ran(Ran::Unknown))
         }
--- a/lib/src/daemon/operators.rs
+++ b/lib/src/daemon/operators.rs
@@ -144,7 +144,7 @@
                 name: name.clone(),
                 in_flight: pool.in_flight(),
                 waiting: pool.waiting(),
-                spare: pool.spare(now),
+                spare: pool.free_slots(now),
             })
         })
         .collect();
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -18,7 +18,7 @@
 use rand::rngs::SmallRng;
 use tokio::sync::oneshot;
 
-use crate::coordination::policy::Estimate;
+use crate::coordination::policy::PrefixAffinity;
 use crate::coordination::pool::Arrival;
 use crate::coordination::pool::Decision;
 use crate::coordination::pool::Limits;
@@ -45,7 +45,7 @@
 }
 
 struct Inner {
-    pool: Pool<Estimate>,
+    pool: Pool<PrefixAffinity>,
     waiters: HashMap<RequestId, oneshot::Sender<Result<Grant, Failure>>>,
     rng: SmallRng,
 }
@@ -101,13 +101,13 @@
     fn drop(&mut self) {
         let mut inner = self.pool.lock();
         inner.waiters.remove(&self.id);
-        inner.pool.withdraw(self.id, self.priority, self.deadline);
+        inner.pool.cancel(self.id, self.priority, self.deadline);
     }
 }
 
 impl Shared {
     fn new(limits: Limits, seed: u64) -> Shared {
-        let pool = Pool::new(Estimate, limits, clock::now());
+        let pool = Pool::new(PrefixAffinity, limits, clock::now());
         let rng = SmallRng::seed_from_u64(seed);
         Shared { inner: Mutex::new(Inner { pool, waiters: HashMap::new(), rng }) }
     }
@@ -117,7 +117,7 @@
     }
 
     /// Does something with the pool under its lock.
-    pub fn with<T>(&self, action: impl FnOnce(&mut Pool<Estimate>) -> T) -> T {
+    pub fn with<T>(&self, action: impl FnOnce(&mut Pool<PrefixAffinity>) -> T) -> T {
         action(&mut self.lock().pool)
     }
 
@@ -128,7 +128,7 @@
             if inner.pool.waiting() == 0 {
                 return;
             }
-            inner.pool.pump(now, &mut inner.rng)
+            inner.pool.dispatch_queued(now, &mut inner.rng)
         };
         self.deliver(wakes);
     }
@@ -142,8 +142,8 @@
         let (id, priority, deadline) = (arrival.id, arrival.priority, arrival.deadline);
         let (decision, wakes, waiter) = {
             let inner = &mut *self.lock();
-            let (decision, wakes) = inner.pool.arrive(arrival, clock::now(), &mut inner.rng);
-            let waiter = matches!(decision, Decision::Wait).then(|| {
+            let (decision, wakes) = inner.pool.submit(arrival, clock::now(), &mut inner.rng);
+            let waiter = matches!(decision, Decision::Queued).then(|| {
                 let (sender, receiver) = oneshot::channel();
                 inner.waiters.insert(id, sender);
                 receiver
@@ -151,7 +151,7 @@
             (decision, wakes, waiter)
         };
         self.deliver(wakes);
-        let Decision::Now(placement) = decision else {
+        let Decision::Immediate(placement) = decision else {
             queued();
             let place = Place { pool: self, id, priority, deadline };
             let answer = match waiter {
@@ -172,7 +172,7 @@
                 pool: Arc::clone(self),
                 server,
                 address,
-                outcome: Outcome::Withdrawn,
+                outcome: Outcome::Cancelled,
             })),
         }
     }
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -18,7 +18,7 @@
 use super::control;
 use super::once;
 use super::pools;
-use crate::coordination::limit::Limiter;
+use crate::coordination::rate_limiter::RateLimiter;
 use crate::protocol::Incarnation;
 use crate::protocol::settings::Settings;
 use crate::state::burn::Burn;
@@ -57,7 +57,7 @@
     /// Pools.
     pub pools: pools::Table,
     /// Team limits.
-    pub limiter: Mutex<Limiter>,
+    pub limiter: Mutex<RateLimiter>,
     /// Keyed requests.
     pub once: once::Memory,
     /// Burn of the objectives.
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -33,7 +33,7 @@
 use crate::coordination::drain::Stage;
 use crate::coordination::placement::Placement;
 use crate::coordination::presence;
-use crate::coordination::retries::Budget;
+use crate::coordination::retries::RetryBudget;
 use crate::coordination::watchers;
 use crate::daemon::Ending;
 use crate::protocol::adapter::Adapter;
@@ -91,7 +91,7 @@
         own: BoxRecord,
         stop: watch::Sender<Stop>,
     ) -> Control<A> {
-        let tuning = drain::Tuning { grace: STOP_GRACE, limit: shared.settings.stop_limit };
+        let timeouts = drain::Timeouts { grace: STOP_GRACE, limit: shared.settings.stop_limit };
         let (record, _) = watch::channel(own.clone());
         Control {
             shared,
@@ -99,7 +99,7 @@
             facts,
             own,
             record,
-            drain: Drain::new(tuning),
+            drain: Drain::new(timeouts),
             stop,
             store_away_since: None,
             look_at: None,
@@ -287,7 +287,7 @@
             }
             self.publish();
         }
-        stage.ended()
+        stage.is_finished()
     }
 
     /// Boxes that say something count, though the store does not, or no longer, show them. Says
@@ -324,7 +324,7 @@
             for (name, service) in &routing.services {
                 let state = services.entry(name.clone()).or_insert_with(|| Service {
                     placement: Placement::new(self.started_at),
-                    budget: Budget::new(settings.retries, now),
+                    budget: RetryBudget::new(settings.retries, now),
                 });
                 let servers = known.remove(name).unwrap_or_default();
                 state.placement.update(servers, sharers, service, now);
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/elsewhere.rs
@@ -13,7 +13,7 @@
 use super::job::Origin;
 use super::shared::Shared;
 use super::shared::lock;
-use crate::coordination::regions::Fullness;
+use crate::coordination::overflow::Utilization;
 use crate::coordination::rendezvous;
 use crate::coordination::text::Text;
 use crate::protocol::adapter::Adapter;
@@ -31,7 +31,7 @@
     /// The servers here are busy; so they are here, and this part of the requests goes there.
     Overflow {
         /// Requests and slots of the servers of this region.
-        own: Fullness,
+        own: Utilization,
         /// Part of the requests that goes there.
         part: f64,
     },
@@ -66,7 +66,7 @@
 /// Whether the servers of another region have room for a request, as far as heard.
 fn has_room<A>(shared: &Shared<A>, job: &Job, region: &str) -> bool {
     let service = rendezvous::weight(&job.service, "");
-    lock(&shared.regions).has_room(service, region, clock::now())
+    lock(&shared.regions).may_have_room(service, region, clock::now())
 }
 
 /// The box beside the home of the request's text, if that stands in another region. Only the
@@ -109,8 +109,8 @@
     })?;
     let service = rendezvous::weight(&job.service, "");
     let regions = lock(&shared.regions);
-    let allowed = |region: &str| job.allows(region) && regions.has_room(service, region, now);
-    let (region, part) = regions.overflow(service, own, allowed, now)?;
+    let allowed = |region: &str| job.allows(region) && regions.may_have_room(service, region, now);
+    let (region, part) = regions.overflow_target(service, own, allowed, now)?;
     if rand::rng().random::<f64>() >= part {
         return None;
     }
@@ -136,7 +136,7 @@
             && !tried.contains(&other.peers)
             && job.allows(&other.region)
             && slots.get(&other.region).is_some_and(|slots| *slots > 0)
-            && regions.has_room(service, &other.region, now)
+            && regions.may_have_room(service, &other.region, now)
     };
     let boxes: Vec<&BoxRecord> = job.snapshot.boxes.iter().filter(eligible).collect();
     let in_region = |region: &str| boxes.iter().filter(|other| other.region == region).count();
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -24,8 +24,8 @@
 use crate::coordination::fingerprint;
 use crate::coordination::fingerprint::Fingerprint;
 use crate::coordination::identity;
-use crate::coordination::identity::Checked;
-use crate::coordination::identity::Claim;
+use crate::coordination::identity::Credentials;
+use crate::coordination::identity::ForwardedIdentity;
 use crate::coordination::urgency;
 use crate::error::Failure;
 use crate::error::Kind;
@@ -263,26 +263,26 @@
 }
 
 /// What a request says of its caller; only boxes can say more than a key.
-fn claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Claim {
+fn claim(origin: Origin, ask: &Ask, headers: &HeaderMap) -> Credentials {
     if origin == Origin::Caller {
-        return Claim { key: ask.key, checked: None };
+        return Credentials { key: ask.key, forwarded: None };
     }
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let key = text(&KEY).and_then(|key| key.parse::<KeyDigest>().ok());
     let version = text(&VERSION).and_then(|version| version.parse().ok());
     let team = text(&TEAM).map(str::to_owned);
-    Claim { key, checked: version.map(|version| Checked { team, version }) }
+    Credentials { key, forwarded: version.map(|version| ForwardedIdentity { team, version }) }
 }
 
 fn identify<A: Adapter>(
     shared: &Shared<A>,
-    claim: &Claim,
+    claim: &Credentials,
     routing: &Routing,
     route: &Route,
 ) -> Result<Option<Arc<Team>>, Failure> {
     let age = lock(&shared.freshness).age(clock::now());
     let stale = age.is_none_or(|age| age > shared.settings.follow_within);
-    let team = identity::team(claim, routing, route, stale)?;
+    let team = identity::resolve_team(claim, routing, route, stale)?;
     let too_old = shared.settings.keys_hold.filter(|holds| age.is_none_or(|age| age > *holds));
     if team.is_some() && too_old.is_some() {
         let message = "the keys in force cannot be made sure of: the store is away";
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -263,8 +263,8 @@
     Ok(socket)
 }
 
-fn quota_bound(settings: &Settings) -> quota::Bound {
-    quota::Bound { slack: settings.quota_slack, dither: rand::random() }
+fn quota_bound(settings: &Settings) -> quota::Tolerance {
+    quota::Tolerance { slack: settings.quota_slack, dither: rand::random() }
 }
 
 fn own_record(settings: &Settings) -> BoxRecord {
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -36,15 +36,15 @@
     admitted.map(|()| Some(charge)).map_err(|refusal| {
         let message = format!(
             "team {} is over its limit of {:.0} a second: {:.0} left, {:.0} asked for a second, {:.0} by this request",
-            team.name, limit.rate, refusal.left, refusal.demand, charge.cost,
+            team.name, limit.rate, refusal.remaining, refusal.demand, charge.cost,
         );
-        Failure::new(Kind::RateLimited, message).with_retry_after(refusal.come_back)
+        Failure::new(Kind::RateLimited, message).with_retry_after(refusal.retry_after)
     })
 }
 
 /// Gives back what was taken for a request that ran nowhere.
 pub fn give_back<A: Adapter>(shared: &Shared<A>, charge: Option<Charge>) {
     if let Some(Charge { team, cost }) = charge {
-        lock(&shared.quotas).give_back(team, cost);
+        lock(&shared.quotas).refund(team, cost);
     }
 }
--- a/lib/src/gateway/reports.rs
+++ b/lib/src/gateway/reports.rs
@@ -22,11 +22,11 @@
 use crate::coordination::freshness::Version;
 use crate::coordination::freshness::Word;
 use crate::coordination::loads::Report;
+use crate::coordination::overflow::Utilization;
 use crate::coordination::presence;
 use crate::coordination::quarantine::Reach;
-use crate::coordination::quota::Fleet;
-use crate::coordination::quota::Teller;
-use crate::coordination::regions::Fullness;
+use crate::coordination::quota::FleetSize;
+use crate::coordination::quota::ReportId;
 use crate::coordination::rendezvous;
 use crate::coordination::unlisted::Neighbor;
 use crate::protocol::adapter::Adapter;
@@ -102,7 +102,7 @@
             Ok(report) if report.number == UNNUMBERED => {
                 learning::hear_leaving(shared, &report.leaving_servers, now);
                 let news = report.throttle.unwrap_or_default();
-                lock(&shared.throttles).hear_words(&news.words, now);
+                lock(&shared.throttles).merge_rates(&news.words, now);
             }
             Ok(report) => {
                 hear_presence(shared, &report, now);
@@ -206,8 +206,8 @@
 
 fn hear_counts<A: Adapter>(shared: &Shared<A>, report: &Report, now: Instant) {
     let Report { sender, incarnation, number, .. } = *report;
-    let teller = Teller { sender, incarnation, number };
-    lock(&shared.quotas).hear_box(teller, &report.counts, now);
+    let teller = ReportId { sender, incarnation, number };
+    lock(&shared.quotas).record_box_usage(teller, &report.counts, now);
 }
 
 /// Takes in what another box knows of rates; one that has just started is told at once what this
@@ -220,10 +220,10 @@
     now: Instant,
 ) {
     let Report { sender, incarnation, number, .. } = *report;
-    let teller = Teller { sender, incarnation, number };
+    let teller = ReportId { sender, incarnation, number };
     let news = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
-    let is_new = throttles.hear(teller, &news, now);
+    let is_new = throttles.receive_report(teller, &news, now);
     let leaving_servers = lock(&shared.departures).all_words(now);
     if !is_new || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
@@ -233,7 +233,7 @@
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
         region: shared.settings.region.clone(),
-        throttle: Some(throttles.all_words(now)),
+        throttle: Some(throttles.all_rates(now)),
         leaving_servers,
         ..Report::default()
     };
@@ -242,13 +242,13 @@
 }
 
 fn hear_region<A: Adapter>(shared: &Shared<A>, report: Report, now: Instant) {
-    lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
+    lock(&shared.quotas).record_region_usage(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
-    regions.hear_closed(report.region.clone(), report.closed.clone(), now);
+    regions.record_closed_services(report.region.clone(), report.closed.clone(), now);
     let told = report.region_in_flight.iter().zip(&report.region_slots);
     for (service, (in_flight, slots)) in report.services.iter().zip(told) {
-        let fullness = Fullness { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
-        regions.hear(*service, report.region.clone(), fullness, now);
+        let fullness = Utilization { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
+        regions.record_utilization(*service, report.region.clone(), fullness, now);
     }
 }
 
@@ -325,7 +325,7 @@
     report.counts.clear();
     report.throttle = None;
     report.leaving_servers.clear();
-    report.flows = lock(&shared.quotas).flows(now);
+    report.flows = lock(&shared.quotas).region_usage_to_report(now);
     report.ends = lock(&shared.quarantine).told_ends(Reach::Everyone, now);
     describe_region(shared, report);
 }
@@ -361,9 +361,9 @@
 }
 
 /// How many boxes there are, and in how many reports those of this region are told.
-fn fleet<A: Adapter>(shared: &Shared<A>) -> Fleet {
+fn fleet<A: Adapter>(shared: &Shared<A>) -> FleetSize {
     let others = beside_addresses(shared).len();
-    Fleet { boxes: shared.snapshot.load().fleet, rounds: others.div_ceil(MOST) as u32 }
+    FleetSize { boxes: shared.snapshot.load().fleet, rounds: others.div_ceil(MOST) as u32 }
 }
 
 /// A report as it goes out.
@@ -423,8 +423,8 @@
         state_age_ms: u64::try_from(shared.state_age_ms()).ok(),
         handover_port: u32::from(shared.settings.listen.handover.port()),
         unlisted: lock(&shared.unlisted).named(now),
-        counts: lock(&shared.quotas).counts(now),
-        throttle: Some(lock(&shared.throttles).news(now)).filter(|news| !news.is_empty()),
+        counts: lock(&shared.quotas).box_usage_to_report(now),
+        throttle: Some(lock(&shared.throttles).next_report(now)).filter(|news| !news.is_empty()),
         leaving_servers: lock(&shared.departures).news(now),
         ..Report::default()
     };
--- a/lib/src/gateway/run.rs
+++ b/lib/src/gateway/run.rs
@@ -180,7 +180,7 @@
     if let Some((address, reason)) = elsewhere::overflow(shared, job, course, clock::now()) {
         return Ok(Target::Peer(address, reason));
     }
-    lock(&shared.throttles).asked(throttle::service_hash(&job.service), clock::now());
+    lock(&shared.throttles).record_request(throttle::service_hash(&job.service), clock::now());
     let blocked = match place(shared, job, course, Among::Sound) {
         Ok(held) => return Ok(Target::Server(held)),
         Err(blocked) => blocked,
@@ -220,7 +220,7 @@
             let demand =
                 Demand { parts: &job.ask.parts, tried, loads, throttles: &throttles, among, stale };
             let place = service.placement.choose(demand, now, &mut rand::rng())?;
-            throttles.sent(place.life, now);
+            throttles.record_sent(place.life, now);
             Ok(place)
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
@@ -294,7 +294,8 @@
         return false;
     }
     let boxes = job.snapshot.fleet;
-    let admitted = shared.with_service(&job.service, |service| service.budget.repeat(boxes, now));
+    let admitted =
+        shared.with_service(&job.service, |service| service.budget.try_resend(boxes, now));
     let admitted = admitted.unwrap_or(false);
     shared.counters.count(if admitted { Counter::Retries } else { Counter::RetriesDenied });
     admitted
@@ -303,7 +304,7 @@
 /// Counts the request for the budget, at the box that its caller asked.
 fn count_first<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
     if job.origin == Origin::Caller {
-        shared.with_service(&job.service, |service| service.budget.first(clock::now()));
+        shared.with_service(&job.service, |service| service.budget.record_first_send(clock::now()));
     }
 }
 
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -45,7 +45,7 @@
     /// Descriptors that sockets may take.
     pub descriptors: usize,
     /// Bound on sends beyond the first.
-    pub retries: retries::Bound,
+    pub retries: retries::RetryLimit,
     /// How often the rate of a cold server may be exceeded, as a factor.
     pub cold_excess: f64,
     /// Requests to a cold server beyond that.
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -23,13 +23,13 @@
 use crate::coordination::fingerprint::Fingerprint;
 use crate::coordination::freshness::Freshness;
 use crate::coordination::loads::Loads;
+use crate::coordination::overflow::RegionUtilization;
 use crate::coordination::placement::Place;
 use crate::coordination::placement::Placement;
 use crate::coordination::presence::Presence;
 use crate::coordination::quarantine::Quarantine;
 use crate::coordination::quota::Quotas;
-use crate::coordination::regions::Regions;
-use crate::coordination::retries::Budget;
+use crate::coordination::retries::RetryBudget;
 use crate::coordination::throttle::Throttles;
 use crate::coordination::unlisted::Unlisted;
 pub use crate::daemon::shared::lock;
@@ -68,7 +68,7 @@
     /// Which server gets what.
     pub placement: Placement,
     /// Sends beyond the first.
-    pub budget: Budget,
+    pub budget: RetryBudget,
 }
 
 /// What all threads of a gateway share.
@@ -94,7 +94,7 @@
     /// Servers that say that they leave. Locked after `services` and `throttles`, never before.
     pub departures: Mutex<Departures>,
     /// How full the servers of other regions are.
-    pub regions: Mutex<Regions>,
+    pub regions: Mutex<RegionUtilization>,
     /// What other boxes say of themselves.
     pub presence: Mutex<Presence>,
     /// Boxes that are heard though the store does not show them.
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -14,7 +14,7 @@
 use crate::coordination::rendezvous;
 use crate::coordination::throttle::ServerLife;
 use crate::coordination::throttle::ServiceHash;
-use crate::coordination::throttle::Stored;
+use crate::coordination::throttle::StoredRate;
 use crate::error::Failure;
 use crate::error::Kind;
 use crate::protocol::adapter::Adapter;
@@ -42,7 +42,7 @@
     shared.counters.count(Counter::Throttled);
     let come_back = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
-        lock(&shared.throttles).come_back(service, placement.lives(), clock::now())
+        lock(&shared.throttles).retry_after(service, placement.lives(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
     let failure = Failure::new(Kind::Throttled, message);
@@ -55,7 +55,7 @@
 /// Takes in a key of the store.
 pub fn stored<A: Adapter>(shared: &Shared<A>, value: &[u8]) -> Result<(), serde_json::Error> {
     let word = serde_json::from_slice(value)?;
-    lock(&shared.throttles).stored(word, clock::now());
+    lock(&shared.throttles).merge_stored(word, clock::now());
     Ok(())
 }
 
@@ -63,8 +63,8 @@
 pub fn forgotten<A: Adapter>(shared: &Shared<A>, key: &str) {
     let server = key.strip_prefix(RATES).and_then(|life| ServerLife::from_str_radix(life, 16).ok());
     if let Some(server) = server {
-        let word = Stored { server, service: 0, rate: None };
-        lock(&shared.throttles).stored(word, clock::now());
+        let word = StoredRate { server, service: 0, rate: None };
+        lock(&shared.throttles).merge_stored(word, clock::now());
     }
 }
 
@@ -73,14 +73,14 @@
     let own = presence::box_hash(&shared.settings.name);
     loop {
         timer::sleep(LOOK).await;
-        let words = lock(&shared.throttles).unwritten(own, clock::now());
+        let words = lock(&shared.throttles).rates_to_write(own, clock::now());
         if words.is_empty() {
             continue;
         }
         match write(&store, &words).await {
             Ok(()) => {
                 let mut throttles = lock(&shared.throttles);
-                words.iter().for_each(|word| throttles.stored(*word, clock::now()));
+                words.iter().for_each(|word| throttles.merge_stored(*word, clock::now()));
             }
             Err(error) => {
                 log::warn!("event=rates_not_written count={} error=\"{error}\"", words.len());
@@ -91,12 +91,12 @@
 
 async fn write<A: Adapter>(
     store: &store::Client<A>,
-    words: &[Stored],
+    words: &[StoredRate],
 ) -> Result<(), PlatformError> {
     let Answer::Lease(lease) = store.call(&Operation::Grant { life: STORED_LIFE }).await? else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
-    let row = |word: &Stored| Row {
+    let row = |word: &StoredRate| Row {
         key: format!("{RATES}{:016x}", word.server),
         // Numbers cannot fail to be written.
         value: Bytes::from(serde_json::to_vec(word).unwrap_or_default()),
--- a/lib/tests/test_coordination.rs
+++ b/lib/tests/test_coordination.rs
@@ -13,18 +13,17 @@
 use copperweir_lib::coordination::invariant;
 use copperweir_lib::coordination::lease;
 use copperweir_lib::coordination::lease::Action;
-use copperweir_lib::coordination::lease::Holder;
+use copperweir_lib::coordination::lease::LeaseClient;
+use copperweir_lib::coordination::ledger::Admission;
 use copperweir_lib::coordination::ledger::Answer;
-use copperweir_lib::coordination::ledger::Bounds;
 use copperweir_lib::coordination::ledger::Conclusion;
 use copperweir_lib::coordination::ledger::Key;
 use copperweir_lib::coordination::ledger::Ledger;
-use copperweir_lib::coordination::ledger::Verdict;
+use copperweir_lib::coordination::ledger::LedgerLimits;
 use copperweir_lib::coordination::lending::Borrower;
-use copperweir_lib::coordination::lending::LIFE;
+use copperweir_lib::coordination::lending::CREDIT_LIFETIME;
 use copperweir_lib::coordination::lending::Lender;
-use copperweir_lib::coordination::limit::Limiter;
-use copperweir_lib::coordination::policy::Estimate;
+use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
 use copperweir_lib::coordination::pool::Lane;
@@ -33,6 +32,7 @@
 use copperweir_lib::coordination::pool::Placement;
 use copperweir_lib::coordination::pool::Pool;
 use copperweir_lib::coordination::pool::Wake;
+use copperweir_lib::coordination::rate_limiter::RateLimiter;
 use copperweir_lib::coordination::rollout::Offer;
 use copperweir_lib::coordination::rollout::Rollout;
 use copperweir_lib::coordination::ticket::Ticket;
@@ -78,7 +78,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { priority: usize, patience: u64, elsewhere: bool, here: bool },
+    Arrive { priority: usize, patience: u64, remote_allowed: bool, local_allowed: bool },
     Finish { which: usize, failed: bool },
     Withdraw { which: usize },
     Turn { server: usize, leaving: bool, reachable: bool },
@@ -89,8 +89,8 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..3usize, 1..5000u64, any::<bool>(), prop::bool::weighted(0.9))
-            .prop_map(|(priority, patience, elsewhere, here)| {
-                Step::Arrive { priority, patience, elsewhere, here }
+            .prop_map(|(priority, patience, remote_allowed, local_allowed)| {
+                Step::Arrive { priority, patience, remote_allowed, local_allowed }
             }),
         4 => (any::<usize>(), prop::bool::weighted(0.2))
             .prop_map(|(which, failed)| Step::Finish { which, failed }),
@@ -104,7 +104,7 @@
 
 /// A pool and what should be true of it.
 struct Model {
-    pool: Pool<Estimate>,
+    pool: Pool<PrefixAffinity>,
     rng: SmallRng,
     now: Instant,
     next: u64,
@@ -118,9 +118,9 @@
 impl Model {
     fn new() -> Model {
         let now = Instant::now();
-        let limits = Limits { queue: 6, bytes: 600, boxes: 2 };
+        let limits = Limits { max_queued: 6, max_queued_bytes: 600, boxes: 2 };
         let mut model = Model {
-            pool: Pool::new(Estimate, limits, now),
+            pool: Pool::new(PrefixAffinity, limits, now),
             rng: SmallRng::seed_from_u64(7),
             now,
             next: 0,
@@ -135,12 +135,12 @@
     }
 
     fn update(&mut self) {
-        let limits = Limits { queue: 6, bytes: 600, boxes: 2 };
+        let limits = Limits { max_queued: 6, max_queued_bytes: 600, boxes: 2 };
         let regions = BTreeSet::from(["here".to_owned(), "there".to_owned()]);
         self.pool.update(limits, lanes(&self.leaving, &self.reachable), regions);
     }
 
-    fn placed(&mut self, id: u64, elsewhere: bool, placement: Placement) {
+    fn placed(&mut self, id: u64, remote_allowed: bool, placement: Placement) {
         match placement {
             Placement::Server(server, _) => {
                 let index: usize = server[1..].parse().expect("a server of ours");
@@ -149,7 +149,7 @@
                 self.running.push((id, server));
             }
             Placement::Region(region) => {
-                assert!(elsewhere, "sent elsewhere against its rule");
+                assert!(remote_allowed, "sent elsewhere against its rule");
                 assert_eq!(region, "there");
             }
             Placement::Refused(kind, after) => {
@@ -161,15 +161,15 @@
 
     fn woken(&mut self, wakes: Vec<Wake>) {
         for wake in wakes {
-            let (.., elsewhere) = self.waiting.remove(&wake.id).expect("a wake for who waits");
-            self.placed(wake.id, elsewhere, wake.placement);
+            let (.., remote_allowed) = self.waiting.remove(&wake.id).expect("a wake for who waits");
+            self.placed(wake.id, remote_allowed, wake.placement);
         }
     }
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Arrive { priority, patience, elsewhere, here } => {
-                self.arrive(Priority::ALL[priority], patience, elsewhere, here);
+            Step::Arrive { priority, patience, remote_allowed, local_allowed } => {
+                self.arrive(Priority::ALL[priority], patience, remote_allowed, local_allowed);
             }
             Step::Finish { which, failed } if !self.running.is_empty() => {
                 let (_, server) = self.running.swap_remove(which % self.running.len());
@@ -186,23 +186,23 @@
             Step::Withdraw { which } if !self.waiting.is_empty() => {
                 let id = *self.waiting.keys().nth(which % self.waiting.len()).expect("one");
                 let (priority, deadline, _) = self.waiting.remove(&id).expect("waiting");
-                assert!(self.pool.withdraw(id, priority, deadline));
+                assert!(self.pool.cancel(id, priority, deadline));
             }
             Step::Finish { .. } | Step::Withdraw { .. } => {}
             Step::Turn { server, leaving, reachable } => {
                 self.leaving[server] = leaving;
                 self.reachable[server] = reachable;
                 self.update();
-                let wakes = self.pool.pump(self.now, &mut self.rng);
+                let wakes = self.pool.dispatch_queued(self.now, &mut self.rng);
                 self.woken(wakes);
             }
             Step::Credit { slots } => {
                 self.credits += slots;
-                self.pool.credit("there".to_owned(), slots, LIFE, self.now);
+                self.pool.add_credit("there".to_owned(), slots, CREDIT_LIFETIME, self.now);
             }
             Step::Pass { millis } => {
                 self.now += Duration::from_millis(millis);
-                let wakes = self.pool.pump(self.now, &mut self.rng);
+                let wakes = self.pool.dispatch_queued(self.now, &mut self.rng);
                 self.woken(wakes);
                 for (_, deadline, _) in self.waiting.values() {
                     assert!(*deadline > self.now, "given up on, and not answered");
@@ -215,7 +215,13 @@
         assert!(self.running.len() <= SERVERS * SLOTS as usize * 2);
     }
 
-    fn arrive(&mut self, priority: Priority, patience: u64, elsewhere: bool, here: bool) {
+    fn arrive(
+        &mut self,
+        priority: Priority,
+        patience: u64,
+        remote_allowed: bool,
+        local_allowed: bool,
+    ) {
         self.next += 1;
         let id = self.next;
         let deadline = self.now + Duration::from_millis(patience);
@@ -224,24 +230,24 @@
             priority,
             deadline,
             bytes: 10,
-            here,
-            elsewhere: if elsewhere { vec!["there".to_owned()] } else { Vec::new() },
+            local_allowed,
+            remote_regions: if remote_allowed { vec!["there".to_owned()] } else { Vec::new() },
             prefix: Some(id % 3),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
         };
-        let (decision, wakes) = self.pool.arrive(arrival, self.now, &mut self.rng);
+        let (decision, wakes) = self.pool.submit(arrival, self.now, &mut self.rng);
         self.woken(wakes);
         match decision {
-            Decision::Wait => {
-                assert!(here, "waits here against its rule");
-                self.waiting.insert(id, (priority, deadline, elsewhere));
+            Decision::Queued => {
+                assert!(local_allowed, "waits here against its rule");
+                self.waiting.insert(id, (priority, deadline, remote_allowed));
             }
-            Decision::Now(placement) => {
+            Decision::Immediate(placement) => {
                 assert!(
-                    here || !matches!(placement, Placement::Server(..)),
+                    local_allowed || !matches!(placement, Placement::Server(..)),
                     "runs against its rule"
                 );
-                self.placed(id, elsewhere, placement);
+                self.placed(id, remote_allowed, placement);
             }
         }
     }
@@ -257,7 +263,7 @@
         }
         // Everybody who waits is answered in the end.
         model.now += Duration::from_secs(10);
-        let wakes = model.pool.pump(model.now, &mut model.rng);
+        let wakes = model.pool.dispatch_queued(model.now, &mut model.rng);
         model.woken(wakes);
         prop_assert!(model.waiting.is_empty());
         Ok(())
@@ -303,7 +309,7 @@
         1 => (1..30u64).prop_map(Act::Pass),
     ];
     let result = runner().run(&prop::collection::vec(act, 1..200), |acts| {
-        let bounds = Bounds { entries: 5, bytes: 250 };
+        let bounds = LedgerLimits { max_entries: 5, max_answer_bytes: 250 };
         let mut ledger = Ledger::new(bounds);
         let mut now = Instant::now();
         let key = |number: u8| Key { team: "t".to_owned(), text: number.to_string() };
@@ -313,8 +319,8 @@
             match act {
                 Act::Begin(number, body) => {
                     let keep_until = now + Duration::from_secs(10);
-                    let verdict = ledger.begin(&key(number), [body; 32], keep_until, now);
-                    if verdict == Verdict::Run {
+                    let admission = ledger.begin(&key(number), [body; 32], keep_until, now);
+                    if admission == Admission::Run {
                         let again = held.get(&number).is_some_and(|(until, _)| *until > now);
                         prop_assert!(!again, "{number} ran again");
                         held.insert(number, (keep_until, true));
@@ -340,8 +346,8 @@
                 }
                 Act::Pass(seconds) => now += Duration::from_secs(seconds),
             }
-            prop_assert!(ledger.len() <= bounds.entries);
-            prop_assert!(ledger.bytes() <= bounds.bytes);
+            prop_assert!(ledger.len() <= bounds.max_entries);
+            prop_assert!(ledger.bytes() <= bounds.max_answer_bytes);
         }
         Ok(())
     });
@@ -353,8 +359,8 @@
     // Each step advances the clock, may freeze one of two boxes, and lets the store expire leases.
     let steps = prop::collection::vec((0..2usize, 100..4000u64, any::<bool>()), 1..300);
     let result = runner().run(&steps, |steps| {
-        let tuning = lease::Tuning::default();
-        let mut holders = [Holder::new(tuning), Holder::new(tuning)];
+        let tuning = lease::Timing::default();
+        let mut holders = [LeaseClient::new(tuning), LeaseClient::new(tuning)];
         let mut now = Instant::now();
         let mut stored: Option<(usize, Instant, u64)> = None;
         let mut epoch = 0;
@@ -368,24 +374,24 @@
                 let event = match action {
                     Action::Acquire if stored.is_none() => {
                         epoch += 1;
-                        stored = Some((active, now + tuning.life, epoch));
+                        stored = Some((active, now + tuning.ttl, epoch));
                         match answer_lost {
-                            true => lease::Event::Refused(now),
+                            true => lease::Event::AcquireFailed(now),
                             false => lease::Event::Acquired { epoch, asked_at: now },
                         }
                     }
-                    Action::Acquire => lease::Event::Refused(now),
+                    Action::Acquire => lease::Event::AcquireFailed(now),
                     Action::Renew => match &mut stored {
                         Some((holder, until, _)) if *holder == active => {
-                            *until = now + tuning.life;
+                            *until = now + tuning.ttl;
                             match answer_lost {
                                 true => lease::Event::RenewalFailed,
                                 false => lease::Event::Renewed { asked_at: now },
                             }
                         }
-                        _ => lease::Event::Over(now),
+                        _ => lease::Event::Expired(now),
                     },
-                    Action::Begin(_) | Action::End(_) => continue,
+                    Action::StartLeading(_) | Action::StopLeading(_) => continue,
                 };
                 holders[active].handle(event);
             }
@@ -408,8 +414,8 @@
         let mut rollout = Rollout::new(Instant::now(), Duration::from_secs(1));
         let mut before = 0;
         for version in offers {
-            if rollout.offer(version) == Offer::Adopt {
-                rollout.adopted(version);
+            if rollout.check_offer(version) == Offer::Adopt {
+                rollout.adopt(version);
             }
             prop_assert!(rollout.version() >= before);
             before = rollout.version();
@@ -423,17 +429,17 @@
 fn a_fresh_box_waits_for_those_it_asked() {
     let start = Instant::now();
     let mut rollout = Rollout::new(start, Duration::from_secs(1));
-    rollout.asked();
-    rollout.asked();
-    rollout.adopted(3);
-    rollout.answered();
+    rollout.query_started();
+    rollout.query_started();
+    rollout.adopt(3);
+    rollout.query_finished();
     assert!(!rollout.ready(start), "ready before a slower and newer peer answered");
-    rollout.answered();
+    rollout.query_finished();
     assert!(rollout.ready(start));
     let mut slow = Rollout::new(start, Duration::from_secs(1));
-    slow.asked();
+    slow.query_started();
     assert!(!slow.ready(start + Duration::from_secs(2)), "ready with nothing");
-    slow.adopted(1);
+    slow.adopt(1);
     assert!(slow.ready(start + Duration::from_secs(2)), "waits for ever");
 }
 
@@ -451,11 +457,11 @@
             let before: u32 = out.iter().map(|(_, slots)| slots).sum();
             let lent = lender.lend(spare, wanted, now);
             prop_assert!(lent == 0 || before + lent <= spare);
-            out.push((now + LIFE, lent));
-            borrower.receive(there.clone(), lent, LIFE, now);
+            out.push((now + CREDIT_LIFETIME, lent));
+            borrower.receive(there.clone(), lent, CREDIT_LIFETIME, now);
             let owed: u32 = out.iter().map(|(_, slots)| slots).sum();
             prop_assert!(borrower.available(&there, now) <= owed);
-            borrower.take([&there].into_iter(), now);
+            borrower.use_slot([&there].into_iter(), now);
         }
         Ok(())
     });
@@ -468,7 +474,7 @@
     const RATE: f64 = 90.0;
     const SECONDS: u64 = 60;
     let team = "t".to_owned();
-    let mut limiters: Vec<Limiter> = (0..BOXES).map(|_| Limiter::default()).collect();
+    let mut limiters: Vec<RateLimiter> = (0..BOXES).map(|_| RateLimiter::default()).collect();
     let mut now = Instant::now();
     let (mut admitted, mut late) = (0, 0);
     for second in 0..SECONDS {
@@ -483,10 +489,10 @@
             }
         }
         now += Duration::from_secs(1);
-        let demands: Vec<_> = limiters.iter().map(Limiter::demands).collect();
+        let demands: Vec<_> = limiters.iter().map(RateLimiter::demands).collect();
         for (index, limiter) in limiters.iter_mut().enumerate() {
             for (other, demand) in demands.iter().enumerate().filter(|(other, _)| *other != index) {
-                limiter.hear(&format!("b{other}"), demand);
+                limiter.record_demands(&format!("b{other}"), demand);
             }
             limiter.tick(Duration::from_secs(1), now);
         }
@@ -517,7 +523,7 @@
     let steps = prop::collection::vec((0..3usize, 0..500u64), 1..100);
     let result = runner().run(&steps, |steps| {
         let tuning =
-            drain::Tuning { grace: Duration::from_secs(1), limit: Duration::from_secs(20) };
+            drain::Timeouts { grace: Duration::from_secs(1), limit: Duration::from_secs(20) };
         let mut drain = Drain::new(tuning);
         let start = Instant::now();
         let mut now = start;
@@ -527,7 +533,7 @@
             let before = drain.stage();
             let stage = drain.handle(drain::Event::Tick { now, in_flight });
             prop_assert!(stage != Stage::Done || before == Stage::Done || in_flight == 0);
-            prop_assert!(!stage.accepts() || now < start + tuning.grace);
+            prop_assert!(!stage.accepts_requests() || now < start + tuning.grace);
             prop_assert!(stage != Stage::Cut || now >= start + tuning.limit);
         }
         Ok(())
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use copperweir_lib::coordination::identity::Checked;
-use copperweir_lib::coordination::identity::Claim;
-use copperweir_lib::coordination::identity::team;
+use copperweir_lib::coordination::identity::Credentials;
+use copperweir_lib::coordination::identity::ForwardedIdentity;
+use copperweir_lib::coordination::identity::resolve_team;
 use copperweir_lib::coordination::urgency;
 use copperweir_lib::error::Kind;
 use copperweir_lib::protocol::routing::Limits;
@@ -42,18 +42,23 @@
     Routing::new(version, Vec::new(), BTreeMap::new(), Limits::default()).with_teams(Some(teams))
 }
 
-fn key(text: &str) -> Claim {
-    Claim { key: Some(KeyDigest::of(text)), checked: None }
+fn key(text: &str) -> Credentials {
+    Credentials { key: Some(KeyDigest::of(text)), forwarded: None }
 }
 
-fn passed_on(text: &str, team: Option<&str>, version: u64) -> Claim {
-    let checked = Checked { team: team.map(str::to_owned), version };
-    Claim { checked: Some(checked), ..key(text) }
+fn passed_on(text: &str, team: Option<&str>, version: u64) -> Credentials {
+    let checked = ForwardedIdentity { team: team.map(str::to_owned), version };
+    Credentials { forwarded: Some(checked), ..key(text) }
 }
 
 /// Name of the team, "" for none, or the kind of the refusal.
-fn verdict(claim: &Claim, routing: &Routing, anonymous: bool, stale: bool) -> Result<String, Kind> {
-    let team = team(claim, routing, &route(anonymous), stale);
+fn verdict(
+    claim: &Credentials,
+    routing: &Routing,
+    anonymous: bool,
+    stale: bool,
+) -> Result<String, Kind> {
+    let team = resolve_team(claim, routing, &route(anonymous), stale);
     team.map(|team| team.map_or(String::new(), |team| team.name.clone()))
         .map_err(|failure| failure.kind)
 }
@@ -63,20 +68,20 @@
     let routing = routing(3, &["k1", "k2"]);
     assert_eq!(verdict(&key("k2"), &routing, false, false), Ok("water".to_owned()));
     assert_eq!(verdict(&key("k3"), &routing, false, false), Err(Kind::Unauthorized));
-    assert_eq!(verdict(&Claim::default(), &routing, false, false), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&Credentials::default(), &routing, false, false), Err(Kind::Unauthorized));
 }
 
 #[test]
 fn a_box_that_may_lack_a_newer_version_does_not_say_that_there_is_no_such_key() {
     let routing = routing(3, &["k1"]);
     assert_eq!(verdict(&key("new"), &routing, false, true), Err(Kind::Behind));
-    assert_eq!(verdict(&Claim::default(), &routing, false, true), Err(Kind::Unauthorized));
+    assert_eq!(verdict(&Credentials::default(), &routing, false, true), Err(Kind::Unauthorized));
 }
 
 #[test]
 fn routes_that_need_no_key_still_know_a_team_by_its_key() {
     let routing = routing(3, &["k1"]);
-    assert_eq!(verdict(&Claim::default(), &routing, true, false), Ok(String::new()));
+    assert_eq!(verdict(&Credentials::default(), &routing, true, false), Ok(String::new()));
     assert_eq!(verdict(&key("k3"), &routing, true, false), Ok(String::new()));
     assert_eq!(verdict(&key("k1"), &routing, true, false), Ok("water".to_owned()));
 }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use copperweir_lib::coordination::membership::Config;
 use copperweir_lib::coordination::membership::Membership;
-use copperweir_lib::coordination::membership::Tuning;
 use copperweir_lib::protocol::peer::Beat;
 use copperweir_lib::protocol::peer::Member;
 use copperweir_lib::protocol::peer::Phase;
@@ -29,33 +29,33 @@
 
 #[test]
 fn a_dead_box_stays_dead_until_it_speaks_itself() {
-    let mut membership = Membership::new(member("a", 1), Tuning::default());
+    let mut membership = Membership::new(member("a", 1), Config::default());
     let now = Instant::now();
-    membership.hear(member("bb", 20), now);
+    membership.merge_member(member("bb", 20), now);
     let peer = member("bb", 20).peers;
-    assert!(!membership.unanswered(peer, now), "dead after one call");
-    assert!(membership.unanswered(peer, now), "alive after two calls");
+    assert!(!membership.call_failed(peer, now), "dead after one call");
+    assert!(membership.call_failed(peer, now), "alive after two calls");
     assert_eq!(membership.live(now).count(), 0);
     // Counters that were still on their way.
     let id = member("bb", 20).id();
     let beat = |beat| Beat { member: id, beat };
-    membership.hear_beats(&[beat(25)], now);
+    membership.merge_beats(&[beat(25)], now);
     assert_eq!(membership.live(now).count(), 0);
-    membership.hear(member("bb", 31), now);
+    membership.merge_member(member("bb", 31), now);
     assert_eq!(membership.live(now).count(), 1);
 }
 
 #[test]
 fn a_box_whose_calls_all_fail_blames_itself() {
-    let mut membership = Membership::new(member("a", 1), Tuning::default());
+    let mut membership = Membership::new(member("a", 1), Config::default());
     let now = Instant::now();
     let names: Vec<String> = (2..22).map(|length| "b".repeat(length)).collect();
     for name in &names {
-        membership.hear(member(name, 5), now);
+        membership.merge_member(member(name, 5), now);
     }
     for _ in 0..3 {
         for name in &names {
-            membership.unanswered(member(name, 5).peers, now);
+            membership.call_failed(member(name, 5).peers, now);
         }
     }
     assert!(membership.live(now).count() >= names.len() / 2);
@@ -63,19 +63,19 @@
 
 #[test]
 fn a_box_takes_back_word_of_its_own_death() {
-    let mut membership = Membership::new(member("a", 7), Tuning::default());
+    let mut membership = Membership::new(member("a", 7), Config::default());
     let word = Member { phase: Phase::Dead, beat: 17, ..member("a", 7) };
-    membership.hear(word, Instant::now());
+    membership.merge_member(word, Instant::now());
     assert!(membership.own().beat > 17);
     assert_eq!(membership.own().phase, Phase::Serving);
 }
 
 #[test]
 fn a_thawed_box_does_not_take_the_others_for_dead() {
-    let tuning = Tuning::default();
-    let mut membership = Membership::new(member("a", 1), tuning.clone());
+    let config = Config::default();
+    let mut membership = Membership::new(member("a", 1), config.clone());
     let start = Instant::now();
-    membership.hear(member("bb", 5), start);
+    membership.merge_member(member("bb", 5), start);
     membership.tick(start + Duration::from_secs(1), Duration::ZERO);
     let frozen = Duration::from_secs(60);
     let now = start + Duration::from_secs(1) + frozen;
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -17,7 +17,7 @@
 use copperweir_lib::coordination::placement::Place;
 use copperweir_lib::coordination::placement::Placement;
 use copperweir_lib::coordination::retries;
-use copperweir_lib::coordination::retries::Budget;
+use copperweir_lib::coordination::retries::RetryBudget;
 use copperweir_lib::coordination::text::Text;
 use copperweir_lib::coordination::throttle::Throttles;
 use copperweir_lib::coordination::warmup;
@@ -435,13 +435,13 @@
     /// All boxes together keep to the retry budget, whoever gets the requests.
     #[test]
     fn shares_of_the_retry_budget_add_up(requests in prop::collection::vec(0..300u32, 1..40)) {
-        let bound = retries::Bound { ratio: 0.2, window: Duration::from_secs(10), extra: 58.0 };
+        let bound = retries::RetryLimit { ratio: 0.2, window: Duration::from_secs(10), extra: 58.0 };
         let now = Instant::now();
         let mut repeats = 0;
         for count in &requests {
-            let mut budget = Budget::new(bound, now);
-            (0..*count).for_each(|_| budget.first(now));
-            repeats += (0..1000).filter(|_| budget.repeat(requests.len(), now)).count();
+            let mut budget = RetryBudget::new(bound, now);
+            (0..*count).for_each(|_| budget.record_first_send(now));
+            repeats += (0..1000).filter(|_| budget.try_resend(requests.len(), now)).count();
         }
         let total: u32 = requests.iter().sum();
         prop_assert!(repeats as f64 <= 0.2 * f64::from(total) + 58.0);
@@ -450,15 +450,15 @@
 
 #[test]
 fn the_retry_budget_comes_back_with_time() {
-    let bound = retries::Bound { ratio: 0.0, window: Duration::from_secs(10), extra: 10.0 };
+    let bound = retries::RetryLimit { ratio: 0.0, window: Duration::from_secs(10), extra: 10.0 };
     let mut now = Instant::now();
-    let mut budget = Budget::new(bound, now);
-    let spent = (0..20).filter(|_| budget.repeat(1, now)).count();
+    let mut budget = RetryBudget::new(bound, now);
+    let spent = (0..20).filter(|_| budget.try_resend(1, now)).count();
     assert_eq!(spent, 8);
     now += Duration::from_secs(9);
-    assert!(!budget.repeat(1, now));
+    assert!(!budget.try_resend(1, now));
     now += Duration::from_secs(2);
-    assert!(budget.repeat(1, now));
+    assert!(budget.try_resend(1, now));
 }
 
 /// A server starts again under its name: a request of its earlier life ends, failures and kept texts
@@ -498,7 +498,7 @@
 fn a_server_that_names_a_rate_gets_no_more_while_others_have_room() {
     let mut test = Test::new(placement(2, 4, 1));
     let life = test.placement.lives().next().expect("a server");
-    test.throttles.said(life, 1, Some(2.0), test.now);
+    test.throttles.record_rate(life, 1, Some(2.0), test.now);
     for _ in 0..12 {
         assert_eq!(test.short().expect("a place on the other").server, "i-1");
     }
@@ -510,9 +510,9 @@
     assert!(!is_throttled(&mut test), "it has one left");
     let place = test.short().expect("a place");
     assert_eq!(place.server, "i-0");
-    test.throttles.sent(place.life, test.now);
+    test.throttles.record_sent(place.life, test.now);
     assert_eq!(test.short().unwrap_err(), Blocked::Throttled);
-    test.throttles.said(life, 1, None, test.now);
+    test.throttles.record_rate(life, 1, None, test.now);
     assert!(test.short().is_ok());
 }
 
@@ -521,6 +521,6 @@
 fn a_server_that_names_a_rate_counts_with_the_slots_that_it_keeps_busy() {
     let mut test = Test::new(placement(2, 64, 1));
     let life = test.placement.lives().next().expect("a server");
-    test.throttles.said(life, 1, Some(3.0), test.now);
+    test.throttles.record_rate(life, 1, Some(3.0), test.now);
     assert_eq!(test.placement.fullness(&test.loads, &test.throttles, test.now).slots, 67.0);
 }
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::quota::Bound;
-use copperweir_lib::coordination::quota::Fleet;
+use copperweir_lib::coordination::quota::FleetSize;
 use copperweir_lib::coordination::quota::Quotas;
-use copperweir_lib::coordination::quota::Teller;
+use copperweir_lib::coordination::quota::ReportId;
+use copperweir_lib::coordination::quota::Tolerance;
 use copperweir_lib::protocol::team::Limit;
 use copperweir_lib::protocol::team::Unit;
 use proptest::prelude::*;
@@ -66,11 +66,11 @@
 }
 
 fn quotas(rng: &mut SmallRng, now: Instant) -> Quotas {
-    Quotas::new(Bound { slack: SLACK, dither: rng.random() }, now)
+    Quotas::new(Tolerance { slack: SLACK, dither: rng.random() }, now)
 }
 
-fn teller(number: usize, incarnation: u64, count: u64) -> Teller {
-    Teller { sender: number as u64 + 1, incarnation, number: count }
+fn teller(number: usize, incarnation: u64, count: u64) -> ReportId {
+    ReportId { sender: number as u64 + 1, incarnation, number: count }
 }
 
 fn play(load: Load, seed: u64) -> Played {
@@ -104,14 +104,14 @@
             }
             lives[number].1 += 1;
             let told = teller(number, lives[number].0, lives[number].1);
-            fleet[number].tick(Fleet { boxes: load.boxes, rounds: 1 }, now);
-            let counts = fleet[number].counts(now);
+            fleet[number].tick(FleetSize { boxes: load.boxes, rounds: 1 }, now);
+            let counts = fleet[number].box_usage_to_report(now);
             for other in (0..load.boxes).filter(|other| *other != number) {
                 if region(other) == region(number) && rng.random::<f64>() >= load.loss {
-                    fleet[other].hear_box(told, &counts, now);
+                    fleet[other].record_box_usage(told, &counts, now);
                 }
             }
-            let flows = fleet[number].flows(now);
+            let flows = fleet[number].region_usage_to_report(now);
             let other = rng.random_range(0..load.boxes);
             let lost = is_cut || rng.random::<f64>() < load.loss;
             if region(other) != region(number) && !lost {
@@ -120,7 +120,7 @@
         }
         let arrived: Vec<_> = far.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, from, to, flows) in arrived {
-            fleet[to].hear_region(&from.to_string(), &flows, now);
+            fleet[to].record_region_usage(&from.to_string(), &flows, now);
         }
         let flooded = second >= load.flood.1 && second < load.flood.2;
         let factor = if flooded { load.flood.0 } else { 1.0 };
@@ -273,56 +273,56 @@
 #[test]
 fn a_lower_limit_counts_at_once_and_debts_are_paid() {
     let start = Instant::now();
-    let mut quotas = Quotas::new(Bound { slack: 0.0, dither: 0.0 }, start);
+    let mut quotas = Quotas::new(Tolerance { slack: 0.0, dither: 0.0 }, start);
     let now = start + Duration::from_secs(10);
     assert!(quotas.admit(TEAM, limit(1000.0), 900.0, now).is_ok());
     let lower = limit(100.0);
     assert!(quotas.admit(TEAM, lower, 1100.0, now).is_ok(), "100 are left, the rest is debt");
     let refused = quotas.admit(TEAM, lower, 1.0, now).unwrap_err();
-    assert_eq!(refused.come_back, Duration::from_secs(10));
+    assert_eq!(refused.retry_after, Duration::from_secs(10));
     assert!(quotas.admit(TEAM, lower, 1.0, now + Duration::from_secs(11)).is_ok());
 }
 
 #[test]
 fn what_others_let_in_is_counted_once_however_often_and_late_it_is_told() {
     let start = Instant::now();
-    let bound = Bound { slack: 0.0, dither: 0.0 };
+    let bound = Tolerance { slack: 0.0, dither: 0.0 };
     let (mut one, mut other) = (Quotas::new(bound, start), Quotas::new(bound, start));
     let now = start + Duration::from_secs(10);
     let limit = limit(1000.0);
     assert!(other.admit(TEAM, limit, 0.0, now).is_ok());
     assert!(one.admit(TEAM, limit, 300.0, now).is_ok());
-    let first = one.counts(now);
+    let first = one.box_usage_to_report(now);
     assert!(one.admit(TEAM, limit, 300.0, now).is_ok());
-    let second = one.counts(now);
+    let second = one.box_usage_to_report(now);
     // The first report is lost, the second comes twice, and the first after all.
-    other.hear_box(teller(1, 1, 2), &second, now);
-    other.hear_box(teller(1, 1, 2), &second, now);
-    other.hear_box(teller(1, 1, 1), &first, now);
-    assert_eq!(other.left(TEAM, now), Some(400.0));
+    other.record_box_usage(teller(1, 1, 2), &second, now);
+    other.record_box_usage(teller(1, 1, 2), &second, now);
+    other.record_box_usage(teller(1, 1, 1), &first, now);
+    assert_eq!(other.remaining(TEAM, now), Some(400.0));
     // A new life begins its count anew.
-    let again = Quotas::new(bound, now).counts(now);
-    other.hear_box(teller(1, 2, 1), &again, now);
-    assert_eq!(other.left(TEAM, now), Some(400.0));
+    let again = Quotas::new(bound, now).box_usage_to_report(now);
+    other.record_box_usage(teller(1, 2, 1), &again, now);
+    assert_eq!(other.remaining(TEAM, now), Some(400.0));
 }
 
 /// 480 teams: what all of them have would not fit into a datagram of 8 KB.
 #[test]
 fn of_many_teams_those_nearest_to_their_limits_are_told_and_no_count_is_lost() {
     let start = Instant::now();
-    let mut quotas = Quotas::new(Bound { slack: 0.0, dither: 0.0 }, start);
+    let mut quotas = Quotas::new(Tolerance { slack: 0.0, dither: 0.0 }, start);
     let now = start + Duration::from_secs(10);
     for team in 0..480 {
         let asked = if team % 10 == 0 { 90.0 } else { 5.0 };
         assert!(quotas.admit(team, limit(100.0), asked, now).is_ok());
     }
-    let fleet = Fleet { boxes: 9, rounds: 1 };
+    let fleet = FleetSize { boxes: 9, rounds: 1 };
     quotas.tick(fleet, now);
-    let flows = quotas.flows(now);
+    let flows = quotas.region_usage_to_report(now);
     assert!(flows.len() <= 64 && flows[..48].iter().all(|flow| flow.team % 10 == 0));
     let mut told = HashSet::new();
     for _ in 0..20 {
-        let counts = quotas.counts(now);
+        let counts = quotas.box_usage_to_report(now);
         assert!(counts.len() <= 64);
         told.extend(counts.iter().map(|count| count.team));
     }
--- a/lib/tests/test_rest.rs
+++ b/lib/tests/test_rest.rs
@@ -75,7 +75,7 @@
     use std::time::Duration;
     use std::time::Instant;
 
-    use copperweir_lib::coordination::policy::Estimate;
+    use copperweir_lib::coordination::policy::PrefixAffinity;
     use copperweir_lib::coordination::pool::Arrival;
     use copperweir_lib::coordination::pool::Decision;
     use copperweir_lib::coordination::pool::Limits;
@@ -90,7 +90,7 @@
     const SECOND: Duration = Duration::from_secs(1);
 
     struct Story {
-        pool: Pool<Estimate>,
+        pool: Pool<PrefixAffinity>,
         rng: SmallRng,
         now: Instant,
         next: u64,
@@ -99,7 +99,7 @@
     impl Story {
         fn begin(servers: usize) -> Story {
             let now = Instant::now();
-            let limits = Limits { queue: 50, bytes: 1 << 20, boxes: 1 };
+            let limits = Limits { max_queued: 50, max_queued_bytes: 1 << 20, boxes: 1 };
             let lane = |number: usize| {
                 let address = ([10, 0, 0, number as u8], 80).into();
                 let lane =
@@ -107,7 +107,7 @@
                 (format!("s{number}"), lane)
             };
             let lanes: BTreeMap<_, _> = (1..=servers).map(lane).collect();
-            let mut pool = Pool::new(Estimate, limits, now);
+            let mut pool = Pool::new(PrefixAffinity, limits, now);
             pool.update(limits, lanes, BTreeSet::from(["here".to_owned()]));
             Story { pool, rng: SmallRng::seed_from_u64(1), now, next: 0 }
         }
@@ -119,18 +119,18 @@
                 priority: Priority::Normal,
                 deadline: self.now + patience,
                 bytes: 10,
-                here: true,
-                elsewhere: Vec::new(),
+                local_allowed: true,
+                remote_regions: Vec::new(),
                 prefix: None,
-                tried: Vec::new(),
+                tried_servers: Vec::new(),
             };
-            self.pool.arrive(arrival, self.now, &mut self.rng).0
+            self.pool.submit(arrival, self.now, &mut self.rng).0
         }
 
         /// Places a request and gives its server.
         fn place(&mut self) -> String {
             match self.arrive(SECOND) {
-                Decision::Now(Placement::Server(server, _)) => server,
+                Decision::Immediate(Placement::Server(server, _)) => server,
                 other => panic!("no place: {other:?}"),
             }
         }
@@ -149,7 +149,7 @@
             story.place();
             let other = story.place();
             assert_ne!(other, resting);
-            story.finish(&other, Outcome::Withdrawn);
+            story.finish(&other, Outcome::Cancelled);
             story.now += Duration::from_millis(100);
             if story.pool.in_flight() == 0 {
                 break;
@@ -166,12 +166,12 @@
         let only = story.place();
         story.finish(&only, Outcome::Rests(SECOND * 3));
         match story.arrive(SECOND) {
-            Decision::Now(Placement::Refused(_, after)) => assert!(after >= SECOND * 3),
+            Decision::Immediate(Placement::Refused(_, after)) => assert!(after >= SECOND * 3),
             other => panic!("{other:?}"),
         }
-        assert_eq!(story.arrive(SECOND * 5), Decision::Wait);
+        assert_eq!(story.arrive(SECOND * 5), Decision::Queued);
         story.now += SECOND * 3;
-        let wakes = story.pool.pump(story.now, &mut story.rng);
+        let wakes = story.pool.dispatch_queued(story.now, &mut story.rng);
         assert!(matches!(wakes[..], [ref wake] if matches!(wake.placement, Placement::Server(..))));
     }
 }
--- a/lib/tests/test_throttle.rs
+++ b/lib/tests/test_throttle.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::quota::Teller;
+use copperweir_lib::coordination::quota::ReportId;
 use copperweir_lib::coordination::throttle::Throttles;
-use copperweir_lib::coordination::throttle::told::News;
+use copperweir_lib::coordination::throttle::messages::ThrottleReport;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -112,8 +112,8 @@
 struct Datagram {
     due: Instant,
     to: usize,
-    teller: Teller,
-    news: News,
+    teller: ReportId,
+    news: ThrottleReport,
 }
 
 fn boxes(count: usize, rng: &mut SmallRng) -> Vec<Throttles> {
@@ -180,9 +180,9 @@
         let due: Vec<Datagram> = self.wire.extract_if(.., |one| one.due <= now).collect();
         for Datagram { to, teller, news, .. } in due {
             if teller.number == 0 {
-                self.boxes[to].hear_words(&news.words, now);
-            } else if self.boxes[to].hear(teller, &news, now) {
-                let words = self.boxes[to].all_words(now);
+                self.boxes[to].merge_rates(&news.words, now);
+            } else if self.boxes[to].receive_report(teller, &news, now) {
+                let words = self.boxes[to].all_rates(now);
                 self.post_numbered(0, to, teller.sender as usize, words, now);
             }
         }
@@ -195,15 +195,22 @@
         second >= from && second < until && (one < half) != (other < half)
     }
 
-    fn post(&mut self, from: usize, to: usize, news: News, now: Instant) {
+    fn post(&mut self, from: usize, to: usize, news: ThrottleReport, now: Instant) {
         self.post_numbered(self.numbers[from], from, to, news, now);
     }
 
-    fn post_numbered(&mut self, number: u64, from: usize, to: usize, news: News, now: Instant) {
+    fn post_numbered(
+        &mut self,
+        number: u64,
+        from: usize,
+        to: usize,
+        news: ThrottleReport,
+        now: Instant,
+    ) {
         if self.rng.random::<f64>() < self.load.loss || self.is_cut(from, to, now) {
             return;
         }
-        let teller = Teller { sender: from as u64, incarnation: self.life, number };
+        let teller = ReportId { sender: from as u64, incarnation: self.life, number };
         let due = now + Duration::from_millis(2);
         self.wire.push(Datagram { due, to, teller, news });
     }
@@ -220,7 +227,7 @@
             let others: HashSet<u64> =
                 (0..self.load.boxes as u64).filter(|other| *other != number as u64).collect();
             self.boxes[number].tick(&others, rounds, now);
-            let news = self.boxes[number].news(now);
+            let news = self.boxes[number].next_report(now);
             self.played.bytes = self.played.bytes.max(prost::Message::encoded_len(&news));
             let told: Vec<usize> = (0..self.load.boxes).filter(|other| *other != number).collect();
             let turn = self.numbers[number] as usize * TOLD % told.len().max(1);
@@ -235,11 +242,11 @@
         let rate = self.load.rate(self.second(now));
         let due: Vec<_> = self.answers.extract_if(.., |(due, _)| *due <= now).collect();
         for (_, number) in due {
-            if !self.boxes[number].said(SERVER, SERVICE, rate, now) {
+            if !self.boxes[number].record_rate(SERVER, SERVICE, rate, now) {
                 continue;
             }
             self.numbers[number] += 1;
-            let news = self.boxes[number].news(now);
+            let news = self.boxes[number].next_report(now);
             for other in (0..self.load.boxes).filter(|other| *other != number) {
                 self.post(number, other, news.clone(), now);
             }
@@ -261,9 +268,9 @@
 
     fn ask_box(&mut self, number: usize, now: Instant) {
         let throttles = &mut self.boxes[number];
-        throttles.asked(SERVICE, now);
+        throttles.record_request(SERVICE, now);
         if throttles.admits(SERVER, self.rng.random(), now) {
-            throttles.sent(SERVER, now);
+            throttles.record_sent(SERVER, now);
             self.played.came.push((now - self.start).as_secs_f64());
             self.answers.push((now + ANSWER, number));
         }
@@ -396,12 +403,12 @@
     let now = Instant::now();
     let mut throttles = Throttles::new(0.0);
     for server in 0..2000 {
-        throttles.said(server, server % 100, Some(3.0), now);
-        throttles.asked(server % 100, now);
-        throttles.sent(server, now);
+        throttles.record_rate(server, server % 100, Some(3.0), now);
+        throttles.record_request(server % 100, now);
+        throttles.record_sent(server, now);
     }
     throttles.tick(&HashSet::new(), 1, now);
-    let bytes = prost::Message::encoded_len(&throttles.news(now));
+    let bytes = prost::Message::encoded_len(&throttles.next_report(now));
     assert!(bytes <= 1200, "{bytes} bytes");
     assert!(throttles.len() <= 1024);
 }
@@ -410,16 +417,16 @@
 fn a_word_that_was_overtaken_changes_nothing() {
     let now = Instant::now();
     let mut one = Throttles::new(0.0);
-    assert!(one.said(SERVER, SERVICE, Some(3.0), now), "others must hear of it");
-    assert!(!one.said(SERVER, SERVICE, Some(3.0), now), "nothing new");
-    let older = one.news(now);
-    assert!(one.said(SERVER, SERVICE, None, now + Duration::from_millis(100)));
+    assert!(one.record_rate(SERVER, SERVICE, Some(3.0), now), "others must hear of it");
+    assert!(!one.record_rate(SERVER, SERVICE, Some(3.0), now), "nothing new");
+    let older = one.next_report(now);
+    assert!(one.record_rate(SERVER, SERVICE, None, now + Duration::from_millis(100)));
     let mut other = Throttles::new(0.0);
     let later = now + Duration::from_millis(300);
-    let newer = one.news(later);
-    other.hear_words(&newer.words, later);
+    let newer = one.next_report(later);
+    other.merge_rates(&newer.words, later);
     assert_eq!(other.rate(SERVER), None);
-    one.hear_words(&older.words, now + Duration::from_millis(50));
+    one.merge_rates(&older.words, now + Duration::from_millis(50));
     assert_eq!(one.rate(SERVER), None);
 }
 
@@ -429,10 +436,10 @@
 fn refused_callers_come_back_one_after_the_other() {
     let now = Instant::now();
     let mut throttles = Throttles::new(0.0);
-    throttles.said(SERVER, SERVICE, Some(4.0), now);
-    throttles.asked(SERVICE, now);
+    throttles.record_rate(SERVER, SERVICE, Some(4.0), now);
+    throttles.record_request(SERVICE, now);
     let come_back = |throttles: &mut Throttles, now| {
-        throttles.come_back(SERVICE, std::iter::once(SERVER), now).as_millis()
+        throttles.retry_after(SERVICE, std::iter::once(SERVER), now).as_millis()
     };
     let told: Vec<u128> = (0..3).map(|_| come_back(&mut throttles, now)).collect();
     assert_eq!(told, [250, 500, 750]);
@@ -445,13 +452,13 @@
 fn a_word_grows_old_however_often_boxes_tell_each_other_of_it() {
     let start = Instant::now();
     let (mut one, mut other) = (Throttles::new(0.0), Throttles::new(0.0));
-    one.said(SERVER, SERVICE, Some(3.0), start);
+    one.record_rate(SERVER, SERVICE, Some(3.0), start);
     let way = Duration::from_millis(20);
     for step in 0..250 {
         let now = start + 2 * step * way;
-        other.hear_words(&one.all_words(now).words, now + way);
-        one.hear_words(&other.all_words(now + way).words, now + 2 * way);
+        other.merge_rates(&one.all_rates(now).words, now + way);
+        one.merge_rates(&other.all_rates(now + way).words, now + 2 * way);
     }
-    let told = one.all_words(start + Duration::from_secs(10)).words[0];
+    let told = one.all_rates(start + Duration::from_secs(10)).words[0];
     assert!(told.said_ms > 9_000, "{} ms", told.said_ms);
 }
--- a/lib/tests/test_throttle_return.rs
+++ b/lib/tests/test_throttle_return.rs
@@ -48,7 +48,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut throttles = Throttles::new(0.0);
-    throttles.said(SERVER, SERVICE, Some(RATE), start);
+    throttles.record_rate(SERVER, SERVICE, Some(RATE), start);
     let mut played = Played::default();
     let mut callers: Vec<Caller> = Vec::new();
     for step in 0..(END / STEP.as_secs_f64()) as u32 {
@@ -61,16 +61,16 @@
         }
         let come: Vec<Caller> = callers.extract_if(.., |caller| caller.comes_at <= now).collect();
         for caller in come {
-            throttles.asked(SERVICE, now);
+            throttles.record_request(SERVICE, now);
             if throttles.admits(SERVER, rng.random(), now) {
-                throttles.sent(SERVER, now);
+                throttles.record_sent(SERVER, now);
                 played.served += 1;
                 continue;
             }
             played.refusals += 1;
             let told = match way {
                 Way::Fixed => Duration::from_millis(250),
-                Way::InTurn => throttles.come_back(SERVICE, std::iter::once(SERVER), now),
+                Way::InTurn => throttles.retry_after(SERVICE, std::iter::once(SERVER), now),
             };
             let waits = told.min((caller.gives_up - now).mul_f64(WAITS));
             let comes_at = now + waits;
