--- a/lib/src/coordination/drain.rs
+++ b/lib/src/coordination/drain.rs
@@ -1,82 +1,83 @@
-//! The planned stop of a box.
+//! Graceful shutdown of a box.
 //!
-//! Serving, then announced: the box says everywhere that it leaves and still
-//! accepts requests, since callers are told of it for a while yet. Then closing:
-//! it refuses new requests and finishes those in progress. Then done.
+//! A box starts in [`Stage::Serving`]. After a stop request it is [`Stage::Announced`]: it
+//! announces that it is leaving and still accepts requests, because callers learn of the stop with
+//! a delay. In [`Stage::Closing`] it refuses new requests and finishes those in progress, until
+//! [`Stage::Done`].
 
 use std::time::Duration;
 use std::time::Instant;
 
 use statig::prelude::*;
 
-/// Times of a stop.
+/// Time limits of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// How long an announced box still accepts.
+    /// Time for which a box accepts requests after it has announced the stop.
     pub grace: Duration,
-    /// Longest time from the request to stop to its end.
+    /// Maximum time from the stop request until the process ends.
     pub limit: Duration,
 }
 
-/// What the drain is told.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// The operator asks to stop; a second time means at once.
+    /// The operator requests a stop. A second request ends the process at once.
     Stop(Instant),
-    /// Time passes.
+    /// Periodic timer.
     Tick {
-        /// Now.
+        /// The current time.
         now: Instant,
-        /// Requests in progress.
+        /// Number of requests in progress.
         in_flight: usize,
     },
 }
 
-/// How far the stop is.
+/// Progress of a shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// Not stopping.
+    /// No stop was requested.
     Serving,
-    /// Leaving, and still accepting.
+    /// The box is leaving and still accepts requests.
     Announced,
-    /// Leaving, and refusing new requests.
+    /// The box is leaving and refuses new requests.
     Closing,
-    /// Nothing is in progress.
+    /// All requests have finished.
     Done,
-    /// The limit passed, or a second stop came, with requests in progress.
+    /// The time limit passed, or a second stop was requested, while requests were in progress.
     Cut,
 }
 
 impl Stage {
-    /// Whether new requests are accepted.
+    /// Returns whether new requests are accepted.
     pub fn accepts_requests(self) -> bool {
         matches!(self, Stage::Serving | Stage::Announced)
     }
 
-    /// Whether the process should end.
+    /// Returns whether the process should exit.
     pub fn is_finished(self) -> bool {
         matches!(self, Stage::Done | Stage::Cut)
     }
 }
 
-/// A box's stop.
+/// The shutdown state machine of a box.
 pub struct Drain {
     machine: StateMachine<machine::Machine>,
 }
 
 impl Drain {
-    /// A serving box.
+    /// Creates the state machine of a box that is serving.
     pub fn new(timeouts: Timeouts) -> Drain {
         Drain { machine: machine::Machine { timeouts }.state_machine() }
     }
 
-    /// Takes an event and gives the stage after it.
+    /// Handles an event and returns the resulting stage.
     pub fn handle(&mut self, event: Event) -> Stage {
         self.machine.handle(&event);
         self.stage()
     }
 
-    /// The stage now.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         match self.machine.state() {
             machine::State::Serving {} => Stage::Serving,
--- a/lib/src/coordination/gossip.rs
+++ b/lib/src/coordination/gossip.rs
@@ -1,8 +1,8 @@
-//! What boxes tell each other in heartbeats, and what is made of it.
+//! Heartbeats between boxes.
 //!
-//! Puts members and observed load into heartbeats of bounded size, and takes
-//! them out again. What a heartbeat asks the box to do comes back as [`Heard`];
-//! the sockets are somebody else's.
+//! Composes heartbeats of bounded size from the membership and the observed load, and merges those
+//! that arrive. [`Received`] lists what the box has to do after a heartbeat. Sending and receiving
+//! is left to the caller.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -18,115 +18,115 @@
 use crate::protocol::peer::MemberId;
 use crate::state::load::Load;
 
-/// Server reports in one heartbeat.
-const REPORTS: usize = 40;
-/// Records asked for at once.
-const WANTED: usize = 32;
+/// Maximum number of server reports in one heartbeat.
+const MAX_SERVER_REPORTS: usize = 40;
+/// Maximum number of member records requested at once.
+const MAX_WANTED_RECORDS: usize = 32;
 
-/// What a heartbeat brought.
+/// What has changed with a heartbeat.
 #[derive(Debug, Default)]
 pub struct Received {
-    /// Someone came, went or turned.
+    /// A member joined, left or changed its phase.
     pub members_changed: bool,
-    /// A backend server became leaving or reachable, or ceased to be.
+    /// A backend server's leaving or reachable state changed.
     pub servers_changed: bool,
-    /// Load of some backend server is newer than before.
+    /// The load of some backend server was updated.
     pub load_changed: bool,
-    /// The sender has this newer configuration.
+    /// A newer configuration version and the address of the sender that has it.
     pub newer: Option<(Version, SocketAddr)>,
-    /// Ask the sender for these records, and give it those that it wants.
+    /// Member records to request from the sender and to send to it.
     pub follow_up: Option<FollowUp>,
 }
 
-/// A second exchange with the same box, for records that either lacks.
+/// A second exchange with the same box, for records that either side lacks.
 #[derive(Debug)]
 pub struct FollowUp {
-    /// Where to.
+    /// Address of the other box.
     pub to: SocketAddr,
     /// Records that this box lacks.
     pub wanted: Vec<MemberId>,
-    /// Records that the other lacks.
+    /// Records that the other box lacks.
     pub given: Vec<MemberId>,
 }
 
-/// What a heartbeat carries besides members and load.
+/// Contents of a heartbeat besides members and load.
 #[derive(Debug, Default)]
 pub struct Payload {
     /// Slots lent to the receiver.
     pub credits: Vec<Credit>,
     /// This box's demand by team.
     pub demands: Vec<Demand>,
-    /// Records to ask for.
+    /// Records to request.
     pub wanted: Vec<MemberId>,
-    /// Records that were asked for.
+    /// Records that the receiver requested.
     pub given: Vec<MemberId>,
 }
 
-/// One box's side of all exchanges.
+/// The gossip state of one box.
 pub struct Gossip {
-    /// Members.
+    /// Known members.
     pub membership: Membership,
-    /// Observed load of the region's servers.
+    /// Observed load of the region's backend servers.
     pub load: Load,
 }
 
 impl Gossip {
-    /// Makes a heartbeat. `receiver` is the region it goes to, if known.
+    /// Composes a heartbeat. `receiver` is the region it is sent to, if known.
     pub fn compose(
         &self,
         receiver: Option<&RegionId>,
-        extra: Payload,
+        payload: Payload,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Heartbeat {
         let membership = &self.membership;
-        let far_receiver = receiver.is_some_and(|region| *region != membership.own().region);
+        let to_other_region = receiver.is_some_and(|region| *region != membership.own().region);
         let (near, far) = membership.beats(now, rng);
-        let mut members = match far_receiver {
+        let mut members = match to_other_region {
             true => membership.region_sample(now, rng),
             false => membership.recent_changes(now, rng),
         };
-        members.extend(membership.records(&extra.given));
-        // Counters and load of this region's own are of no use to another one.
-        let (near, reports) = match far_receiver {
+        members.extend(membership.records(&payload.given));
+        // Other regions don't use the heartbeat counters and load reports of this region.
+        let (near, reports) = match to_other_region {
             true => (Vec::new(), Vec::new()),
-            false => (near, self.load.news(REPORTS, now, rng)),
+            false => (near, self.load.news(MAX_SERVER_REPORTS, now, rng)),
         };
         Heartbeat {
             sender: membership.own().clone(),
             members,
             near,
             far,
-            wanted: extra.wanted,
+            wanted: payload.wanted,
             reports,
-            credits: extra.credits,
-            demands: extra.demands,
+            credits: payload.credits,
+            demands: payload.demands,
         }
     }
 
-    /// Takes in a heartbeat, or the answer to one.
+    /// Merges a heartbeat or the answer to one. `version` is this box's configuration version.
     pub fn receive(&mut self, heartbeat: &Heartbeat, version: Version, now: Instant) -> Received {
         let sender = &heartbeat.sender;
         let own_region = self.membership.own().region.clone();
-        let mut heard = Received::default();
-        heard.members_changed |= self.membership.merge_member(sender.clone(), now);
+        let mut received = Received::default();
+        received.members_changed |= self.membership.merge_member(sender.clone(), now);
         for member in &heartbeat.members {
-            heard.members_changed |= self.membership.merge_member(member.clone(), now);
+            received.members_changed |= self.membership.merge_member(member.clone(), now);
         }
         let mut wanted = self.membership.merge_beats(&heartbeat.near, now);
-        wanted.truncate(WANTED);
+        wanted.truncate(MAX_WANTED_RECORDS);
         self.membership.merge_beats(&heartbeat.far, now);
         if sender.region == own_region {
-            heard.load_changed = !heartbeat.reports.is_empty();
+            received.load_changed = !heartbeat.reports.is_empty();
             for report in &heartbeat.reports {
-                heard.servers_changed |= self.load.observe(report, now);
+                received.servers_changed |= self.load.observe(report, now);
             }
         }
-        heard.newer = (sender.version > version).then_some((sender.version, sender.peers));
+        received.newer = (sender.version > version).then_some((sender.version, sender.peers));
         if !wanted.is_empty() || !heartbeat.wanted.is_empty() {
             let given = heartbeat.wanted.clone();
-            heard.follow_up = Some(FollowUp { to: sender.peers, wanted, given });
+            received.follow_up = Some(FollowUp { to: sender.peers, wanted, given });
         }
-        heard
+        received
     }
 }
--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -1,11 +1,9 @@
-//! Whose request it is: by its caller's key, or by the word of the box that its
-//! caller asked.
+//! Maps a request to a team, by the caller's key or by what the forwarding box reports.
 //!
-//! A box that gets a request from another one looks the key up again, so that a
-//! key that was taken away opens nothing at a box that knows so, whatever the
-//! first box knows. Two boxes that disagree for a moment do so by the versions of
-//! their configurations: the newer one decides. Only digests of keys go from box
-//! to box.
+//! A box that gets a forwarded request looks up the key again. A key that was revoked is therefore
+//! refused by every box that knows of the revocation, whatever the forwarding box knows. If the two
+//! boxes disagree, the one with the newer configuration version decides. Only digests of keys are
+//! sent between boxes.
 
 use std::sync::Arc;
 
@@ -17,39 +15,42 @@
 use crate::protocol::team::KeyDigest;
 use crate::protocol::team::Team;
 
-/// What a request says of its caller.
+/// What a request carries to identify its caller.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
     /// Digest of the caller's key.
     pub key: Option<KeyDigest>,
-    /// What another box made of it.
+    /// The result of the lookup at the forwarding box.
     pub forwarded: Option<ForwardedIdentity>,
 }
 
-/// What the box that a caller asked made of its key.
+/// The team that the forwarding box found.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ForwardedIdentity {
-    /// Name of the team that holds it; `None` on routes that need no key.
+    /// Name of the team that holds the key; `None` on routes that need no key.
     pub team: Option<String>,
-    /// The configuration that it looked this up in.
+    /// The configuration version used for the lookup.
     pub version: Version,
 }
 
-/// The team whose request it is; `None` where nobody needs a key. `stale` says that there may be a
-/// newer configuration, with keys that this one lacks: who brings such a key is asked to come back
-/// instead of being told that there is no such key.
+/// Returns the team of a request; `None` if the request needs no key.
+///
+/// `stale` says that a newer configuration, with keys unknown here, may exist. A caller with an
+/// unknown key is then asked to retry instead of being told that the key does not exist.
 pub fn resolve_team(
-    claim: &Credentials,
+    credentials: &Credentials,
     routing: &Routing,
     route: &Route,
     stale: bool,
 ) -> Result<Option<Arc<Team>>, Failure> {
-    if let Some(checked) = claim.forwarded.as_ref().filter(|it| it.version > routing.version) {
-        return Ok(checked.team.as_deref().map(|name| by_name(routing, name)));
+    if let Some(forwarded) =
+        credentials.forwarded.as_ref().filter(|identity| identity.version > routing.version)
+    {
+        return Ok(forwarded.team.as_deref().map(|name| team_by_name(routing, name)));
     }
     let Some(teams) = &routing.teams else { return Ok(None) };
-    let holder = claim.key.and_then(|key| teams.holder(&key));
-    match (holder, claim.key) {
+    let holder = credentials.key.and_then(|key| teams.holder(&key));
+    match (holder, credentials.key) {
         (Some(team), _) => Ok(Some(Arc::clone(team))),
         (None, _) if route.anonymous => Ok(None),
         (None, None) => {
@@ -63,7 +64,7 @@
     }
 }
 
-fn by_name(routing: &Routing, name: &str) -> Arc<Team> {
-    let known = routing.teams.as_ref().and_then(|teams| teams.named(name));
-    known.map_or_else(|| Arc::new(Team::named(name)), Arc::clone)
+fn team_by_name(routing: &Routing, name: &str) -> Arc<Team> {
+    let configured = routing.teams.as_ref().and_then(|teams| teams.named(name));
+    configured.map_or_else(|| Arc::new(Team::named(name)), Arc::clone)
 }
--- a/lib/src/coordination/lease.rs
+++ b/lib/src/coordination/lease.rs
@@ -1,30 +1,31 @@
-//! A duty that one box holds at a time, by a lease in the platform's store.
+//! Leader election by a lease in the platform's store.
 //!
-//! The holder counts its lease on its own monotonic clock, from before it asked,
-//! less a margin: it stops before the store gives the lease to another, and
-//! one that was frozen finds its time over before it acts. The epoch is the
-//! store's revision of the holder's key and grows with each holder. What
-//! cannot check an epoch is ordered only after the predecessor's last order
-//! must have landed.
+//! The holder measures the lease on its own monotonic clock, starting before it sends the request,
+//! and subtracts a margin. It therefore stops before the store can grant the lease to another box,
+//! and a holder that was frozen sees that its time is over before it acts.
+//!
+//! The epoch is the store's revision of the holder's key and increases with each holder. Backend
+//! servers that can't check an epoch get orders only once the last order of the previous holder can
+//! no longer arrive.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use statig::prelude::*;
 
-/// Grows with each holder of a duty.
+/// Fencing token: increases with each holder of the lease.
 pub type Epoch = u64;
 
-/// Times of a lease.
+/// Time parameters of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Life of a lease in the store.
+    /// Lifetime of the lease in the store.
     pub ttl: Duration,
-    /// Time before its end at which the holder stops.
+    /// Time before the end of the lease at which the holder stops acting.
     pub stop_margin: Duration,
-    /// Time between attempts to become holder.
+    /// Time between attempts to acquire the lease.
     pub retry_interval: Duration,
-    /// Longest flight of an order to a backend server.
+    /// Maximum time an order takes to reach a backend server.
     pub max_order_delay: Duration,
 }
 
@@ -39,63 +40,63 @@
     }
 }
 
-/// What a holder is told.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// Time passes.
+    /// Periodic timer.
     Tick(Instant),
-    /// The lease is ours.
+    /// The lease was acquired.
     Acquired {
-        /// Epoch.
+        /// Epoch of this holder.
         epoch: Epoch,
-        /// When the lease was asked for.
+        /// When the request to acquire the lease was sent.
         asked_at: Instant,
     },
-    /// Another holds it, or the store did not answer.
+    /// Another box holds the lease, or the store did not answer.
     AcquireFailed(Instant),
     /// The lease was renewed.
     Renewed {
-        /// When the renewal was asked for.
+        /// When the request to renew the lease was sent.
         asked_at: Instant,
     },
-    /// The renewal failed; the lease may still live.
+    /// The renewal failed; the lease may still be valid.
     RenewalFailed,
-    /// The store says that the lease is over.
+    /// The store reports that the lease has expired.
     Expired(Instant),
 }
 
-/// What a holder asks for.
+/// Output of the state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Try to take the lease.
+    /// Try to acquire the lease.
     Acquire,
-    /// Renew it.
+    /// Renew the lease.
     Renew,
-    /// The duty begins.
+    /// This box holds the lease and may send orders under this epoch.
     StartLeading(Epoch),
-    /// The duty ends.
+    /// This box no longer holds the lease and must stop sending orders.
     StopLeading(Epoch),
 }
 
-/// One box's part in a duty.
+/// The state machine of one box that competes for the lease.
 pub struct LeaseClient {
     machine: StateMachine<machine::Machine>,
 }
 
 impl LeaseClient {
-    /// A box without the lease.
+    /// Creates a client that does not hold the lease.
     pub fn new(timing: Timing) -> LeaseClient {
         LeaseClient { machine: machine::Machine::new(timing).state_machine() }
     }
 
-    /// Takes an event and gives what to do now.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.machine.handle_with_context(&event, &mut actions);
         actions
     }
 
-    /// When the holder must have stopped unless it renews; `None` without the lease.
+    /// Returns when the holder must stop unless it renews the lease; `None` without the lease.
     pub fn held_until(&self) -> Option<Instant> {
         match self.machine.state() {
             machine::State::Holding { until, .. } => Some(*until),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The epoch under which orders may go now to servers that check epochs.
+    /// Returns the epoch for orders to servers that check epochs; `None` if none may be sent now.
     pub fn epoch(&self, now: Instant) -> Option<Epoch> {
         match self.machine.state() {
             machine::State::Holding { epoch, until, .. } if now < *until => Some(*epoch),
@@ -111,10 +112,13 @@
         }
     }
 
-    /// The epoch under which orders may go now to servers that do not check epochs.
+    /// Returns the epoch for orders to servers that don't check epochs; `None` if none may be sent
+    /// now.
     pub fn exclusive_epoch(&self, now: Instant) -> Option<Epoch> {
         match self.machine.state() {
-            machine::State::Holding { alone_from, .. } if now >= *alone_from => self.epoch(now),
+            machine::State::Holding { exclusive_from, .. } if now >= *exclusive_from => {
+                self.epoch(now)
+            }
             _ => None,
         }
     }
@@ -126,21 +130,21 @@
 
     pub struct Machine {
         timing: Timing,
-        try_at: Option<Instant>,
-        renewing: bool,
+        retry_at: Option<Instant>,
+        renewal_pending: bool,
     }
 
     impl Machine {
         pub fn new(timing: Timing) -> Machine {
-            Machine { timing, try_at: None, renewing: false }
+            Machine { timing, retry_at: None, renewal_pending: false }
         }
 
-        fn lapse(&mut self, now: Instant) {
-            self.renewing = false;
-            self.try_at = Some(now + self.timing.retry_interval);
+        fn schedule_retry(&mut self, now: Instant) {
+            self.renewal_pending = false;
+            self.retry_at = Some(now + self.timing.retry_interval);
         }
 
-        fn held_until(&self, asked_at: Instant) -> Instant {
+        fn end_of_term(&self, asked_at: Instant) -> Instant {
             asked_at + self.timing.ttl - self.timing.stop_margin
         }
     }
@@ -150,7 +154,7 @@
         #[state]
         fn free(&mut self, event: &Event, context: &mut Vec<Action>) -> Outcome<State> {
             match event {
-                Event::Tick(now) if self.try_at.is_none_or(|at| *now >= at) => {
+                Event::Tick(now) if self.retry_at.is_none_or(|at| *now >= at) => {
                     context.push(Action::Acquire);
                     Transition(State::acquiring())
                 }
@@ -163,11 +167,11 @@
             match event {
                 Event::Acquired { epoch, asked_at } => {
                     context.push(Action::StartLeading(*epoch));
-                    let alone_from = *asked_at + self.timing.ttl + self.timing.max_order_delay;
-                    Transition(State::holding(*epoch, self.held_until(*asked_at), alone_from))
+                    let exclusive_from = *asked_at + self.timing.ttl + self.timing.max_order_delay;
+                    Transition(State::holding(*epoch, self.end_of_term(*asked_at), exclusive_from))
                 }
                 Event::AcquireFailed(now) => {
-                    self.lapse(*now);
+                    self.schedule_retry(*now);
                     Transition(State::free())
                 }
                 _ => Handled,
@@ -179,37 +183,37 @@
             &mut self,
             epoch: &mut Epoch,
             until: &mut Instant,
-            alone_from: &mut Instant,
+            exclusive_from: &mut Instant,
             event: &Event,
             context: &mut Vec<Action>,
         ) -> Outcome<State> {
-            let _ = alone_from;
+            let _ = exclusive_from;
             match event {
                 Event::Tick(now) if now >= until => {
                     context.push(Action::StopLeading(*epoch));
-                    self.lapse(*now);
+                    self.schedule_retry(*now);
                     Transition(State::free())
                 }
                 Event::Tick(now) => {
-                    let renew_from = *until - (self.timing.ttl - self.timing.stop_margin) * 2 / 3;
-                    if !self.renewing && *now >= renew_from {
-                        self.renewing = true;
+                    let renew_at = *until - (self.timing.ttl - self.timing.stop_margin) * 2 / 3;
+                    if !self.renewal_pending && *now >= renew_at {
+                        self.renewal_pending = true;
                         context.push(Action::Renew);
                     }
                     Handled
                 }
                 Event::Renewed { asked_at } => {
-                    self.renewing = false;
-                    *until = self.held_until(*asked_at).max(*until);
+                    self.renewal_pending = false;
+                    *until = self.end_of_term(*asked_at).max(*until);
                     Handled
                 }
                 Event::RenewalFailed => {
-                    self.renewing = false;
+                    self.renewal_pending = false;
                     Handled
                 }
                 Event::Expired(now) => {
                     context.push(Action::StopLeading(*epoch));
-                    self.lapse(*now);
+                    self.schedule_retry(*now);
                     Transition(State::free())
                 }
                 _ => Handled,
--- a/lib/src/coordination/ledger.rs
+++ b/lib/src/coordination/ledger.rs
@@ -1,9 +1,9 @@
-//! What one box remembers of keyed requests, so that each runs at most once.
+//! In-memory record of idempotent requests, so that each runs at most once.
 //!
-//! An entry is made before the request may run and stays at least as long as
-//! anybody may present its key again. A full ledger refuses new keys; it never
-//! forgets one early. Finished answers are kept for replay within a bound of
-//! bytes; past it only the fact that the request ran is kept.
+//! An entry is created before the request may run and stays at least as long as its key can be
+//! presented again. A full ledger refuses new keys and never drops an entry early. Finished answers
+//! are kept for replay up to a total size; beyond it, the ledger keeps only the fact that the
+//! request ran.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -13,24 +13,24 @@
 
 use crate::protocol::TeamId;
 
-/// Key of an entry: a team's keys are its own.
+/// Key of an entry. Keys are scoped to a team.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Key {
-    /// Team.
+    /// The team that presented the key.
     pub team: TeamId,
-    /// Ticket or the caller's own key.
+    /// The ticket or the caller's own key.
     pub text: String,
 }
 
-/// Hash of what was asked; the same key with another one is refused.
+/// Hash of a request. The same key with another fingerprint is refused.
 pub type Fingerprint = [u8; 32];
 
-/// A whole answer, kept for replay.
+/// A complete answer, kept for replay.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Headers to send to the caller.
     pub headers: Vec<(String, Bytes)>,
     /// Body.
     pub body: Bytes,
@@ -44,33 +44,33 @@
     }
 }
 
-/// What is to be done with a keyed request.
+/// How to handle a request with an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Run it; conclude it afterwards.
+    /// Run the request, then call [`Ledger::conclude`].
     Run,
-    /// Another request with the key is running; wait for its conclusion.
+    /// Another request with this key is running; wait until it concludes.
     Wait,
-    /// It ran; this is the answer.
+    /// The request has run; replay this answer.
     Replay(Answer),
-    /// It ran; the answer is no longer kept.
+    /// The request has run, but its answer is no longer kept.
     AnswerDropped,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     KeyReused,
-    /// No room for another key.
+    /// The ledger has no room for another key.
     Full,
 }
 
-/// How a keyed request ended.
+/// How a request with an idempotency key ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Conclusion {
-    /// It ran; the answer, if it is small enough to keep.
+    /// The request ran. The answer is present if it is small enough to keep.
     Answered(Option<Answer>),
-    /// It certainly did not run; the key is free again.
+    /// The request certainly did not run; the key may be used again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -85,66 +85,66 @@
 struct Entry {
     fingerprint: Fingerprint,
     state: State,
-    keep_until: Instant,
+    expires_at: Instant,
 }
 
-/// Bounds of a ledger.
+/// Size limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLimits {
-    /// Most entries.
+    /// Maximum number of entries.
     pub max_entries: usize,
-    /// Most bytes of kept answers.
+    /// Maximum total size of the kept answers, in bytes.
     pub max_answer_bytes: usize,
 }
 
-/// The memory of one box.
+/// The ledger of one box.
 #[derive(Debug)]
 pub struct Ledger {
     limits: LedgerLimits,
     entries: HashMap<Key, Entry>,
     by_expiry: BTreeSet<(Instant, Key)>,
-    kept: BTreeSet<(Instant, Key)>,
-    bytes: usize,
+    answers_by_expiry: BTreeSet<(Instant, Key)>,
+    answer_bytes: usize,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(limits: LedgerLimits) -> Ledger {
         Ledger {
             limits,
             entries: HashMap::new(),
             by_expiry: BTreeSet::new(),
-            kept: BTreeSet::new(),
-            bytes: 0,
+            answers_by_expiry: BTreeSet::new(),
+            answer_bytes: 0,
         }
     }
 
-    /// Entries held.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of answers held.
+    /// Returns the total size of the kept answers in bytes.
     pub fn bytes(&self) -> usize {
-        self.bytes
+        self.answer_bytes
     }
 
-    /// Whether the key is known here.
+    /// Returns whether the key has an entry.
     pub fn contains(&self, key: &Key) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// A keyed request arrives. `keep_until` is when its key can no longer be presented.
+    /// Admits a request with a key. The key can't be presented again after `expires_at`.
     pub fn begin(
         &mut self,
         key: &Key,
         fingerprint: Fingerprint,
-        keep_until: Instant,
+        expires_at: Instant,
         now: Instant,
     ) -> Admission {
         self.expire(now);
@@ -154,55 +154,55 @@
         if self.entries.len() >= self.limits.max_entries {
             return Admission::Full;
         }
-        self.by_expiry.insert((keep_until, key.clone()));
-        self.entries.insert(key.clone(), Entry { fingerprint, state: State::Running, keep_until });
+        self.by_expiry.insert((expires_at, key.clone()));
+        self.entries.insert(key.clone(), Entry { fingerprint, state: State::Running, expires_at });
         Admission::Run
     }
 
-    /// The request that was told to run has ended.
+    /// Records the end of a request that was told to run.
     pub fn conclude(&mut self, key: &Key, conclusion: Conclusion) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         match conclusion {
             Conclusion::NotRun => {
-                let keep_until = entry.keep_until;
+                let expires_at = entry.expires_at;
                 self.entries.remove(key);
-                self.by_expiry.remove(&(keep_until, key.clone()));
+                self.by_expiry.remove(&(expires_at, key.clone()));
             }
             Conclusion::Unknown => entry.state = State::Unknown,
             Conclusion::Answered(answer) => {
-                self.bytes += answer.as_ref().map_or(0, Answer::size);
+                self.answer_bytes += answer.as_ref().map_or(0, Answer::size);
                 if answer.is_some() {
-                    self.kept.insert((entry.keep_until, key.clone()));
+                    self.answers_by_expiry.insert((entry.expires_at, key.clone()));
                 }
                 entry.state = State::Answered(answer);
-                self.drop_answers();
+                self.evict_answers();
             }
         }
     }
 
-    fn drop_answers(&mut self) {
-        while self.bytes > self.limits.max_answer_bytes {
-            let Some((_, key)) = self.kept.pop_first() else { return };
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > self.limits.max_answer_bytes {
+            let Some((_, key)) = self.answers_by_expiry.pop_first() else { return };
             let Some(entry) = self.entries.get_mut(&key) else { continue };
             if let State::Answered(answer) = &mut entry.state {
-                self.bytes -= answer.take().map_or(0, |answer| answer.size());
+                self.answer_bytes -= answer.take().map_or(0, |answer| answer.size());
             }
         }
     }
 
-    /// Forgets what can no longer be presented.
+    /// Removes entries whose keys can no longer be presented.
     pub fn expire(&mut self, now: Instant) {
         let mut running = Vec::new();
-        while let Some((keep_until, _)) = self.by_expiry.first() {
-            if *keep_until > now {
+        while let Some((expires_at, _)) = self.by_expiry.first() {
+            if *expires_at > now {
                 break;
             }
-            let Some((keep_until, key)) = self.by_expiry.pop_first() else { break };
+            let Some((expires_at, key)) = self.by_expiry.pop_first() else { break };
             match self.entries.get(&key).map(|entry| &entry.state) {
-                Some(State::Running) => running.push((keep_until, key)),
+                Some(State::Running) => running.push((expires_at, key)),
                 Some(State::Answered(answer)) => {
-                    self.bytes -= answer.as_ref().map_or(0, Answer::size);
-                    self.kept.remove(&(keep_until, key.clone()));
+                    self.answer_bytes -= answer.as_ref().map_or(0, Answer::size);
+                    self.answers_by_expiry.remove(&(expires_at, key.clone()));
                     self.entries.remove(&key);
                 }
                 _ => {
--- a/lib/src/coordination/mod.rs
+++ b/lib/src/coordination/mod.rs
@@ -1,9 +1,8 @@
-//! The decisions.
+//! Decision logic, free of I/O.
 //!
-//! Nothing in this layer does I/O, reads a clock or draws from a random source
-//! of its own. Each part takes events and an instant, and returns actions, so
-//! the same code runs behind sockets, in virtual time under a property test,
-//! and inside other programs.
+//! No module in this layer does I/O, reads a clock or owns a random source. Each one takes events
+//! and the current instant, and returns actions. The same code therefore runs behind sockets, in
+//! virtual time under property tests, and inside other programs.
 
 pub mod attempt;
 pub mod broken;
@@ -24,7 +23,6 @@
 pub mod lending;
 pub mod loads;
 pub mod membership;
-pub mod overflow;
 pub mod placement;
 pub mod policy;
 pub mod pool;
@@ -34,6 +32,7 @@
 pub mod quota;
 pub mod rate;
 pub mod rate_limiter;
+pub mod regions;
 pub mod rendezvous;
 pub mod rest;
 pub mod restored;
--- a/lib/src/coordination/placement/fullness.rs
+++ b/lib/src/coordination/placement/fullness.rs
@@ -6,7 +6,7 @@
 use super::Placement;
 use crate::coordination::candidate::Candidate;
 use crate::coordination::loads::Loads;
-use crate::coordination::overflow::Utilization;
+use crate::coordination::regions::Utilization;
 use crate::coordination::throttle::Throttles;
 
 /// Time that a request is taken to keep a slot busy at a server that names a rate.
--- a/lib/src/coordination/policy.rs
+++ b/lib/src/coordination/policy.rs
@@ -1,7 +1,7 @@
-//! Which backend server of a pool gets a request.
+//! Policies that choose the backend server of a pool for a request.
 //!
-//! [`Estimate`] is what the daemon uses. The others are the baselines that it
-//! is measured against, kept behind the same trait.
+//! The daemon uses [`PrefixAffinity`]. The other policies are baselines for benchmarks, behind the
+//! same trait.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 
 use super::rendezvous;
 
-/// A backend server that could take the request now.
+/// A backend server that can take the request now.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the server.
     pub server: &'a str,
-    /// Hash of its name.
+    /// Hash of the server's name.
     pub hash: u64,
-    /// Requests on it, its queue included, as far as known.
+    /// Estimated number of requests on the server from all boxes, including its queue.
     pub load: f64,
-    /// Requests of this box on it.
+    /// Number of this box's requests on the server.
     pub own: u32,
-    /// Requests it runs at once.
+    /// Number of requests the server runs concurrently.
     pub slots: f64,
-    /// Smoothed time to its first byte; `None` before the first answer.
+    /// Smoothed time to first byte; `None` before the first answer.
     pub first_byte: Option<Duration>,
 }
 
-/// What a policy knows of the request.
+/// The properties of a request that a policy uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// Hash of the beginning of its prompt, if it has one.
+    /// Hash of the start of the prompt, if the request has a prompt.
     pub prefix: Option<u64>,
 }
 
-/// A way to choose. Gives the index of a candidate; `None` only where there are none.
+/// A load-balancing policy.
 pub trait Policy: Send {
-    /// Chooses among the candidates.
+    /// Returns the index of the chosen candidate; `None` only if `candidates` is empty.
     fn choose(
         &mut self,
         request: Request,
@@ -44,7 +44,7 @@
     ) -> Option<usize>;
 }
 
-/// Any candidate.
+/// Chooses uniformly at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Random;
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Each candidate in turn.
+/// Chooses the candidates in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -77,7 +77,7 @@
     }
 }
 
-/// The candidate with fewest requests of this box.
+/// Chooses the candidate with the fewest requests of this box. Ties are broken at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastInFlight;
 
@@ -88,13 +88,13 @@
         candidates: &[Candidate<'_>],
         rng: &mut impl Rng,
     ) -> Option<usize> {
-        let least = candidates.iter().map(|candidate| candidate.own).min()?;
-        let equal = candidates.iter().enumerate().filter(|(_, candidate)| candidate.own == least);
-        rand::seq::IteratorRandom::choose(equal.map(|(index, _)| index), rng)
+        let fewest = candidates.iter().map(|candidate| candidate.own).min()?;
+        let tied = candidates.iter().enumerate().filter(|(_, candidate)| candidate.own == fewest);
+        rand::seq::IteratorRandom::choose(tied.map(|(index, _)| index), rng)
     }
 }
 
-/// The server that a prefix hashes to, however loaded.
+/// Chooses by rendezvous hash of the prefix, whatever the load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefixHash;
 
@@ -107,21 +107,25 @@
     ) -> Option<usize> {
         match request.prefix {
             None => Random.choose(request, candidates, rng),
-            Some(prefix) => heaviest(prefix, candidates, 0..candidates.len()),
+            Some(prefix) => highest_weight(prefix, candidates, 0..candidates.len()),
         }
     }
 }
 
-/// Of the servers that do not hold well over the average of this box's own
-/// requests, the one that the prefix hashes to; so a prefix that must move always moves to the same next
-/// server, and finds its cache there. Without a prefix, the better of two drawn
-/// at random: that keeps boxes that act on the same old report from all
-/// choosing the same server.
+/// Rendezvous hashing of prefixes with bounded loads.
+///
+/// Only servers whose number of this box's requests stays within a bound around the average are
+/// considered. A prefix that has to move always moves to the same next server, and finds its cache
+/// there.
+///
+/// A request without a prefix goes to the less loaded of two random candidates. That keeps boxes
+/// that act on the same stale load report from all choosing the same server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefixAffinity;
 
-/// Load over the average, as a factor, at which a prefix goes elsewhere.
-const BOUNDED_LOAD: f64 = 1.25;
+/// Load of a server, as a factor of the average load, above which its prefixes move to another
+/// server.
+const LOAD_BOUND_FACTOR: f64 = 1.25;
 
 impl Policy for PrefixAffinity {
     fn choose(
@@ -134,8 +138,8 @@
             return None;
         }
         if let Some(prefix) = request.prefix {
-            let light = light(candidates);
-            if let Some(index) = heaviest(prefix, candidates, light) {
+            let eligible = within_load_bound(candidates);
+            if let Some(index) = highest_weight(prefix, candidates, eligible) {
                 return Some(index);
             }
         }
@@ -146,30 +150,32 @@
     }
 }
 
-fn heaviest(
+fn highest_weight(
     prefix: u64,
     candidates: &[Candidate<'_>],
-    among: impl Iterator<Item = usize>,
+    indices: impl Iterator<Item = usize>,
 ) -> Option<usize> {
-    among.max_by_key(|index| rendezvous::mix(candidates[*index].hash, prefix))
+    indices.max_by_key(|index| rendezvous::mix(candidates[*index].hash, prefix))
 }
 
-/// The servers whose count of this box's own requests stays within the bound.
-/// Own requests are counted exactly; what others do is only known late, and
-/// spreads evenly if every box spreads its own.
-fn light(candidates: &[Candidate<'_>]) -> impl Iterator<Item = usize> {
+/// Returns the servers whose number of this box's requests stays within the bound.
+///
+/// Only this box's own requests are counted, because that count is exact. The load from other boxes
+/// is known late, and it is even if every box balances its own requests.
+fn within_load_bound(candidates: &[Candidate<'_>]) -> impl Iterator<Item = usize> {
     let own: f64 = candidates.iter().map(|candidate| f64::from(candidate.own)).sum();
     let slots: f64 = candidates.iter().map(|candidate| candidate.slots).sum();
-    let per_slot = BOUNDED_LOAD * (own + 1.0) / slots.max(1.0);
+    let per_slot = LOAD_BOUND_FACTOR * (own + 1.0) / slots.max(1.0);
     (0..candidates.len()).filter(move |index| {
         let candidate = &candidates[*index];
         f64::from(candidate.own) + 1.0 <= (per_slot * candidate.slots).ceil()
     })
 }
 
-/// Weight of the late report beside the exact count of own requests.
-const REPORT_WEIGHT: f64 = 0.25;
+/// Weight of the reported load relative to the exact count of this box's requests. Reports are
+/// late.
+const REPORTED_LOAD_WEIGHT: f64 = 0.25;
 
 fn cost(candidate: &Candidate<'_>) -> f64 {
-    (f64::from(candidate.own) + REPORT_WEIGHT * candidate.load) / candidate.slots.max(1.0)
+    (f64::from(candidate.own) + REPORTED_LOAD_WEIGHT * candidate.load) / candidate.slots.max(1.0)
 }
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -420,7 +420,7 @@
 
     /// Refuses what is too late and places what waits and fits.
     pub fn dispatch_queued(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Wake> {
-        let late = self.queue.expired(now).into_iter().map(|waiting| Wake {
+        let late = self.queue.pop_expired(now).into_iter().map(|waiting| Wake {
             id: waiting.id,
             placement: Placement::Refused(Kind::WouldBeLate, Duration::ZERO),
         });
--- a/lib/src/coordination/queue.rs
+++ b/lib/src/coordination/queue.rs
@@ -1,92 +1,93 @@
-//! Requests that wait for a slot: by priority, then earliest deadline.
+//! A bounded queue of requests that wait for a slot.
 //!
-//! The queue is bounded in number and bytes. When it is full, the least urgent
-//! waiting request makes room for a more urgent one. Every so often the turn
-//! goes to the least urgent priority, so that none waits for ever.
+//! Requests are ordered by priority, then by earliest deadline. The number of requests and their
+//! total size are limited. When the queue is full, the least urgent request is evicted to make room
+//! for a more urgent one. At regular intervals the lowest waiting priority is served first, so that
+//! no request starves.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use crate::protocol::config::Priority;
 
-/// One turn in this many goes to the least urgent priority that waits.
-const LEAST_URGENT_TURN: u64 = 16;
+/// One in this many calls of [`Queue::pop`] serves the lowest waiting priority.
+const LOWEST_PRIORITY_INTERVAL: u64 = 16;
 
-/// Names a request within its pool.
+/// Identifies a request within its pool.
 pub type RequestId = u64;
 
-/// A waiting request.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest<T> {
-    /// Which.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// When its answer is of no use any more.
+    /// When the answer is no longer useful.
     pub deadline: Instant,
-    /// Bytes it holds.
+    /// Size of the request in bytes.
     pub bytes: usize,
-    /// What the pool needs to place it.
+    /// The request as the pool needs it for placement.
     pub request: T,
 }
 
-/// A bounded queue.
+/// A bounded priority queue.
 #[derive(Debug)]
 pub struct Queue<T> {
     classes: [BTreeMap<(Instant, RequestId), QueuedRequest<T>>; Priority::ALL.len()],
-    limit: usize,
-    byte_limit: usize,
+    max_len: usize,
+    max_bytes: usize,
     bytes: usize,
-    turns: u64,
+    pops: u64,
 }
 
 impl<T> Queue<T> {
-    /// An empty queue.
-    pub fn new(limit: usize, byte_limit: usize) -> Queue<T> {
+    /// Creates an empty queue.
+    pub fn new(max_len: usize, max_bytes: usize) -> Queue<T> {
         Queue {
             classes: std::array::from_fn(|_| BTreeMap::new()),
-            limit,
-            byte_limit,
+            max_len,
+            max_bytes,
             bytes: 0,
-            turns: 0,
+            pops: 0,
         }
     }
 
-    /// Changes the bounds; what waits stays.
-    pub fn set_limits(&mut self, limit: usize, byte_limit: usize) {
-        self.limit = limit;
-        self.byte_limit = byte_limit;
+    /// Changes the limits. Requests that are already queued stay.
+    pub fn set_limits(&mut self, max_len: usize, max_bytes: usize) {
+        self.max_len = max_len;
+        self.max_bytes = max_bytes;
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.classes.iter().map(BTreeMap::len).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.classes.iter().all(BTreeMap::is_empty)
     }
 
-    /// Requests that would go before one of this priority and deadline.
+    /// Returns how many queued requests would be served before one of this priority and deadline.
     pub fn ahead(&self, priority: Priority, deadline: Instant) -> usize {
         let more_urgent: usize =
             self.classes[priority as usize + 1..].iter().map(BTreeMap::len).sum();
         more_urgent + self.classes[priority as usize].range(..(deadline, 0)).count()
     }
 
-    /// Adds a request. Gives back those that lost their place; the request
-    /// itself among them where it is the least urgent and there is no room.
+    /// Adds a request and returns the evicted requests. If the queue is full and the new request is
+    /// the least urgent, it is among them.
     pub fn push(&mut self, waiting: QueuedRequest<T>) -> Vec<QueuedRequest<T>> {
         self.bytes += waiting.bytes;
         let class = waiting.priority as usize;
         self.classes[class].insert((waiting.deadline, waiting.id), waiting);
-        let mut out = Vec::new();
-        while self.len() > self.limit || self.bytes > self.byte_limit {
+        let mut removed = Vec::new();
+        while self.len() > self.max_len || self.bytes > self.max_bytes {
             let Some(last) = self.pop_least_urgent() else { break };
-            out.push(last);
+            removed.push(last);
         }
-        out
+        removed
     }
 
     fn pop_least_urgent(&mut self) -> Option<QueuedRequest<T>> {
@@ -96,10 +97,10 @@
         Some(waiting)
     }
 
-    /// Takes the next request whose turn it is.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<QueuedRequest<T>> {
-        self.turns += 1;
-        let least_urgent = self.turns.is_multiple_of(LEAST_URGENT_TURN);
+        self.pops += 1;
+        let least_urgent = self.pops.is_multiple_of(LOWEST_PRIORITY_INTERVAL);
         let mut waiting = self.classes.iter_mut().filter(|class| !class.is_empty());
         let class = if least_urgent { waiting.next() } else { waiting.next_back() }?;
         let (_, next) = class.pop_first()?;
@@ -107,31 +108,31 @@
         Some(next)
     }
 
-    /// Puts back a request that was taken and could not be placed; the turn
-    /// is still to be had.
+    /// Puts back a request that could not be placed, and undoes its [`Queue::pop`], so that the
+    /// turn of the lowest priority isn't lost.
     pub fn put_back(&mut self, waiting: QueuedRequest<T>) {
-        self.turns -= 1;
+        self.pops -= 1;
         self.bytes += waiting.bytes;
         let class = waiting.priority as usize;
         self.classes[class].insert((waiting.deadline, waiting.id), waiting);
     }
 
-    /// Removes a request whose caller went away.
+    /// Removes a request whose caller has disconnected. Returns whether it was queued.
     pub fn remove(&mut self, id: RequestId, priority: Priority, deadline: Instant) -> bool {
         let removed = self.classes[priority as usize].remove(&(deadline, id));
         self.bytes -= removed.as_ref().map_or(0, |waiting| waiting.bytes);
         removed.is_some()
     }
 
-    /// Takes out all whose deadline has passed.
-    pub fn expired(&mut self, now: Instant) -> Vec<QueuedRequest<T>> {
-        let mut out = Vec::new();
+    /// Removes and returns all requests whose deadline has passed.
+    pub fn pop_expired(&mut self, now: Instant) -> Vec<QueuedRequest<T>> {
+        let mut removed = Vec::new();
         for class in &mut self.classes {
             while class.first_key_value().is_some_and(|((deadline, _), _)| *deadline <= now) {
-                out.extend(class.pop_first().map(|(_, waiting)| waiting));
+                removed.extend(class.pop_first().map(|(_, waiting)| waiting));
             }
         }
-        self.bytes -= out.iter().map(|waiting| waiting.bytes).sum::<usize>();
-        out
+        self.bytes -= removed.iter().map(|waiting| waiting.bytes).sum::<usize>();
+        removed
     }
 }
--- a/lib/src/coordination/rate_limiter.rs
+++ b/lib/src/coordination/rate_limiter.rs
@@ -1,11 +1,10 @@
-//! Limits of teams, over all boxes, without a call on the request path.
+//! Rate limits of teams over all boxes, without a remote call on the request path.
 //!
-//! Each box takes a share of a team's rate in proportion to the demand it sees
-//! among the demand that all boxes report, and a small even part so that a
-//! first request is never refused for lack of history. Shares add up to the
-//! rate when the boxes agree on the demand; while they do not, the sum is off
-//! by at most what the demand moved within one report. A box that hears from
-//! nobody keeps the share that it had.
+//! Each box takes a share of a team's rate. The share is proportional to the box's part of the
+//! demand that all boxes report, plus a small even share, so that a first request is never refused
+//! for lack of history. The shares add up to the rate when all boxes agree on the demand. While
+//! they don't, the sum is off by at most the change in demand within one report. A box that
+//! receives no reports keeps its share.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,14 +17,14 @@
 use crate::protocol::name_hash;
 use crate::protocol::peer::Demand;
 
-/// Part of a rate that is split evenly, whatever the demand.
-const EVEN_PART: f64 = 0.1;
+/// Part of a rate that is split evenly between the boxes, whatever the demand.
+const EVEN_SHARE: f64 = 0.1;
 /// Weight of the latest period in the smoothed demand.
-const SMOOTHING: f64 = 0.3;
-/// Most teams in one heartbeat, those with most demand.
-const REPORTED_TEAMS: usize = 24;
-/// How long a bucket may save up.
-const BURST: Duration = Duration::from_secs(1);
+const DEMAND_SMOOTHING_WEIGHT: f64 = 0.3;
+/// Maximum number of teams in one heartbeat. The teams with the highest demand are reported.
+const MAX_REPORTED_TEAMS: usize = 24;
+/// Time over which a bucket may accumulate tokens.
+const BURST_PERIOD: Duration = Duration::from_secs(1);
 
 struct TeamState {
     bucket: TokenBucket,
@@ -34,19 +33,18 @@
     per_minute: f64,
 }
 
-/// The limits that one box applies.
+/// The rate limits as one box applies them.
 #[derive(Default)]
 pub struct RateLimiter {
     teams: HashMap<TeamId, TeamState>,
-    others: HashMap<BoxId, HashMap<NameHash, u32>>,
+    demand_by_box: HashMap<BoxId, HashMap<NameHash, u32>>,
 }
 
 impl RateLimiter {
-    /// Admits a request of a team whose rate over all boxes is `rate`, or says
-    /// when to come back.
+    /// Admits a request of a team whose rate over all boxes is `rate`, or returns when to retry.
     pub fn admit(&mut self, team: &TeamId, rate: f64, now: Instant) -> Result<(), Duration> {
         if !self.teams.contains_key(team) {
-            let state = self.fresh(team, rate, now);
+            let state = self.new_team_state(team, rate, now);
             self.teams.insert(team.clone(), state);
         }
         let Some(state) = self.teams.get_mut(team) else { return Ok(()) };
@@ -55,28 +53,29 @@
         state.bucket.take(1.0, now)
     }
 
-    fn fresh(&self, team: &TeamId, rate: f64, now: Instant) -> TeamState {
+    fn new_team_state(&self, team: &TeamId, rate: f64, now: Instant) -> TeamState {
         let share = rate * self.share(team, 0.0);
         TeamState { bucket: bucket(share, now), rate, arrivals: 0, per_minute: 0.0 }
     }
 
-    /// A box said what demand it sees.
+    /// Records the demand that another box reports.
     pub fn record_demands(&mut self, from: &BoxId, demands: &[Demand]) {
         let demands = demands.iter().map(|demand| (demand.team, demand.per_minute));
-        self.others.insert(from.clone(), demands.collect());
+        self.demand_by_box.insert(from.clone(), demands.collect());
     }
 
-    /// Boxes that left or were replaced have no share any more.
+    /// Drops the demand of boxes that `keep` rejects. Boxes that have left or were replaced get no
+    /// share.
     pub fn retain_boxes(&mut self, keep: impl Fn(&BoxId) -> bool) {
-        self.others.retain(|name, _| keep(name));
+        self.demand_by_box.retain(|name, _| keep(name));
     }
 
-    /// Works out the shares anew; call once a period.
+    /// Recomputes the shares. Must be called once per period.
     pub fn tick(&mut self, period: Duration, now: Instant) {
         let per_minute = 60.0 / period.as_secs_f64();
         for state in self.teams.values_mut() {
             let latest = f64::from(std::mem::take(&mut state.arrivals)) * per_minute;
-            state.per_minute += SMOOTHING * (latest - state.per_minute);
+            state.per_minute += DEMAND_SMOOTHING_WEIGHT * (latest - state.per_minute);
         }
         let shares: Vec<(TeamId, f64)> = self
             .teams
@@ -86,7 +85,7 @@
         for (team, share) in shares {
             if let Some(state) = self.teams.get_mut(&team) {
                 let rate = state.rate * share;
-                state.bucket.set(rate, burst(rate), now);
+                state.bucket.reconfigure(rate, burst(rate), now);
             }
         }
         self.teams.retain(|_, state| state.per_minute > 0.01);
@@ -95,19 +94,19 @@
     fn share(&self, team: &TeamId, own: f64) -> f64 {
         let hash = name_hash(team);
         let others: f64 = self
-            .others
+            .demand_by_box
             .values()
             .filter_map(|demands| demands.get(&hash))
             .map(|per_minute| f64::from(*per_minute))
             .sum();
-        let boxes = self.others.len() as f64 + 1.0;
+        let boxes = self.demand_by_box.len() as f64 + 1.0;
         if own + others <= 0.0 {
             return 1.0 / boxes;
         }
-        EVEN_PART / boxes + (1.0 - EVEN_PART) * own / (own + others)
+        EVEN_SHARE / boxes + (1.0 - EVEN_SHARE) * own / (own + others)
     }
 
-    /// The demand to report, largest first.
+    /// Returns the demand to report, highest first.
     pub fn demands(&self) -> Vec<Demand> {
         let mut demands: Vec<Demand> = self
             .teams
@@ -118,13 +117,13 @@
             })
             .collect();
         demands.sort_by(|a, b| (b.per_minute, a.team).cmp(&(a.per_minute, b.team)));
-        demands.truncate(REPORTED_TEAMS);
+        demands.truncate(MAX_REPORTED_TEAMS);
         demands
     }
 }
 
 fn burst(rate: f64) -> f64 {
-    (rate * BURST.as_secs_f64()).max(1.0)
+    (rate * BURST_PERIOD.as_secs_f64()).max(1.0)
 }
 
 fn bucket(rate: f64, now: Instant) -> TokenBucket {
--- a/lib/src/coordination/rollout.rs
+++ b/lib/src/coordination/rollout.rs
@@ -1,8 +1,8 @@
-//! Which version of the configuration is in force on a box.
+//! The configuration version in force on a box.
 //!
-//! A version only ever grows. A fresh box asks the store and every peer of its
-//! region that it can find, and is ready with the newest of the answers that
-//! come in time; with the store out, peers are enough.
+//! The version only increases. A box that starts queries the store and every peer of its region
+//! that it can find, and becomes ready with the newest of the answers that arrive in time. If the
+//! store is unavailable, the peers are enough.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,62 +11,63 @@
 use super::invariant::Invariant;
 use crate::protocol::Version;
 
-/// What to do with an offered version.
+/// Result of comparing an offered version with the one in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Offer {
-    /// Newer: put it in force.
+    /// The offered version is newer and should be put in force.
     Adopt,
-    /// The one in force.
+    /// The offered version is in force.
     Same,
-    /// Older: ignore it.
+    /// The offered version is older and should be ignored.
     Older,
 }
 
-/// State of a box's configuration.
+/// Tracks the configuration version of one box.
 #[derive(Debug)]
 pub struct Rollout {
     version: Version,
-    asked: usize,
-    answered: usize,
+    queries_started: usize,
+    queries_finished: usize,
     give_up_at: Option<Instant>,
     ready: bool,
     older_offers: u64,
 }
 
 impl Rollout {
-    /// A fresh box, which waits for `wait` at most for slow answers once it has one.
+    /// Creates the state of a box without a configuration. Once it has one, it waits for slow
+    /// answers until `wait` has passed since `now`.
     pub fn new(now: Instant, wait: Duration) -> Rollout {
         Rollout {
             version: 0,
-            asked: 0,
-            answered: 0,
+            queries_started: 0,
+            queries_finished: 0,
             give_up_at: Some(now + wait),
             ready: false,
             older_offers: 0,
         }
     }
 
-    /// Version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Offers of an older version so far.
+    /// Returns how many offers had an older version.
     pub fn older_offers(&self) -> u64 {
         self.older_offers
     }
 
-    /// One more source was asked at the start.
+    /// Records that a source was queried at startup.
     pub fn query_started(&mut self) {
-        self.asked += 1;
+        self.queries_started += 1;
     }
 
-    /// One of them answered, or failed.
+    /// Records that a query has succeeded or failed.
     pub fn query_finished(&mut self) {
-        self.answered += 1;
+        self.queries_finished += 1;
     }
 
-    /// Weighs an offered version.
+    /// Compares an offered version with the one in force.
     pub fn check_offer(&mut self, version: Version) -> Offer {
         match version.cmp(&self.version) {
             std::cmp::Ordering::Greater => Offer::Adopt,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// A version was put in force.
+    /// Records that a version was put in force.
     pub fn adopt(&mut self, version: Version) {
         invariant::check(Invariant::VersionGrows, version > self.version, || {
             format!("from={} to={version}", self.version)
@@ -86,15 +87,16 @@
         self.version = self.version.max(version);
     }
 
-    /// Whether the box may serve: it has a configuration, and all that it
-    /// asked have answered or had their time.
+    /// Returns whether the box may serve: it has a configuration, and all queries have finished or
+    /// timed out.
     pub fn ready(&mut self, now: Instant) -> bool {
         if self.ready {
             return true;
         }
-        let all_in = self.asked > 0 && self.answered >= self.asked;
-        let time_over = self.give_up_at.is_some_and(|at| now >= at);
-        self.ready = self.version > 0 && (all_in || time_over);
+        let all_finished =
+            self.queries_started > 0 && self.queries_finished >= self.queries_started;
+        let timed_out = self.give_up_at.is_some_and(|at| now >= at);
+        self.ready = self.version > 0 && (all_finished || timed_out);
         self.ready
     }
 }
--- a/lib/src/coordination/ticket.rs
+++ b/lib/src/coordination/ticket.rs
@@ -1,10 +1,9 @@
-//! Tickets: idempotency keys that need no store.
+//! Tickets: idempotency keys that need no shared store.
 //!
-//! A ticket names the box that handed it out and that box's incarnation. Only
-//! that incarnation runs it, and remembers in its own memory that it did. When
-//! the incarnation is gone, nobody runs it any more: the answer is "unknown",
-//! never a second run. A ticket has a life, counted on the owner's clock, so
-//! that the owner may forget.
+//! A ticket names the box that issued it and the incarnation of that box. Only that incarnation
+//! runs the request, and it remembers in memory that it did. Once the incarnation is gone, no box
+//! runs the request: the answer is "unknown", never a second run. A ticket has a lifetime, measured
+//! on the owner's clock, after which the owner may forget it.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,32 +11,33 @@
 use crate::protocol::BoxId;
 use crate::protocol::Incarnation;
 
-const PREFIX: &str = "cw1";
+const KEY_PREFIX: &str = "cw1";
 
-/// A ticket.
+/// An idempotency key issued by a box.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Ticket {
-    /// Box that handed it out.
+    /// The box that issued the ticket.
     pub owner: BoxId,
     /// Incarnation of that box.
     pub incarnation: Incarnation,
-    /// When it was handed out: time since the owner's start, whole milliseconds.
+    /// When the ticket was issued: time since the owner's start, in whole milliseconds.
     pub issued: Duration,
-    /// Tells tickets of the same millisecond apart.
+    /// Distinguishes tickets issued in the same millisecond.
     pub nonce: u64,
 }
 
-/// A key that begins like a ticket and is none.
+/// The key has the prefix of a ticket but can't be parsed as one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the key begins with \"cw1.\" but is not a ticket")]
 pub struct MalformedTicket;
 
 impl Ticket {
-    /// Reads a key; `None` for a key of the caller's own.
+    /// Parses a key. Returns `None` for a key that the caller chose itself.
     pub fn parse(key: &str) -> Result<Option<Ticket>, MalformedTicket> {
         let mut parts = key.rsplit('.');
         let (nonce, issued, incarnation) = (parts.next(), parts.next(), parts.next());
-        let Some(rest) = key.strip_prefix(PREFIX).and_then(|rest| rest.strip_prefix('.')) else {
+        let Some(rest) = key.strip_prefix(KEY_PREFIX).and_then(|rest| rest.strip_prefix('.'))
+        else {
             return Ok(None);
         };
         let hex = |part: Option<&str>| {
@@ -56,6 +56,6 @@
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let issued = self.issued.as_millis();
-        write!(f, "{PREFIX}.{}.{:x}.{issued:x}.{:x}", self.owner, self.incarnation, self.nonce)
+        write!(f, "{KEY_PREFIX}.{}.{:x}.{issued:x}.{:x}", self.owner, self.incarnation, self.nonce)
     }
 }
--- a/lib/src/coordination/token_bucket.rs
+++ b/lib/src/coordination/token_bucket.rs
@@ -1,39 +1,40 @@
-//! A token bucket, the one behind team limits and retry budgets.
+//! A token bucket, used for team rate limits and retry budgets.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Tokens that come back at a rate, up to a burst.
+/// Tokens that refill at a fixed rate, up to a maximum.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
     rate: f64,
     burst: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket; `rate` in tokens a second.
+    /// Creates a full bucket. `rate` is in tokens per second; `burst` is the maximum number of
+    /// tokens.
     pub fn new(rate: f64, burst: f64, now: Instant) -> TokenBucket {
-        TokenBucket { tokens: burst, rate, burst, filled_at: now }
+        TokenBucket { tokens: burst, rate, burst, refilled_at: now }
     }
 
-    /// Changes rate and burst; keeps what is in the bucket, up to the new burst.
-    pub fn set(&mut self, rate: f64, burst: f64, now: Instant) {
-        self.fill(now);
+    /// Changes the rate and the maximum. Keeps the tokens in the bucket, up to the new maximum.
+    pub fn reconfigure(&mut self, rate: f64, burst: f64, now: Instant) {
+        self.refill(now);
         self.rate = rate;
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Adds tokens, up to the burst.
+    /// Adds tokens, up to the maximum.
     pub fn add(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.burst);
     }
 
-    /// Takes tokens, or says how long until there are as many.
+    /// Takes tokens, or returns the time until enough are available.
     pub fn take(&mut self, tokens: f64, now: Instant) -> Result<(), Duration> {
-        self.fill(now);
+        self.refill(now);
         if self.tokens >= tokens {
             self.tokens -= tokens;
             return Ok(());
@@ -42,9 +43,9 @@
         Err(Duration::try_from_secs_f64(missing / self.rate).unwrap_or(Duration::MAX))
     }
 
-    fn fill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
-        self.add(passed.as_secs_f64() * self.rate);
+    fn refill(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
+        self.add(elapsed.as_secs_f64() * self.rate);
     }
 }
--- a/lib/src/gateway/elsewhere.rs
+++ b/lib/src/gateway/elsewhere.rs
@@ -13,7 +13,7 @@
 use super::job::Origin;
 use super::shared::Shared;
 use super::shared::lock;
-use crate::coordination::overflow::Utilization;
+use crate::coordination::regions::Utilization;
 use crate::coordination::rendezvous;
 use crate::coordination::text::Text;
 use crate::protocol::adapter::Adapter;
--- a/lib/tests/test_overflow.rs
+++ b/lib/tests/test_overflow.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::overflow::RegionUtilization;
-use copperweir_lib::coordination::overflow::Utilization;
+use copperweir_lib::coordination::regions::RegionUtilization;
+use copperweir_lib::coordination::regions::Utilization;
 use proptest::prelude::*;
 
 const SERVICE: u64 = 7;
