--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -1,22 +1,21 @@
-//! Limits of teams over all boxes, without a call on the request path.
+//! Limits of teams over all boxes, without a remote call on the request path.
 //!
-//! Each box keeps an account of every team that it hears of: what the limit,
-//! taken as one bucket for all boxes, has left. Boxes of a region tell each other
-//! what they let in, as counts that only grow, so that a lost datagram is made up
-//! for by the next one; of the other regions a box hears how much they let in a
-//! second. A request is let in while there is something left, and may leave the
-//! account in debt, since it can be larger than a burst.
+//! Each box keeps an account for every team it knows of. The account holds what remains of the
+//! team's limit, seen as one token bucket for all boxes. Boxes of a region send each other the
+//! number of units they admitted, as counters that only increase, so that the next datagram makes
+//! up for a lost one. From other regions a box receives only their admission rates. A request is
+//! admitted while something remains. It may leave the account in debt, because a request can be
+//! larger than the burst.
 //!
-//! While all boxes together are asked for more than the limit, news that is some
-//! tenths of a second old would let them all in at once. So a box then keeps to its
-//! part of the limit, by the part of the demand that it sees, as soon as the account
-//! runs low. Boxes or regions that fall silent keep the part that they had, and the
-//! others keep to the rest: whoever they are cut off from does the same by the same
-//! figures.
+//! While the total demand exceeds the limit, boxes that act on reports a few tenths of a second old
+//! would all admit requests at once. A box whose account runs low therefore keeps to its own share
+//! of the limit, in proportion to the demand it sees. Boxes and regions that become unreachable
+//! keep the share that they had, and the others keep to the rest. The boxes on the other side of a
+//! partition do the same with the same figures.
 //!
-//! What this answers: a team that asks for several times its usual, beside a limit
-//! of a few requests a second and more boxes than that. Even parts of such a limit
-//! are smaller than one request.
+//! The case that this design has to handle is a team that requests several times its usual amount,
+//! with a limit of a few requests per second and more boxes than that. An even share of such a
+//! limit is less than one request.
 
 mod account;
 mod source;
@@ -26,118 +25,126 @@
 use std::time::Instant;
 
 use self::account::Account;
+use self::account::AdmitParams;
 pub use self::account::Refusal;
-use self::account::Terms;
 use self::source::Source;
-use self::source::Word;
+use self::source::Usage;
 use crate::protocol::RegionId;
 use crate::protocol::team::Limit;
 
-/// What stands for a team in datagrams.
+/// Identifies a team in datagrams.
 pub type TeamHash = u64;
 
-/// How long one that is silent keeps its part: longer than anything that a limit is measured over.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Part of what a window may hold beyond the limit that an account may be in debt. The rest is for
-/// what boxes let in before they hear of each other.
-const DEBT: f64 = 0.1;
-/// Part of a limit that boxes share evenly, so that one that had no demand can serve some.
-const EVEN: f64 = 0.1;
-/// The same when they fall silent: demand moves on then, and no one hears of it.
-const EVEN_IN_SILENCE: f64 = 0.3;
-/// How long after its start a box keeps to an even part, since it has heard of no one's demand.
-const FRESH: Duration = Duration::from_millis(700);
-/// How long after its start a box has heard what the others of its region let in.
-const HEARD_ALL: Duration = Duration::from_millis(600);
-/// Age at which what a region was said to let in no longer counts: it lets in nothing now, or is
-/// about to count as silent.
-const FLOW_LIFE: Duration = Duration::from_secs(2);
-/// How often a count is told again without having changed: some datagrams are lost.
-const REPEATS: u32 = 1;
-/// Most teams in one report, so that 480 teams do not outgrow a datagram: 25 bytes each. Of a region
-/// those are told that are nearest to their limits; the counts of others wait for the next report.
-const TOLD: usize = 64;
-/// Reports after its start within which all that a box has let in is new to those that hear it first.
+/// Time for which an unreachable box or region keeps its share. It is longer than any window that a
+/// limit is measured over.
+const UNREACHABLE_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum debt of an account, as a share of the units that a window may hold beyond the limit. The
+/// rest covers what boxes admit before they receive each other's reports.
+const MAX_DEBT_SHARE: f64 = 0.1;
+/// Part of a limit that boxes share evenly, so that a box without previous demand can admit some
+/// requests.
+const EVEN_SHARE: f64 = 0.1;
+/// Part of a limit that is shared evenly with unreachable boxes. Their demand changes without being
+/// reported.
+const UNREACHABLE_EVEN_SHARE: f64 = 0.3;
+/// Time after its start for which a box keeps to an even share, because it has no reports of other
+/// boxes' demand yet.
+const STARTUP_PERIOD: Duration = Duration::from_millis(700);
+/// Time after its start at which a box has received the usage of the other boxes of its region.
+const USAGE_COMPLETE_AFTER: Duration = Duration::from_millis(600);
+/// Age at which the reported admission rate of a region is ignored: the region admits nothing now,
+/// or is about to count as unreachable.
+const REGION_USAGE_LIFETIME: Duration = Duration::from_secs(2);
+/// How often an unchanged counter is reported again, because some datagrams are lost.
+const USAGE_REPEATS: u32 = 1;
+/// Maximum number of teams in one report, at 25 bytes each, so that the report of 480 teams fits in
+/// a datagram. Reports to other regions contain the teams closest to their limits. Counters that
+/// don't fit wait for the next report.
+const MAX_REPORTED_TEAMS: usize = 64;
+/// Number of first reports of a box in which all units that it has admitted count as new to a box
+/// that receives them for the first time.
 const FIRST_REPORTS: u64 = 10;
 
-/// What a box tells those of its region of a team.
+/// Usage of a team on one box, as reported to the other boxes of its region.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct BoxUsage {
     /// The team.
     #[prost(fixed64, tag = "1")]
     pub team: TeamHash,
-    /// Units let in since the sender's start.
+    /// Units admitted since the sender started.
     #[prost(uint64, tag = "2")]
     pub admitted: u64,
-    /// Units a second that it is asked for.
+    /// Units per second requested from the sender.
     #[prost(uint64, tag = "3")]
     pub demand: u64,
-    /// The same over a longer time.
+    /// Units per second requested from the sender, smoothed over a longer time.
     #[prost(uint64, tag = "4")]
     pub usual: u64,
 }
 
-/// What a box tells those of other regions of a team, about all boxes of its own.
+/// Usage of a team on all boxes of a region, as reported to other regions.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct RegionUsage {
     /// The team.
     #[prost(fixed64, tag = "1")]
     pub team: TeamHash,
-    /// Units a second let in.
+    /// Units per second admitted.
     #[prost(uint64, tag = "2")]
     pub admitted: u64,
-    /// Units a second asked for.
+    /// Units per second requested.
     #[prost(uint64, tag = "3")]
     pub demand: u64,
-    /// The same over a longer time.
+    /// Units per second requested, smoothed over a longer time.
     #[prost(uint64, tag = "4")]
     pub usual: u64,
 }
 
-/// Who tells counts.
+/// Identifies a report.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportId {
-    /// What stands for the box.
+    /// Hash of the sending box.
     pub sender: u64,
-    /// Its start; a newer one supersedes.
+    /// Start of the sending box. Reports of a newer incarnation supersede older ones.
     pub incarnation: u64,
-    /// Number of the report in this life.
+    /// Number of the report within the incarnation.
     pub number: u64,
 }
 
-/// What holds for the limits of all teams.
+/// Parameters for the limits of all teams.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
-    /// Units that a window may hold beyond the limit of a team, whatever that is.
+    /// Units that a window may hold beyond a team's limit, whatever the limit is.
     pub slack: f64,
-    /// Drawn from 0 to 1 by each box: how much of its first request it owes when it begins to keep to
-    /// its part, so that boxes with a part smaller than a request do not all let one in at once.
+    /// A random number from 0 to 1, drawn by each box: the part of its first request that the box
+    /// owes when it begins to keep to its share. It prevents boxes whose share is less than a
+    /// request from all admitting one at once.
     pub dither: f64,
 }
 
-/// How many boxes there are.
+/// Number of boxes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FleetSize {
-    /// Boxes of all regions, this one included.
+    /// Number of boxes of all regions, this one included.
     pub boxes: usize,
-    /// Reports until each box of this region has got one.
+    /// Number of reports after which each box of this region has received one.
     pub rounds: u32,
 }
 
-/// What others say of a team, in units a second, and the part of its limit that silent ones keep.
+/// Demand for a team on other boxes, in units per second, and the share of the limit that
+/// unreachable boxes and regions keep.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    beside: f64,
-    usual_beside: f64,
-    elsewhere: f64,
-    silent: f64,
+struct OtherDemand {
+    same_region: f64,
+    same_region_usual: f64,
+    other_regions: f64,
+    unreachable_share: f64,
 }
 
-/// The accounts of one box.
+/// The accounts of all teams on one box.
 #[derive(Debug)]
 pub struct Quotas {
     started_at: Instant,
-    bound: Tolerance,
+    tolerance: Tolerance,
     fleet: FleetSize,
     accounts: HashMap<TeamHash, Account>,
     boxes: HashMap<u64, Source>,
@@ -145,12 +152,12 @@
 }
 
 impl Quotas {
-    /// No accounts yet, in a box that started then. What others let in before is not known, so an
-    /// account begins with what has come in since.
-    pub fn new(bound: Tolerance, started_at: Instant) -> Quotas {
+    /// Creates the accounts of a box that started at `started_at`. It isn't known what other boxes
+    /// admitted before, so an account begins with what has been refilled since then.
+    pub fn new(tolerance: Tolerance, started_at: Instant) -> Quotas {
         Quotas {
             started_at,
-            bound,
+            tolerance,
             fleet: FleetSize { boxes: 1, rounds: 1 },
             accounts: HashMap::new(),
             boxes: HashMap::new(),
@@ -159,11 +166,11 @@
     }
 
     fn account(&mut self, team: TeamHash) -> &mut Account {
-        let (started_at, part) = (self.started_at, 1.0 / self.fleet.boxes.max(1) as f64);
-        self.accounts.entry(team).or_insert_with(|| Account::new(started_at, part))
+        let (started_at, share) = (self.started_at, 1.0 / self.fleet.boxes.max(1) as f64);
+        self.accounts.entry(team).or_insert_with(|| Account::new(started_at, share))
     }
 
-    /// Lets a request of a team in, or says when to come back.
+    /// Admits a request of a team, or returns when to retry.
     pub fn admit(
         &mut self,
         team: TeamHash,
@@ -171,154 +178,162 @@
         cost: f64,
         now: Instant,
     ) -> Result<(), Refusal> {
-        let terms = Terms {
-            debt: self.bound.slack * DEBT,
-            dither: self.bound.dither,
-            fresh: now < self.started_at + FRESH,
+        let params = AdmitParams {
+            debt: self.tolerance.slack * MAX_DEBT_SHARE,
+            dither: self.tolerance.dither,
+            starting_up: now < self.started_at + STARTUP_PERIOD,
         };
-        self.account(team).admit(limit, cost, terms, now)
+        self.account(team).admit(limit, cost, params, now)
     }
 
-    /// A request that was let in has reached no server.
+    /// Returns the units of an admitted request that reached no server.
     pub fn refund(&mut self, team: TeamHash, cost: f64) {
         self.account(team).refund(cost);
     }
 
-    /// A box of this region says what it let in.
-    pub fn record_box_usage(&mut self, teller: ReportId, counts: &[BoxUsage], now: Instant) {
-        let ReportId { sender, incarnation, number } = teller;
-        let known = self.boxes.get(&sender).map(|source| (source.incarnation, source.number));
-        if known.is_some_and(|known| known >= (incarnation, number)) {
+    /// Records the usage that another box of this region reports.
+    pub fn record_box_usage(&mut self, report_id: ReportId, usages: &[BoxUsage], now: Instant) {
+        let ReportId { sender, incarnation, number } = report_id;
+        let previous_id = self.boxes.get(&sender).map(|source| (source.incarnation, source.number));
+        if previous_id.is_some_and(|previous_id| previous_id >= (incarnation, number)) {
             return;
         }
-        let same_life = known.is_some_and(|(life, _)| life == incarnation);
+        let same_incarnation = previous_id
+            .is_some_and(|(previous_incarnation, _)| previous_incarnation == incarnation);
         let source = self.boxes.entry(sender).or_insert_with(|| Source::new(now));
-        if !same_life {
-            source.words.clear();
+        if !same_incarnation {
+            source.usage_by_team.clear();
         }
         (source.incarnation, source.number) = (incarnation, number);
-        source.heard_at = now;
-        source.parts = None;
-        let from_start = same_life || number <= FIRST_REPORTS;
-        let mut news = Vec::new();
-        for count in counts {
-            let admitted = count.admitted as f64;
-            let (demand, usual) = (count.demand as f64, count.usual as f64);
-            let word = Word { admitted, demand, usual, at: now };
-            let before = source.words.insert(count.team, word).map(|word| word.admitted);
-            let before = before.unwrap_or(if from_start { 0.0 } else { admitted });
-            news.push((count.team, admitted - before));
+        source.last_report_at = now;
+        source.retained_shares = None;
+        let counts_from_zero = same_incarnation || number <= FIRST_REPORTS;
+        let mut increments = Vec::new();
+        for reported in usages {
+            let admitted = reported.admitted as f64;
+            let (demand, usual) = (reported.demand as f64, reported.usual as f64);
+            let usage = Usage { admitted, demand, usual, at: now };
+            let previous =
+                source.usage_by_team.insert(reported.team, usage).map(|usage| usage.admitted);
+            let previous = previous.unwrap_or(if counts_from_zero { 0.0 } else { admitted });
+            increments.push((reported.team, admitted - previous));
         }
-        for (team, units) in news {
+        for (team, units) in increments {
             let account = self.account(team);
-            account.fill(now);
+            account.refill(now);
             account.remaining -= units;
-            account.in_region.add(units, now);
+            account.region_admitted.add(units, now);
         }
     }
 
-    /// A box of another region says what its region lets in.
-    pub fn record_region_usage(&mut self, region: &RegionId, flows: &[RegionUsage], now: Instant) {
+    /// Records the usage that another region reports.
+    pub fn record_region_usage(&mut self, region: &RegionId, usages: &[RegionUsage], now: Instant) {
         let source = self.regions.entry(region.clone()).or_insert_with(|| Source::new(now));
-        source.heard_at = now;
-        source.parts = None;
-        let word = |flow: &RegionUsage| Word {
-            admitted: flow.admitted as f64,
-            demand: flow.demand as f64,
-            usual: flow.usual as f64,
+        source.last_report_at = now;
+        source.retained_shares = None;
+        let usage = |reported: &RegionUsage| Usage {
+            admitted: reported.admitted as f64,
+            demand: reported.demand as f64,
+            usual: reported.usual as f64,
             at: now,
         };
-        source.words.extend(flows.iter().map(|flow| (flow.team, word(flow))));
-        let told: Vec<TeamHash> = flows.iter().map(|flow| flow.team).collect();
-        for team in told {
+        source.usage_by_team.extend(usages.iter().map(|reported| (reported.team, usage(reported))));
+        let teams: Vec<TeamHash> = usages.iter().map(|reported| reported.team).collect();
+        for team in teams {
             self.account(team);
         }
-        self.count_elsewhere(now);
+        self.update_other_regions(now);
     }
 
-    fn count_elsewhere(&mut self, now: Instant) {
+    fn update_other_regions(&mut self, now: Instant) {
         for (team, account) in &mut self.accounts {
-            account.fill(now);
-            let heard = self.regions.values().filter(|source| !source.is_silent(now));
-            let words = heard.filter_map(|source| source.words.get(team));
-            let recent = words.filter(|word| now < word.at + FLOW_LIFE);
-            account.elsewhere = recent.map(|word| word.admitted).sum();
+            account.refill(now);
+            let reachable = self.regions.values().filter(|source| !source.is_unreachable(now));
+            let usages = reachable.filter_map(|source| source.usage_by_team.get(team));
+            let recent = usages.filter(|usage| now < usage.at + REGION_USAGE_LIFETIME);
+            account.other_regions_admitted = recent.map(|usage| usage.admitted).sum();
         }
     }
 
-    /// Works out the parts anew; call some times a second.
+    /// Recomputes the shares. Must be called several times per second.
     pub fn tick(&mut self, fleet: FleetSize, now: Instant) {
         self.fleet = fleet;
-        self.boxes.retain(|_, source| now < source.heard_at + MEMORY);
-        self.regions.retain(|_, source| now < source.heard_at + MEMORY);
-        self.freeze(now);
-        self.count_elsewhere(now);
-        let heard = self.heard(now);
-        let boxes = self.boxes.values().filter(|source| !source.is_silent(now)).count() + 1;
-        let even = EVEN / (boxes * (self.regions.len() + 1)) as f64;
+        self.boxes.retain(|_, source| now < source.last_report_at + UNREACHABLE_RETENTION);
+        self.regions.retain(|_, source| now < source.last_report_at + UNREACHABLE_RETENTION);
+        self.retain_unreachable_shares(now);
+        self.update_other_regions(now);
+        let others = self.other_demand(now);
+        let boxes = self.boxes.values().filter(|source| !source.is_unreachable(now)).count() + 1;
+        let even_share = EVEN_SHARE / (boxes * (self.regions.len() + 1)) as f64;
         for (team, account) in &mut self.accounts {
-            let heard = heard.get(team).copied().unwrap_or_default();
+            let others = others.get(team).copied().unwrap_or_default();
             let own = account.demand.get(now);
-            account.silent = heard.silent.min(1.0);
-            account.region_demand = own + heard.beside;
-            account.region_usual = account.usual.since_start(now) + heard.usual_beside;
-            account.all_demand = account.region_demand + heard.elsewhere;
-            let by_demand = if account.all_demand > 0.0 { own / account.all_demand } else { 0.0 };
-            account.part = (even + (1.0 - EVEN) * by_demand) * (1.0 - account.silent);
+            account.unreachable_share = others.unreachable_share.min(1.0);
+            account.region_demand = own + others.same_region;
+            account.region_usual_demand = account.usual.since_start(now) + others.same_region_usual;
+            account.total_demand = account.region_demand + others.other_regions;
+            let demand_share =
+                if account.total_demand > 0.0 { own / account.total_demand } else { 0.0 };
+            account.share = (even_share + (1.0 - EVEN_SHARE) * demand_share)
+                * (1.0 - account.unreachable_share);
         }
     }
 
-    /// What others say of each team, in one pass over their words: with 480 teams and 85 boxes a look-up
-    /// of each team at each box would be 40,000 five times a second.
-    fn heard(&self, now: Instant) -> HashMap<TeamHash, Heard> {
-        let mut heard: HashMap<TeamHash, Heard> = HashMap::new();
+    /// Returns the demand for each team on other boxes.
+    ///
+    /// It makes one pass over the reported usage. With 480 teams and 85 boxes, looking up each team
+    /// at each box would take 40,000 look-ups five times a second.
+    fn other_demand(&self, now: Instant) -> HashMap<TeamHash, OtherDemand> {
+        let mut others: HashMap<TeamHash, OtherDemand> = HashMap::new();
         for source in self.boxes.values().chain(self.regions.values()) {
-            for (team, part) in source.parts.iter().flatten() {
-                heard.entry(*team).or_default().silent += part;
+            for (team, share) in source.retained_shares.iter().flatten() {
+                others.entry(*team).or_default().unreachable_share += share;
             }
         }
-        for source in self.boxes.values().filter(|source| !source.is_silent(now)) {
-            for team in source.words.keys() {
-                let heard = heard.entry(*team).or_default();
-                heard.beside += source.demand(*team, now);
-                heard.usual_beside += source.usual(*team, now);
+        for source in self.boxes.values().filter(|source| !source.is_unreachable(now)) {
+            for team in source.usage_by_team.keys() {
+                let others = others.entry(*team).or_default();
+                others.same_region += source.demand(*team, now);
+                others.same_region_usual += source.usual(*team, now);
             }
         }
-        for source in self.regions.values().filter(|source| !source.is_silent(now)) {
-            for team in source.words.keys() {
-                heard.entry(*team).or_default().elsewhere += source.demand(*team, now);
+        for source in self.regions.values().filter(|source| !source.is_unreachable(now)) {
+            for team in source.usage_by_team.keys() {
+                others.entry(*team).or_default().other_regions += source.demand(*team, now);
             }
         }
-        heard
+        others
     }
 
-    /// Gives boxes and regions that have just fallen silent the parts that they keep.
-    fn freeze(&mut self, now: Instant) {
-        let fallen = |source: &Source| source.is_silent(now) && source.parts.is_none();
-        if !self.boxes.values().chain(self.regions.values()).any(fallen) {
+    /// Sets the shares that boxes and regions keep when they become unreachable.
+    fn retain_unreachable_shares(&mut self, now: Instant) {
+        let newly_unreachable =
+            |source: &Source| source.is_unreachable(now) && source.retained_shares.is_none();
+        if !self.boxes.values().chain(self.regions.values()).any(newly_unreachable) {
             return;
         }
-        let totals = self.usual_of_all(now);
-        let region_even = EVEN_IN_SILENCE / (self.regions.len() + 1) as f64;
-        let box_even = region_even / (self.boxes.len() + 1) as f64;
-        let parts = |source: &Source, even: f64| {
-            let part = |(team, total): (&TeamHash, &f64)| {
-                let by_demand = if *total > 0.0 { source.usual(*team, now) / total } else { 0.0 };
-                (*team, even + (1.0 - EVEN_IN_SILENCE) * by_demand)
+        let totals = self.total_usual_demand(now);
+        let region_even_share = UNREACHABLE_EVEN_SHARE / (self.regions.len() + 1) as f64;
+        let box_even_share = region_even_share / (self.boxes.len() + 1) as f64;
+        let shares = |source: &Source, even_share: f64| {
+            let share = |(team, total): (&TeamHash, &f64)| {
+                let demand_share =
+                    if *total > 0.0 { source.usual(*team, now) / total } else { 0.0 };
+                (*team, even_share + (1.0 - UNREACHABLE_EVEN_SHARE) * demand_share)
             };
-            totals.iter().map(part).collect()
+            totals.iter().map(share).collect()
         };
-        for source in self.boxes.values_mut().filter(|source| fallen(source)) {
-            source.parts = Some(parts(source, box_even));
+        for source in self.boxes.values_mut().filter(|source| newly_unreachable(source)) {
+            source.retained_shares = Some(shares(source, box_even_share));
         }
-        for source in self.regions.values_mut().filter(|source| fallen(source)) {
-            source.parts = Some(parts(source, region_even));
+        for source in self.regions.values_mut().filter(|source| newly_unreachable(source)) {
+            source.retained_shares = Some(shares(source, region_even_share));
         }
     }
 
-    /// The usual demand of each team as it was before anybody fell silent: words of the silent ones
-    /// are kept.
-    fn usual_of_all(&self, now: Instant) -> HashMap<TeamHash, f64> {
+    /// Returns the usual demand of each team over all boxes. Unreachable boxes count with what they
+    /// last reported.
+    fn total_usual_demand(&self, now: Instant) -> HashMap<TeamHash, f64> {
         let total = |(team, account): (&TeamHash, &Account)| {
             let sources = self.boxes.values().chain(self.regions.values());
             let others: f64 = sources.map(|source| source.usual(*team, now)).sum();
@@ -327,44 +342,46 @@
         self.accounts.iter().map(total).collect()
     }
 
-    /// What a team has left over all boxes, as far as this one knows; `None` without an account.
+    /// Returns what remains of a team's limit over all boxes, as far as this box knows; `None`
+    /// without an account.
     pub fn remaining(&mut self, team: TeamHash, now: Instant) -> Option<f64> {
         let account = self.accounts.get_mut(&team)?;
-        account.fill(now);
+        account.refill(now);
         Some(account.remaining)
     }
 
-    /// What to tell the boxes of this region: counts that have changed of late.
+    /// Returns the usage to report to the boxes of this region: the counters that changed recently.
     pub fn box_usage_to_report(&mut self, now: Instant) -> Vec<BoxUsage> {
-        for account in self.accounts.values_mut().filter(|account| account.changed) {
-            account.changed = false;
-            account.tell = self.fleet.rounds + REPEATS;
+        for account in self.accounts.values_mut().filter(|account| account.usage_changed) {
+            account.usage_changed = false;
+            account.reports_left = self.fleet.rounds + USAGE_REPEATS;
         }
-        let changed = self.accounts.iter_mut().filter(|(_, account)| account.tell > 0);
-        let count = |(team, account): (&TeamHash, &mut Account)| {
-            account.tell -= 1;
+        let changed = self.accounts.iter_mut().filter(|(_, account)| account.reports_left > 0);
+        let usage = |(team, account): (&TeamHash, &mut Account)| {
+            account.reports_left -= 1;
             let demand = account.demand.get(now) as u64;
             let usual = account.usual.since_start(now) as u64;
             BoxUsage { team: *team, admitted: account.admitted as u64, demand, usual }
         };
-        changed.take(TOLD).map(count).collect()
+        changed.take(MAX_REPORTED_TEAMS).map(usage).collect()
     }
 
-    /// What to tell boxes of other regions of this one.
+    /// Returns the usage of this region to report to other regions.
     pub fn region_usage_to_report(&self, now: Instant) -> Vec<RegionUsage> {
-        if now < self.started_at + HEARD_ALL {
+        if now < self.started_at + USAGE_COMPLETE_AFTER {
             return Vec::new();
         }
-        let flow = |(team, account): (&TeamHash, &Account)| RegionUsage {
+        let usage = |(team, account): (&TeamHash, &Account)| RegionUsage {
             team: *team,
-            admitted: account.in_region.get(now) as u64,
+            admitted: account.region_admitted.get(now) as u64,
             demand: account.region_demand as u64,
-            usual: account.region_usual as u64,
+            usual: account.region_usual_demand as u64,
         };
-        let mut nearest: Vec<(&TeamHash, &Account)> = self.accounts.iter().collect();
-        let use_of = |account: &Account| account.all_demand / account.rate();
-        nearest.sort_by(|(_, one), (_, other)| use_of(other).total_cmp(&use_of(one)));
-        let flows = nearest.into_iter().map(flow);
-        flows.filter(|flow| flow.usual > 0).take(TOLD).collect()
+        let mut by_utilization: Vec<(&TeamHash, &Account)> = self.accounts.iter().collect();
+        let utilization = |account: &Account| account.total_demand / account.rate();
+        by_utilization
+            .sort_by(|(_, one), (_, other)| utilization(other).total_cmp(&utilization(one)));
+        let usages = by_utilization.into_iter().map(usage);
+        usages.filter(|usage| usage.usual > 0).take(MAX_REPORTED_TEAMS).collect()
     }
 }
--- a/lib/src/coordination/quota/account.rs
+++ b/lib/src/coordination/quota/account.rs
@@ -1,4 +1,4 @@
-//! What one team has left, as one box sees it.
+//! The account of one team on one box.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,162 +6,171 @@
 use super::super::rate::Rate;
 use crate::protocol::team::Limit;
 
-/// Time over which demand is smoothed: some reports long, so that a flood shows within one second.
-pub const SMOOTHING: Duration = Duration::from_secs(1);
-/// Time over which demand is smoothed by which parts are kept in silence. Those that no longer hear
-/// each other must reckon with about the same figures, though they notice at other moments.
-pub const USUAL_SMOOTHING: Duration = Duration::from_secs(8);
-/// Time over which what a region lets in is smoothed before it is told: about the time from one
-/// word of a region to the next, since shorter news is mostly missed.
-const FLOW_SMOOTHING: Duration = Duration::from_millis(300);
-/// Shortest and longest time after which a refused caller is asked to come back.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+/// Smoothing time of the demand. It spans several reports, and a surge still shows within one
+/// second.
+pub const DEMAND_SMOOTHING: Duration = Duration::from_secs(1);
+/// Smoothing time of the usual demand, which determines the shares that unreachable boxes keep.
+/// Boxes on both sides of a partition have to use about the same figures, although they notice the
+/// partition at different times.
+pub const USUAL_DEMAND_SMOOTHING: Duration = Duration::from_secs(8);
+/// Smoothing time of the admission rate that a region reports. It is about the time between two
+/// reports from the same region: the receiver would miss most changes that are shorter.
+const REGION_USAGE_SMOOTHING: Duration = Duration::from_millis(300);
+/// Shortest and longest time after which a refused caller is asked to retry.
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(10));
 
-/// What an account goes by beside its limit.
+/// Parameters of an admission besides the limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Debt that it may have, units.
+pub struct AdmitParams {
+    /// Maximum debt of the account, in units.
     pub debt: f64,
-    /// See [`Bound::dither`](super::Bound::dither).
+    /// See [`Tolerance::dither`](super::Tolerance::dither).
     pub dither: f64,
-    /// Whether the box has only just started.
-    pub fresh: bool,
+    /// Whether the box started only recently.
+    pub starting_up: bool,
 }
 
-/// Why a request is not let in.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// When there is room.
+    /// Time after which the request should be retried.
     pub retry_after: Duration,
-    /// Units that the team has left, debt below zero.
+    /// Units that remain for the team; negative if the account is in debt.
     pub remaining: f64,
-    /// Units a second that all boxes are asked for.
+    /// Units per second requested from all boxes.
     pub demand: f64,
 }
 
-/// What a team has left.
+/// What remains of a team's limit.
 #[derive(Debug)]
 pub struct Account {
-    /// The limit, once a request has come.
+    /// The limit; `None` before the first request.
     pub limit: Option<Limit>,
-    /// What all boxes together have left; below zero is debt.
+    /// Units that remain for all boxes together; negative if the account is in debt.
     pub remaining: f64,
-    /// What this box has left of its own part.
+    /// Units that remain of this box's share.
     own_remaining: f64,
-    filled_at: Instant,
-    /// Units that this box let in.
+    refilled_at: Instant,
+    /// Units that this box has admitted.
     pub admitted: f64,
-    /// Units a second that the boxes of this region let in.
-    pub in_region: Rate,
-    /// Units a second that this box is asked for.
+    /// Units per second admitted by the boxes of this region.
+    pub region_admitted: Rate,
+    /// Units per second requested from this box.
     pub demand: Rate,
-    /// The same over a longer time.
+    /// Units per second requested from this box, smoothed over a longer time.
     pub usual: Rate,
-    /// Whether the count has changed since it was last told.
-    pub changed: bool,
-    /// How often it is still to be told.
-    pub tell: u32,
-    /// Part of the limit that others which are silent keep.
-    pub silent: f64,
-    /// Part of the limit that this box keeps to when it runs low.
-    pub part: f64,
-    /// Units a second that all boxes are asked for.
-    pub all_demand: f64,
-    /// Those of them that the boxes of this region are asked for.
+    /// Whether the counter of admitted units has changed since it was last reported.
+    pub usage_changed: bool,
+    /// Number of reports that still have to contain the counter.
+    pub reports_left: u32,
+    /// Share of the limit that unreachable boxes and regions keep.
+    pub unreachable_share: f64,
+    /// Share of the limit that this box keeps to when the account runs low.
+    pub share: f64,
+    /// Units per second requested from all boxes.
+    pub total_demand: f64,
+    /// Units per second requested from the boxes of this region.
     pub region_demand: f64,
-    /// The same over a longer time.
-    pub region_usual: f64,
-    /// Units a second that the other regions let in, as last told.
-    pub elsewhere: f64,
+    /// Units per second requested from the boxes of this region, smoothed over a longer time.
+    pub region_usual_demand: f64,
+    /// Units per second admitted by other regions, as last reported.
+    pub other_regions_admitted: f64,
 }
 
 impl Account {
-    /// An account that has filled since a box started, of which the box keeps to a part.
-    pub fn new(started_at: Instant, part: f64) -> Account {
+    /// Creates an account that has been refilled since the box started. `share` is the box's share
+    /// of the limit.
+    pub fn new(started_at: Instant, share: f64) -> Account {
         Account {
             limit: None,
             remaining: 0.0,
             own_remaining: 0.0,
-            filled_at: started_at,
+            refilled_at: started_at,
             admitted: 0.0,
-            in_region: Rate::new(FLOW_SMOOTHING, started_at),
-            demand: Rate::new(SMOOTHING, started_at),
-            usual: Rate::new(USUAL_SMOOTHING, started_at),
-            changed: false,
-            tell: 0,
-            silent: 0.0,
-            part,
-            all_demand: 0.0,
+            region_admitted: Rate::new(REGION_USAGE_SMOOTHING, started_at),
+            demand: Rate::new(DEMAND_SMOOTHING, started_at),
+            usual: Rate::new(USUAL_DEMAND_SMOOTHING, started_at),
+            usage_changed: false,
+            reports_left: 0,
+            unreachable_share: 0.0,
+            share,
+            total_demand: 0.0,
             region_demand: 0.0,
-            region_usual: 0.0,
-            elsewhere: 0.0,
+            region_usual_demand: 0.0,
+            other_regions_admitted: 0.0,
         }
     }
 
-    /// Units a second that the limit allows; no limit counts as one that is never reached.
+    /// Returns the units per second that the limit allows. An account without a limit has a rate
+    /// that is never reached.
     pub fn rate(&self) -> f64 {
         self.limit.map_or(f64::MAX, |limit| limit.rate.max(1.0))
     }
 
-    /// Brings the account up to a moment.
-    pub fn fill(&mut self, now: Instant) {
+    /// Refills the account up to `now`.
+    pub fn refill(&mut self, now: Instant) {
         let Some(limit) = self.limit else { return };
-        let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        self.filled_at = self.filled_at.max(now);
-        let rest = 1.0 - self.silent;
-        let remaining = self.remaining + (limit.rate * rest - self.elsewhere) * passed;
-        self.remaining = remaining.min(limit.burst * rest);
-        // Nothing is saved up for later: what all have left is what may be spent at once.
-        self.own_remaining = (self.own_remaining + limit.rate * self.part * passed).min(0.0);
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let reachable_share = 1.0 - self.unreachable_share;
+        let remaining =
+            self.remaining + (limit.rate * reachable_share - self.other_regions_admitted) * elapsed;
+        self.remaining = remaining.min(limit.burst * reachable_share);
+        // The own share doesn't accumulate: only what remains for all boxes may be spent at once.
+        self.own_remaining = (self.own_remaining + limit.rate * self.share * elapsed).min(0.0);
     }
 
-    /// Lets a request in, or says when to come back.
+    /// Admits a request, or returns when to retry.
     pub fn admit(
         &mut self,
         limit: Limit,
         cost: f64,
-        terms: Terms,
+        params: AdmitParams,
         now: Instant,
     ) -> Result<(), Refusal> {
-        let Terms { debt, dither, fresh } = terms;
-        if self.limit.is_none() && cost > limit.burst * self.part {
+        let AdmitParams { debt, dither, starting_up } = params;
+        if self.limit.is_none() && cost > limit.burst * self.share {
             self.own_remaining = -dither * cost;
         }
         self.limit = Some(limit);
-        self.fill(now);
+        self.refill(now);
         self.demand.add(cost, now);
         self.usual.add(cost, now);
-        let rest = 1.0 - self.silent;
-        let rate = (limit.rate * rest).max(1.0);
-        let over = fresh || self.all_demand > rate;
-        let by_part = over && self.remaining < limit.burst * rest;
-        let remaining = self.remaining + debt * rest;
-        if remaining > 0.0 && (!by_part || self.own_remaining >= 0.0) {
+        let reachable_share = 1.0 - self.unreachable_share;
+        let rate = (limit.rate * reachable_share).max(1.0);
+        let over_limit = starting_up || self.total_demand > rate;
+        let keep_to_share = over_limit && self.remaining < limit.burst * reachable_share;
+        let remaining = self.remaining + debt * reachable_share;
+        if remaining > 0.0 && (!keep_to_share || self.own_remaining >= 0.0) {
             self.charge(cost, now);
             return Ok(());
         }
         let missing = (-remaining).max(0.0) / rate;
-        let own_rate = (limit.rate * self.part).max(1.0);
-        let own_missing = if by_part { (-self.own_remaining).max(0.0) / own_rate } else { 0.0 };
+        let own_rate = (limit.rate * self.share).max(1.0);
+        let own_missing =
+            if keep_to_share { (-self.own_remaining).max(0.0) / own_rate } else { 0.0 };
         let retry_after = Duration::try_from_secs_f64(missing.max(own_missing));
-        let retry_after = retry_after.unwrap_or(COME_BACK.1).clamp(COME_BACK.0, COME_BACK.1);
-        Err(Refusal { retry_after, remaining: self.remaining, demand: self.all_demand })
+        let retry_after = retry_after
+            .unwrap_or(RETRY_AFTER_RANGE.1)
+            .clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
+        Err(Refusal { retry_after, remaining: self.remaining, demand: self.total_demand })
     }
 
-    /// What was let in has reached no server.
+    /// Returns the units of an admitted request that reached no server.
     pub fn refund(&mut self, cost: f64) {
         self.remaining += cost;
         self.own_remaining += cost;
         self.admitted = (self.admitted - cost).max(0.0);
-        self.changed = true;
+        self.usage_changed = true;
     }
 
     fn charge(&mut self, cost: f64, now: Instant) {
         self.remaining -= cost;
-        // A box that let in more than its part while there was enough owes one request at most.
+        // A box that exceeded its share while enough remained owes one request at most.
         self.own_remaining = (self.own_remaining - cost).max(-cost);
         self.admitted += cost;
-        self.in_region.add(cost, now);
-        self.changed = true;
+        self.region_admitted.add(cost, now);
+        self.usage_changed = true;
     }
 }
--- a/lib/src/coordination/quota/source.rs
+++ b/lib/src/coordination/quota/source.rs
@@ -1,27 +1,27 @@
-//! What a box hears from another box of its region, or from another region.
+//! The usage reported by another box of this region, or by another region.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use std::time::Instant;
 
 use super::TeamHash;
-use super::account::SMOOTHING;
-use super::account::USUAL_SMOOTHING;
+use super::account::DEMAND_SMOOTHING;
+use super::account::USUAL_DEMAND_SMOOTHING;
 
-/// How long a box or region may be silent before it counts as cut off: several reports are lost
-/// by then.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Time without a report after which a box or region counts as unreachable: several reports have
+/// been lost by then.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(1500);
 
-/// What another box, or the boxes of another region, said of a team.
+/// The usage of a team that another box or region reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
-    /// Units let in: a count for a box, a rate for a region.
+pub struct Usage {
+    /// Units admitted: a total for a box, a rate per second for a region.
     pub admitted: f64,
-    /// Units a second asked for.
+    /// Units per second requested.
     pub demand: f64,
-    /// The same over a longer time.
+    /// Units per second requested, smoothed over a longer time.
     pub usual: f64,
-    /// When it said so.
+    /// When the report arrived.
     pub at: Instant,
 }
 
@@ -30,42 +30,57 @@
 pub struct Source {
     /// Start of the box; 0 for a region.
     pub incarnation: u64,
-    /// Number of its last report.
+    /// Number of the last report.
     pub number: u64,
-    /// When it was last heard.
-    pub heard_at: Instant,
-    /// What it said last, by team.
-    pub words: HashMap<TeamHash, Word>,
-    /// Part of each limit that it keeps while it is silent; worked out when it falls silent.
-    pub parts: Option<HashMap<TeamHash, f64>>,
+    /// When the last report arrived.
+    pub last_report_at: Instant,
+    /// The last reported usage by team.
+    pub usage_by_team: HashMap<TeamHash, Usage>,
+    /// Share of each limit that the source keeps while it is unreachable. It is set when the source
+    /// becomes unreachable.
+    pub retained_shares: Option<HashMap<TeamHash, f64>>,
 }
 
 impl Source {
-    /// One that is heard for the first time.
+    /// Creates a source whose first report arrives now.
     pub fn new(now: Instant) -> Source {
-        Source { incarnation: 0, number: 0, heard_at: now, words: HashMap::new(), parts: None }
+        Source {
+            incarnation: 0,
+            number: 0,
+            last_report_at: now,
+            usage_by_team: HashMap::new(),
+            retained_shares: None,
+        }
     }
-    /// Whether it counts as cut off.
-    pub fn is_silent(&self, now: Instant) -> bool {
-        now >= self.heard_at + SILENCE
+    /// Returns whether the source counts as unreachable.
+    pub fn is_unreachable(&self, now: Instant) -> bool {
+        now >= self.last_report_at + UNREACHABLE_AFTER
     }
 
-    /// Units a second that it is asked for.
+    /// Returns the units per second requested from the source.
     pub fn demand(&self, team: TeamHash, now: Instant) -> f64 {
-        self.word(team, SMOOTHING, now).map_or(0.0, |(word, part)| word.demand * part)
+        self.last_usage(team, DEMAND_SMOOTHING, now)
+            .map_or(0.0, |(usage, decay)| usage.demand * decay)
     }
 
-    /// The same over a longer time.
+    /// Returns the units per second requested from the source, smoothed over a longer time.
     pub fn usual(&self, team: TeamHash, now: Instant) -> f64 {
-        self.word(team, USUAL_SMOOTHING, now).map_or(0.0, |(word, part)| word.usual * part)
+        self.last_usage(team, USUAL_DEMAND_SMOOTHING, now)
+            .map_or(0.0, |(usage, decay)| usage.usual * decay)
     }
 
-    /// What it said of a team, and what is left of a smoothed rate that it has not told anew since. In
-    /// silence nothing is known to have changed.
-    fn word(&self, team: TeamHash, smoothing: Duration, now: Instant) -> Option<(&Word, f64)> {
-        let word = self.words.get(&team)?;
-        let until = if self.is_silent(now) { self.heard_at } else { now };
-        let passed = until.saturating_duration_since(word.at).as_secs_f64();
-        Some((word, (-passed / smoothing.as_secs_f64()).exp()))
+    /// Returns the last reported usage of a team, and the factor by which its smoothed rates have
+    /// decayed since the report. The rates of an unreachable source don't decay further, because no
+    /// change is known.
+    fn last_usage(
+        &self,
+        team: TeamHash,
+        smoothing: Duration,
+        now: Instant,
+    ) -> Option<(&Usage, f64)> {
+        let usage = self.usage_by_team.get(&team)?;
+        let until = if self.is_unreachable(now) { self.last_report_at } else { now };
+        let elapsed = until.saturating_duration_since(usage.at).as_secs_f64();
+        Some((usage, (-elapsed / smoothing.as_secs_f64()).exp()))
     }
 }
--- a/lib/src/coordination/quota/window.rs
+++ b/lib/src/coordination/quota/window.rs
@@ -1,45 +1,45 @@
-//! What was let in within a sliding window.
+//! Units admitted within a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Slices that a window is counted in; a unit counts for up to one slice longer than the window.
-const SLICES: u32 = 40;
+/// Number of slices of a window. A unit counts for up to one slice longer than the window.
+const WINDOW_SLICES: u32 = 40;
 
-/// Units by the time at which they were let in.
+/// Units by the time at which they were admitted.
 #[derive(Debug)]
 pub struct Window {
     length: Duration,
-    /// Beginnings of slices and their units, oldest first.
+    /// Start of each slice and its units, oldest first.
     slices: VecDeque<(Instant, f64)>,
     sum: f64,
 }
 
 impl Window {
-    /// Nothing was let in yet.
+    /// Creates an empty window.
     pub fn new(length: Duration) -> Window {
         Window { length, slices: VecDeque::new(), sum: 0.0 }
     }
 
-    /// Takes so many units to have been let in evenly over the window before a moment.
-    pub fn assume(&mut self, units: f64, now: Instant) {
-        let each = units / f64::from(SLICES);
-        let slices = (1..=SLICES).rev();
-        let at = slices.filter_map(|back| now.checked_sub(self.slice() * back));
-        let before: Vec<(Instant, f64)> = at.map(|at| (at, each)).collect();
-        self.sum += before.iter().map(|(_, units)| units).sum::<f64>();
-        before.into_iter().rev().for_each(|slice| self.slices.push_front(slice));
+    /// Assumes that `units` were admitted evenly over the window before `now`.
+    pub fn assume_even(&mut self, units: f64, now: Instant) {
+        let each = units / f64::from(WINDOW_SLICES);
+        let slices = (1..=WINDOW_SLICES).rev();
+        let at = slices.filter_map(|slices_ago| now.checked_sub(self.slice() * slices_ago));
+        let assumed: Vec<(Instant, f64)> = at.map(|at| (at, each)).collect();
+        self.sum += assumed.iter().map(|(_, units)| units).sum::<f64>();
+        assumed.into_iter().rev().for_each(|slice| self.slices.push_front(slice));
     }
 
     fn slice(&self) -> Duration {
-        self.length / SLICES
+        self.length / WINDOW_SLICES
     }
 
     fn expire(&mut self, now: Instant) {
-        let life = self.length + self.slice();
+        let lifetime = self.length + self.slice();
         while let Some((at, units)) = self.slices.front().copied() {
-            if now < at + life {
+            if now < at + lifetime {
                 break;
             }
             self.sum -= units;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Units were let in, or given back if there are fewer than none.
+    /// Adds units; a negative number gives units back.
     pub fn add(&mut self, units: f64, now: Instant) {
         self.expire(now);
         self.sum += units;
@@ -58,22 +58,22 @@
         }
     }
 
-    /// Units within the window.
+    /// Returns the units within the window.
     pub fn used(&mut self, now: Instant) -> f64 {
         self.expire(now);
         self.sum
     }
 
-    /// Time until so many units have left the window.
+    /// Returns the time until `units` units have left the window.
     pub fn until_gone(&self, units: f64, now: Instant) -> Duration {
-        let life = self.length + self.slice();
+        let lifetime = self.length + self.slice();
         let mut gone = 0.0;
         for (at, in_slice) in &self.slices {
             gone += in_slice;
             if gone >= units {
-                return (*at + life).saturating_duration_since(now);
+                return (*at + lifetime).saturating_duration_since(now);
             }
         }
-        life
+        lifetime
     }
 }
