--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -63,7 +63,7 @@
 const MAX_REPORTED_TEAMS: usize = 64;
 /// Number of first reports of a box in which all units that it has admitted count as new to a box
 /// that receives them for the first time.
-const FIRST_REPORTS: u64 = 10;
+const NEW_BOX_REPORTS: u64 = 10;
 
 /// Usage of a team on one box, as reported to the other boxes of its region.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -207,7 +207,7 @@
         (source.incarnation, source.number) = (incarnation, number);
         source.last_report_at = now;
         source.retained_shares = None;
-        let counts_from_zero = same_incarnation || number <= FIRST_REPORTS;
+        let counts_from_zero = same_incarnation || number <= NEW_BOX_REPORTS;
         let mut increments = Vec::new();
         for reported in usages {
             let admitted = reported.admitted as f64;
--- a/lib/src/coordination/throttle.rs
+++ b/lib/src/coordination/throttle.rs
@@ -1,23 +1,26 @@
-//! Backend servers that name a rate: what they take from all boxes together.
+//! Limits for backend servers that state how many requests per second they accept from all boxes
+//! together.
 //!
-//! A server in need names the rate in its answers, for as long as it holds. Each box
-//! of the region keeps an account of what the server has left by that rate. It subtracts
-//! what it sends at once, and what others send when they tell, some tenths of a second
-//! later. Until then they might all send: at a hundred boxes, a rate of three requests a
-//! second is less than one each. So a request that might go there goes by chance, and
-//! the chance is what is left against what the other boxes are asked for in the time that
-//! news takes. With more boxes or more demand, each request has less of a chance, however
-//! unevenly the demand is spread; boxes with none take nothing from the others, and what
-//! is left grows until the server gets all that it takes.
+//! An overloaded server states the rate in its answers for as long as it applies. Each box of the
+//! region keeps an account of the requests that remain under that rate. The box subtracts its own
+//! requests at once, and the requests of other boxes when they report them, some tenths of a second
+//! later. Until then all boxes could send at the same time: with a hundred boxes, a rate of three
+//! requests per second is less than one request per box.
 //!
-//! A box that falls silent is taken to go on, and keeps a part of the rate by its usual demand;
-//! so do the others for it, if it is only cut off from them. Words, counts and
-//! demands travel in the reports that boxes send each other anyway; words are in the store as
-//! well, for boxes that start when no other is left to tell them.
+//! A request is therefore admitted at random. Its probability is the number of requests that
+//! remain, divided by the number that the other boxes are expected to get until a report reaches
+//! them. More boxes or more demand lower the probability, however unevenly the demand is spread.
+//! Boxes without demand take nothing from the others, and what remains grows until the server gets
+//! all that it accepts.
 //!
-//! What this answers: engines that named 4.5 and 3.1 requests a second and got seven
-//! times as much from two boxes; 100 boxes with 600 requests a second before a server that
-//! names three, where a bucket of even one request a box lets in 100 at once.
+//! A box that becomes unreachable is assumed to continue, and keeps a share of the rate according
+//! to its usual demand. If it is only partitioned from the others, it assumes the same of them.
+//! Rates, counts and demand are part of the reports that boxes exchange anyway. The rates are also
+//! in the store, for boxes that start when no other box is left to report them.
+//!
+//! Cases that this design has to handle: engines that stated 4.5 and 3.1 requests per second and
+//! got seven times as many from two boxes; and 100 boxes with 600 requests per second for a server
+//! that states three, where a token bucket of only one request per box admits 100 at once.
 
 mod account;
 mod demand;
@@ -34,94 +37,100 @@
 use serde::Serialize;
 
 use self::account::Account;
-use self::account::Difference;
+use self::account::RateChange;
 use self::account::StatedRate;
 use self::demand::Demand;
-use self::peers::Region;
-use self::peers::Source;
+use self::peers::Peer;
+use self::peers::PeerTotals;
 use super::rendezvous;
 
-/// What stands for one life of a server.
+/// Identifies one incarnation of a server.
 pub type ServerLife = u64;
-/// What stands for a service.
+/// Identifies a service.
 pub type ServiceHash = u64;
 
-/// Time between reports of a box.
-const PERIOD: Duration = Duration::from_millis(200);
-/// How long a word counts that nothing has confirmed. A server that is asked for is heard far more often.
-const WORD_LIFE: Duration = Duration::from_secs(600);
-/// Age at which a box counts as silent where all are told in each report: some have been lost by then.
-const SILENT: Duration = Duration::from_millis(1500);
-/// The same in reports, where boxes are told in turn.
-const SILENT_REPORTS: u32 = 3;
-/// How often what is new is told beyond once: some reports are lost.
-const REPEATS: u32 = 2;
-/// Most servers with an account, far above those of one region.
-const SERVERS: usize = 1024;
-/// Time that a word must have stood before the first box writes it to the store, and from one box to the next:
-/// by then a write of the one before has come back to all.
-const WRITE_GAP: Duration = Duration::from_millis(500);
-/// Boxes that would write a word after one another, should those before fail.
-const WRITERS: usize = 10;
-/// Most words in one write.
-const WRITTEN: usize = 16;
-/// Age that a word from the store counts with: whatever was heard is newer.
-const STORED_AGE: Duration = Duration::from_secs(60);
-/// Shortest and longest time after which a refused caller is asked to come back.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+/// Time between the reports of a box.
+const REPORT_PERIOD: Duration = Duration::from_millis(200);
+/// Time after which an unconfirmed rate expires. A server that gets requests confirms its rate far
+/// more often.
+const RATE_LIFETIME: Duration = Duration::from_secs(600);
+/// Time without a report after which a box counts as unreachable, if each report is sent to all
+/// boxes: some reports have been lost by then.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(1500);
+/// The same limit in rounds of reports, if each report is sent to some of the boxes in turn.
+const UNREACHABLE_ROUNDS: u32 = 3;
+/// Number of extra reports that contain a change, because some reports are lost.
+const REPORT_REPEATS: u32 = 2;
+/// Maximum number of servers with an account. It is far above the number of servers of one region.
+const MAX_SERVERS: usize = 1024;
+/// Time for which a rate must have been in effect before the first box writes it to the store, and
+/// the time between one box and the next. It is long enough for the write of one box to be visible
+/// to all.
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of boxes that write a rate one after the other if the previous ones fail.
+const MAX_WRITERS: usize = 10;
+/// Maximum number of rates in one write.
+const MAX_RATES_PER_WRITE: usize = 16;
+/// Age assumed for a rate from the store, so that any rate received from a server or box is newer.
+const ASSUMED_STORED_AGE: Duration = Duration::from_secs(60);
+/// Shortest and longest time after which a refused caller is asked to retry.
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(10));
 
-/// A word as the store keeps it, for boxes that start when all others have forgotten it.
+/// A stated rate in the store, for boxes that start when no other box knows the rate any longer.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoredRate {
-    /// The life of the server.
+    /// The incarnation of the server.
     pub server: ServerLife,
-    /// Its service.
+    /// The service of the server.
     pub service: ServiceHash,
-    /// Requests a second; `None` for no rate any more.
+    /// Requests per second; `None` if the server no longer states a rate.
     pub rate: Option<f64>,
 }
 
-/// The accounts of one box.
+/// The accounts of all servers on one box.
 #[derive(Debug)]
 pub struct Throttles {
-    /// Reports until each box of the region has got one.
+    /// Number of reports after which each box of the region has received one.
     rounds: u32,
     servers: HashMap<ServerLife, Account>,
     services: HashMap<ServiceHash, Demand>,
-    boxes: HashMap<u64, Source>,
-    /// Counts reports: what is not new is told in turn.
-    turn: usize,
-    /// Drawn from 0 to 1 by each box: how much of a request it owes when it doesn't hear the others.
+    boxes: HashMap<u64, Peer>,
+    /// Number of reports composed. Unchanged data is reported in rotation.
+    report_count: usize,
+    /// A random number from 0 to 1, drawn by each box: the part of a request that it owes when it
+    /// doesn't receive reports from the others.
     dither: f64,
-    /// Part of a rate that is left for this box and those that it hears, where no demand is known.
-    rest: f64,
+    /// Share of a rate for this box and the reachable ones, if no demand is known.
+    reachable_share: f64,
 }
 
 impl Throttles {
-    /// No server names a rate, as far as known; `dither` is drawn by each box from 0 to 1.
+    /// Creates a box's accounts, without any stated rate. `dither` is drawn at random from 0 to 1
+    /// by each box.
     pub fn new(dither: f64) -> Throttles {
         Throttles {
             rounds: 1,
             servers: HashMap::new(),
             services: HashMap::new(),
             boxes: HashMap::new(),
-            turn: 0,
+            report_count: 0,
             dither,
-            rest: 1.0,
+            reachable_share: 1.0,
         }
     }
 
-    /// Time until what one box does is known to the others.
-    fn news_takes(&self) -> Duration {
-        PERIOD * self.rounds
+    /// Time until the other boxes know what this box has done.
+    fn propagation_time(&self) -> Duration {
+        REPORT_PERIOD * self.rounds
     }
 
-    fn silent_after(&self) -> Duration {
-        SILENT.max(self.news_takes() * SILENT_REPORTS)
+    fn unreachable_after(&self) -> Duration {
+        UNREACHABLE_AFTER.max(self.propagation_time() * UNREACHABLE_ROUNDS)
     }
 
-    /// A server named a rate in an answer to this box, or none. Says whether the others must hear of
-    /// it at once.
+    /// Records the rate in a server's answer to this box, or that the answer states none. Returns
+    /// whether the other boxes must be told at once.
     pub fn record_rate(
         &mut self,
         server: ServerLife,
@@ -129,85 +138,93 @@
         rate: Option<f64>,
         now: Instant,
     ) -> bool {
-        self.hear_word(server, service, StatedRate { rate, at: now }, now) == Difference::Urgent
+        self.update_rate(server, service, StatedRate { rate, at: now }, now) == RateChange::Major
     }
 
-    fn hear_word(
+    fn update_rate(
         &mut self,
         server: ServerLife,
         service: ServiceHash,
         stated: StatedRate,
         now: Instant,
-    ) -> Difference {
-        let (news_takes, rounds) = (self.news_takes(), self.rounds);
-        let is_full = self.servers.len() >= SERVERS;
-        let difference = match self.servers.get_mut(&server) {
-            Some(account) => account.hear(stated, now, news_takes),
-            None if stated.rate.is_none() || is_full => return Difference::Same,
+    ) -> RateChange {
+        let (propagation_time, rounds) = (self.propagation_time(), self.rounds);
+        let is_full = self.servers.len() >= MAX_SERVERS;
+        let change = match self.servers.get_mut(&server) {
+            Some(account) => account.update_rate(stated, now, propagation_time),
+            None if stated.rate.is_none() || is_full => return RateChange::Unchanged,
             None => {
                 let mut account = Account::new(service, stated, now);
-                account.keep_to(self.rest, self.dither, now, news_takes);
+                account.set_reachable_share(
+                    self.reachable_share,
+                    self.dither,
+                    now,
+                    propagation_time,
+                );
                 self.servers.insert(server, account);
-                Difference::Urgent
+                RateChange::Major
             }
         };
         if let Some(account) = self.servers.get_mut(&server)
-            && difference != Difference::Same
+            && change != RateChange::Unchanged
         {
-            account.tell_word = rounds + REPEATS;
-            account.compare_stored(now);
+            account.rate_reports_left = rounds + REPORT_REPEATS;
+            account.compare_with_store(now);
         }
-        difference
+        change
     }
 
-    /// The rate that a server names, if it does.
+    /// Returns the rate that a server states, if any.
     pub fn rate(&self, server: ServerLife) -> Option<f64> {
         self.servers.get(&server)?.stated.rate
     }
 
-    /// How many servers name a rate.
+    /// Returns the number of servers that state a rate.
     pub fn len(&self) -> usize {
         self.servers.values().filter(|account| account.stated.rate.is_some()).count()
     }
 
-    /// Whether none does.
+    /// Returns whether no server states a rate.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// This box is asked for a place on a server of a service.
+    /// Records that this box has a request for a service.
     pub fn record_request(&mut self, service: ServiceHash, now: Instant) {
-        self.services.entry(service).or_insert_with(|| Demand::new(now)).asked(now);
+        self.services.entry(service).or_insert_with(|| Demand::new(now)).record_request(now);
     }
 
-    /// Whether a request may go to a server now; `luck` is drawn evenly from 0 to 1 for each request
-    /// and server.
+    /// Returns whether a request may be sent to a server now. `luck` is drawn evenly from 0 to 1
+    /// for each request and server.
     pub fn admits(&self, server: ServerLife, luck: f64, now: Instant) -> bool {
         let Some(account) = self.servers.get(&server) else { return true };
-        let left = account.left(now, self.news_takes());
+        let remaining = account.remaining(now, self.propagation_time());
         let demand = self.services.get(&account.service);
-        let others = demand.map_or(0.0, |demand| demand.elsewhere(now));
-        left > 0.0 && luck * others * self.news_takes().as_secs_f64() <= left
+        let others = demand.map_or(0.0, |demand| demand.other_boxes(now));
+        remaining > 0.0 && luck * others * self.propagation_time().as_secs_f64() <= remaining
     }
 
-    /// Whether a server has a whole request left, or names no rate.
+    /// Returns whether a whole request remains for a server, or the server states no rate.
     pub fn has_capacity(&self, server: ServerLife, now: Instant) -> bool {
         let account = self.servers.get(&server);
-        account.is_none_or(|account| account.left(now, self.news_takes()) >= 1.0)
+        account.is_none_or(|account| account.remaining(now, self.propagation_time()) >= 1.0)
     }
 
-    /// A request goes to a server.
+    /// Records that a request is sent to a server.
     pub fn record_sent(&mut self, server: ServerLife, now: Instant) {
-        let (news_takes, rounds) = (self.news_takes(), self.rounds);
+        let (propagation_time, rounds) = (self.propagation_time(), self.rounds);
         let Some(account) = self.servers.get_mut(&server) else { return };
-        account.charge(1.0, now, news_takes);
+        account.charge(1.0, now, propagation_time);
         account.sent += 1;
-        account.tell_count = rounds + REPEATS;
+        account.count_reports_left = rounds + REPORT_REPEATS;
     }
 
-    /// When a caller should come back who finds only servers that have nothing left: one after the
-    /// other, as this box's part of what these servers take allows. Told half of a latency objective each,
-    /// callers of six simulated rushes were refused 19,763 times, so 5,464, and as many were served.
+    /// Returns when a caller should retry if nothing remains for any server of the service.
+    ///
+    /// Callers are asked to retry one after the other, at the rate of this box's share of what the
+    /// servers accept. In six simulated surges, callers were refused 19,763 times when each was
+    /// told to retry after half of a latency objective, and 5,464 times with this rule; as many
+    /// were served.
     pub fn retry_after(
         &mut self,
         service: ServiceHash,
@@ -217,54 +234,58 @@
         let rates = servers.filter_map(|server| self.servers.get(&server)?.rate());
         let rate: f64 = rates.sum();
         let demand = self.services.entry(service).or_insert_with(|| Demand::new(now));
-        let own = demand.own(now).lately;
-        let part = if own > 0.0 { own / (own + demand.elsewhere(now)) } else { 1.0 };
-        let each = Duration::try_from_secs_f64(1.0 / (rate * part)).unwrap_or(COME_BACK.1);
-        let from = demand.last_return.max(now);
-        let at = (from + each.min(COME_BACK.1)).min(now + COME_BACK.1);
-        demand.last_return = at;
-        at.saturating_duration_since(now).max(COME_BACK.0)
+        let own = demand.own(now).recent;
+        let share = if own > 0.0 { own / (own + demand.other_boxes(now)) } else { 1.0 };
+        let interval =
+            Duration::try_from_secs_f64(1.0 / (rate * share)).unwrap_or(RETRY_AFTER_RANGE.1);
+        let from = demand.last_retry_at.max(now);
+        let at = (from + interval.min(RETRY_AFTER_RANGE.1)).min(now + RETRY_AFTER_RANGE.1);
+        demand.last_retry_at = at;
+        at.saturating_duration_since(now).max(RETRY_AFTER_RANGE.0)
     }
 
-    /// Works out anew what the others are asked for, and what silent ones keep; call with each report.
-    /// `others` stand for the other boxes of the region that may send to its servers.
+    /// Recomputes the demand on other boxes and the shares that unreachable boxes keep. Must be
+    /// called with each report. `others` are the hashes of the other boxes of the region that may
+    /// send requests to its servers.
     pub fn tick(&mut self, others: &HashSet<u64>, rounds: u32, now: Instant) {
         self.rounds = rounds.max(1);
-        self.forget_servers(now);
-        let (news_takes, silent_after) = (self.news_takes(), self.silent_after());
-        let is_heard = |source: &Source| now < source.heard_at + silent_after;
-        self.boxes.retain(|hash, source| is_heard(source) || others.contains(hash));
+        self.remove_expired_servers(now);
+        let (propagation_time, unreachable_after) =
+            (self.propagation_time(), self.unreachable_after());
+        let is_reachable = |peer: &Peer| now < peer.last_report_at + unreachable_after;
+        self.boxes.retain(|hash, peer| is_reachable(peer) || others.contains(hash));
         let unknown = others.iter().filter(|hash| !self.boxes.contains_key(hash)).count();
-        let mut region = Region::default();
-        self.boxes.values().for_each(|source| region.add(None, is_heard(source)));
-        self.rest = region.rest(0.0, unknown);
+        let mut totals = PeerTotals::default();
+        self.boxes.values().for_each(|peer| totals.add(None, is_reachable(peer)));
+        self.reachable_share = totals.reachable_share(0.0, unknown);
         for service in self.limited_services() {
-            let mut region = Region::default();
-            for source in self.boxes.values() {
-                region.add(source.demands.get(&service).copied(), is_heard(source));
+            let mut totals = PeerTotals::default();
+            for peer in self.boxes.values() {
+                totals.add(peer.demands.get(&service).copied(), is_reachable(peer));
             }
             let demand = self.services.entry(service).or_insert_with(|| Demand::new(now));
-            let rest = region.rest(demand.own(now).usual, unknown);
-            (demand.others, demand.unsaid) = (region.demand, region.unsaid);
+            let reachable_share = totals.reachable_share(demand.own(now).usual, unknown);
+            (demand.others, demand.unreported) = (totals.demand, totals.unreported);
             for account in self.servers.values_mut().filter(|account| account.service == service) {
-                account.keep_to(rest, self.dither, now, news_takes);
+                account.set_reachable_share(reachable_share, self.dither, now, propagation_time);
             }
         }
     }
 
-    /// Drops servers that were not heard for long, and what others sent them.
-    fn forget_servers(&mut self, now: Instant) {
+    /// Removes servers whose rate has expired, and the counts of requests that other boxes sent
+    /// them.
+    fn remove_expired_servers(&mut self, now: Instant) {
         let servers = &mut self.servers;
-        let mut gone = HashSet::new();
+        let mut expired = HashSet::new();
         servers.retain(|server, account| {
-            let stays = now < account.stated.at + WORD_LIFE;
-            stays || !gone.insert(*server)
+            let keep = now < account.stated.at + RATE_LIFETIME;
+            keep || !expired.insert(*server)
         });
-        if gone.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        for source in self.boxes.values_mut() {
-            source.counts.retain(|server, _| !gone.contains(server));
+        for peer in self.boxes.values_mut() {
+            peer.counts.retain(|server, _| !expired.contains(server));
         }
     }
 
@@ -276,37 +297,38 @@
         services
     }
 
-    /// The store shows a word of a server, or none any more.
-    pub fn merge_stored(&mut self, word: StoredRate, now: Instant) {
-        let StoredRate { server, service, rate } = word;
+    /// Merges the rate of a server that the store contains, or the fact that it contains none.
+    pub fn merge_stored(&mut self, stored_rate: StoredRate, now: Instant) {
+        let StoredRate { server, service, rate } = stored_rate;
         if rate.is_some() && !self.servers.contains_key(&server) {
-            let at = now.checked_sub(STORED_AGE).unwrap_or(now);
-            self.hear_word(server, service, StatedRate { rate, at }, now);
+            let at = now.checked_sub(ASSUMED_STORED_AGE).unwrap_or(now);
+            self.update_rate(server, service, StatedRate { rate, at }, now);
         }
         if let Some(account) = self.servers.get_mut(&server) {
             account.stored = rate;
-            account.compare_stored(now);
+            account.compare_with_store(now);
         }
     }
 
-    /// What this box should write to the store now: words that it shows otherwise. One box after the
-    /// other does so, by its rank for the server, until the word is there.
+    /// Returns the rates that this box should write to the store now: those that differ from what
+    /// the store contains. The boxes write one after the other, in the order of their rank for the
+    /// server, until the store contains the rate.
     pub fn rates_to_write(&self, own: u64, now: Instant) -> Vec<StoredRate> {
         let is_due = |server: ServerLife, account: &Account| {
             let rank = self.rank(own, server);
-            let pause = WRITE_GAP * (rank as u32 + 1);
-            rank < WRITERS && account.unstored_since.is_some_and(|since| now >= since + pause)
+            let delay = WRITE_INTERVAL * (rank as u32 + 1);
+            rank < MAX_WRITERS && account.unstored_since.is_some_and(|since| now >= since + delay)
         };
         let due = self.servers.iter().filter(|(server, account)| is_due(**server, account));
-        let word = |(server, account): (&ServerLife, &Account)| StoredRate {
+        let stored_rate = |(server, account): (&ServerLife, &Account)| StoredRate {
             server: *server,
             service: account.service,
             rate: account.stated.rate,
         };
-        due.take(WRITTEN).map(word).collect()
+        due.take(MAX_RATES_PER_WRITE).map(stored_rate).collect()
     }
 
-    /// Boxes that come before this one where one box is to act for a server.
+    /// Returns the number of boxes that come before this one when one box has to act for a server.
     fn rank(&self, own: u64, server: ServerLife) -> usize {
         let own = rendezvous::mix(own, server);
         self.boxes.keys().filter(|other| rendezvous::mix(**other, server) > own).count()
--- a/lib/src/coordination/throttle/account.rs
+++ b/lib/src/coordination/throttle/account.rs
@@ -1,71 +1,74 @@
-//! What one server that names a rate has left, as one box sees it.
+//! The account of one server that states a rate, on one box.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::ServiceHash;
 
-/// Least requests a second that a server is sent, whatever it names: one that gets nothing cannot say
-/// that it takes more again. One in two seconds shows it about as soon.
-const LEAST_RATE: f64 = 0.5;
-/// Part of a server's rate over the time that news takes which may be saved up.
-const SAVED: f64 = 1.5;
-/// Seconds of a server's rate that it may be in debt, or one request. When a rate is first named, 85 boxes send more than
-/// that until all have heard of it; with four seconds' debt the server then got 0.81 of its rate for 16 s.
-const DEBT: f64 = 2.0;
-/// Factor between a rate and what the store shows of it up to which it is not written anew: boxes that
-/// start hear the rest with their first answers.
-const STORED_ABOUT: f64 = 1.5;
-/// Part by which a rate must fall to be told at once; less waits for the next report.
-const FALL: f64 = 0.1;
+/// Minimum number of requests per second sent to a server, whatever it states. A server that gets
+/// no requests can't state that it accepts more again. One request in two seconds is enough to
+/// notice that quickly.
+const MIN_RATE: f64 = 0.5;
+/// Requests that may accumulate, as a factor of the rate times the propagation time of reports.
+const BURST_FACTOR: f64 = 1.5;
+/// Maximum debt of a server, in seconds of its rate, but at least one request. When a rate is first
+/// stated, 85 boxes send more than that until all of them know the rate. With a limit of four
+/// seconds, the server then got 0.81 of its rate for 16 s.
+const MAX_DEBT_SECONDS: f64 = 2.0;
+/// Factor up to which the rate in the store may differ from the stated rate without being
+/// rewritten. Boxes that start get the exact rate with their first answers.
+const STORED_RATE_TOLERANCE: f64 = 1.5;
+/// Relative decrease of a rate from which it is reported at once. Smaller changes wait for the next
+/// report.
+const MAJOR_DECREASE: f64 = 0.1;
 
-/// What a server said of its rate, and when.
+/// A rate that a server stated, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StatedRate {
-    /// Requests a second from all boxes; `None` for no rate.
+    /// Requests per second from all boxes; `None` for no rate.
     pub rate: Option<f64>,
-    /// When it said so.
+    /// When the server stated it.
     pub at: Instant,
 }
 
-/// How a word differs from the one before.
+/// How a stated rate differs from the previous one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Difference {
-    /// Not at all.
-    Same,
-    /// A little: others hear it in time.
-    Slight,
-    /// So much that others must hear it at once.
-    Urgent,
+pub enum RateChange {
+    /// No difference.
+    Unchanged,
+    /// A small difference: the next report is soon enough.
+    Minor,
+    /// A large difference: the other boxes must be told at once.
+    Major,
 }
 
-/// What a server has left.
+/// What remains of a server's rate.
 #[derive(Debug)]
 pub struct Account {
     /// Service of the server.
     pub service: ServiceHash,
-    /// Its last word.
+    /// The last stated rate.
     pub stated: StatedRate,
-    /// Requests of this box since there is an account.
+    /// Requests that this box has sent since the account exists.
     pub sent: u64,
-    /// What the store shows of its rate.
+    /// The rate in the store.
     pub stored: Option<f64>,
-    /// Since when that has differed from the word.
+    /// Since when the store has differed from the stated rate.
     pub unstored_since: Option<Instant>,
-    /// How often the word is still to be told.
-    pub tell_word: u32,
-    /// How often the count is still to be told.
-    pub tell_count: u32,
-    /// Part of the rate that boxes which are not heard do not keep.
-    rest: f64,
-    /// Requests that all boxes together have left; below zero is debt.
-    left: f64,
-    filled_at: Instant,
+    /// Number of reports that still have to contain the rate.
+    pub rate_reports_left: u32,
+    /// Number of reports that still have to contain the count of requests.
+    pub count_reports_left: u32,
+    /// Share of the rate that unreachable boxes don't keep.
+    reachable_share: f64,
+    /// Requests that remain for all boxes together; negative if the server is in debt.
+    remaining: f64,
+    refilled_at: Instant,
 }
 
 impl Account {
-    /// An account of a server that has just said something. It begins with nothing: what the server
-    /// got before it said so was more than it takes.
+    /// Creates the account of a server that has just stated a rate. Nothing remains at first,
+    /// because the server got more requests than it accepts until then.
     pub fn new(service: ServiceHash, stated: StatedRate, now: Instant) -> Account {
         Account {
             service,
@@ -73,32 +76,42 @@
             sent: 0,
             stored: None,
             unstored_since: None,
-            tell_word: 0,
-            tell_count: 0,
-            rest: 1.0,
-            left: 0.0,
-            filled_at: now,
+            rate_reports_left: 0,
+            count_reports_left: 0,
+            reachable_share: 1.0,
+            remaining: 0.0,
+            refilled_at: now,
         }
     }
 
-    /// Boxes that are not heard keep so much of the rate that this part is left. As parts fall, so does
-    /// what may be sent at once, by more or less at each box, as `dither` has it, from 0 to 1: of 85 boxes
-    /// that do not hear each other each would send one request at once otherwise, by a rate of three.
-    pub fn keep_to(&mut self, rest: f64, dither: f64, now: Instant, news_takes: Duration) {
-        self.fill(now, news_takes);
-        if rest < self.rest {
-            self.left *= if self.left > 0.0 { rest / self.rest } else { 1.0 };
-            self.left -= dither * (self.rest - rest);
+    /// Sets the share of the rate that unreachable boxes don't keep.
+    ///
+    /// If the share decreases, so does the number of requests that may be sent at once. Each box
+    /// subtracts a different amount, according to `dither`, from 0 to 1. Otherwise each of 85 boxes
+    /// that don't receive each other's reports would send one request at once to a server with a
+    /// rate of three.
+    pub fn set_reachable_share(
+        &mut self,
+        reachable_share: f64,
+        dither: f64,
+        now: Instant,
+        propagation_time: Duration,
+    ) {
+        self.refill(now, propagation_time);
+        if reachable_share < self.reachable_share {
+            self.remaining *=
+                if self.remaining > 0.0 { reachable_share / self.reachable_share } else { 1.0 };
+            self.remaining -= dither * (self.reachable_share - reachable_share);
         }
-        self.rest = rest;
+        self.reachable_share = reachable_share;
     }
 
-    /// Notes since when the store has shown something else than the server said.
-    pub fn compare_stored(&mut self, now: Instant) {
+    /// Updates the time since when the store has differed from the stated rate.
+    pub fn compare_with_store(&mut self, now: Instant) {
         let differs = match (self.stored, self.stated.rate) {
             (None, None) => false,
             (Some(stored), Some(rate)) => {
-                rate.max(stored) > STORED_ABOUT * rate.min(stored).max(LEAST_RATE)
+                rate.max(stored) > STORED_RATE_TOLERANCE * rate.min(stored).max(MIN_RATE)
             }
             _ => true,
         };
@@ -109,47 +122,54 @@
         }
     }
 
-    /// Requests a second that boxes which hear each other may send; `None` without a limit.
+    /// Returns the requests per second for this box and the reachable ones; `None` without a limit.
     pub fn rate(&self) -> Option<f64> {
-        self.stated.rate.map(|rate| rate.max(LEAST_RATE) * self.rest)
+        self.stated.rate.map(|rate| rate.max(MIN_RATE) * self.reachable_share)
     }
 
-    /// Takes in what the server said; an older word changes nothing.
-    pub fn hear(&mut self, stated: StatedRate, now: Instant, news_takes: Duration) -> Difference {
+    /// Updates the stated rate. A rate older than the current one is ignored.
+    pub fn update_rate(
+        &mut self,
+        stated: StatedRate,
+        now: Instant,
+        propagation_time: Duration,
+    ) -> RateChange {
         if stated.at < self.stated.at {
-            return Difference::Same;
+            return RateChange::Unchanged;
         }
-        self.fill(now, news_takes);
-        let before = std::mem::replace(&mut self.stated, stated);
-        if before.rate.is_none() {
-            self.left = 0.0;
+        self.refill(now, propagation_time);
+        let previous = std::mem::replace(&mut self.stated, stated);
+        if previous.rate.is_none() {
+            self.remaining = 0.0;
         }
-        match (before.rate, stated.rate) {
-            (before, after) if before == after => Difference::Same,
-            (Some(before), Some(after)) if after > before * (1.0 - FALL) => Difference::Slight,
-            _ => Difference::Urgent,
+        match (previous.rate, stated.rate) {
+            (previous, current) if previous == current => RateChange::Unchanged,
+            (Some(previous), Some(current)) if current > previous * (1.0 - MAJOR_DECREASE) => {
+                RateChange::Minor
+            }
+            _ => RateChange::Major,
         }
     }
 
-    /// Requests that all boxes together have left.
-    pub fn left(&self, now: Instant, news_takes: Duration) -> f64 {
+    /// Returns the requests that remain for all boxes together.
+    pub fn remaining(&self, now: Instant, propagation_time: Duration) -> f64 {
         let Some(rate) = self.rate() else { return f64::INFINITY };
-        let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        let most = 1.0 + SAVED * rate * news_takes.as_secs_f64();
-        (self.left + rate * passed).clamp(-(DEBT * rate).max(1.0), most)
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let max_remaining = 1.0 + BURST_FACTOR * rate * propagation_time.as_secs_f64();
+        (self.remaining + rate * elapsed).clamp(-(MAX_DEBT_SECONDS * rate).max(1.0), max_remaining)
     }
 
-    /// Brings the account up to a moment.
-    pub fn fill(&mut self, now: Instant, news_takes: Duration) {
+    /// Refills the account up to `now`.
+    pub fn refill(&mut self, now: Instant, propagation_time: Duration) {
         if self.stated.rate.is_some() {
-            self.left = self.left(now, news_takes);
+            self.remaining = self.remaining(now, propagation_time);
         }
-        self.filled_at = self.filled_at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Requests were sent, by this box or another one.
-    pub fn charge(&mut self, requests: f64, now: Instant, news_takes: Duration) {
-        self.fill(now, news_takes);
-        self.left -= requests;
+    /// Subtracts requests sent by this box or another one.
+    pub fn charge(&mut self, requests: f64, now: Instant, propagation_time: Duration) {
+        self.refill(now, propagation_time);
+        self.remaining -= requests;
     }
 }
--- a/lib/src/coordination/throttle/demand.rs
+++ b/lib/src/coordination/throttle/demand.rs
@@ -1,79 +1,85 @@
-//! What boxes are asked for of a service.
+//! Demand for one service.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::super::rate::Rate;
 
-/// Time over which demand is smoothed: some reports long, so that it follows a region's traffic.
+/// Smoothing time of the recent demand. It spans several reports and follows the traffic of a
+/// region.
 const SMOOTHING: Duration = Duration::from_secs(1);
-/// Time over which usual demand is smoothed: longer than a lull, after which all boxes are asked at once.
+/// Smoothing time of the usual demand. It is longer than a lull, after which all boxes get requests
+/// at once.
 const USUAL_SMOOTHING: Duration = Duration::from_secs(20);
-/// Standard deviations by which demand must exceed what is usual to count as a rise.
-const SIGNIFICANT: f64 = 2.0;
+/// Number of standard deviations by which the recent demand must exceed the usual demand to count
+/// as an increase.
+const SIGNIFICANT_DEVIATIONS: f64 = 2.0;
 
-/// What a box of the region is asked for, requests a second.
+/// Demand on one box of the region, in requests per second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
-    /// Over the last second or so.
-    pub lately: f64,
-    /// Over a longer time.
+pub struct DemandRate {
+    /// Average over about the last second.
+    pub recent: f64,
+    /// Average over a longer time.
     pub usual: f64,
 }
 
-/// What this box and the others are asked for.
+/// Demand on this box and on the others.
 #[derive(Debug)]
 pub struct Demand {
-    lately: Rate,
+    recent: Rate,
     usual: Rate,
-    /// What the others that are heard say, in sum.
-    pub others: Asked,
-    /// Other boxes that are heard and have not said it.
-    pub unsaid: usize,
-    /// When the last caller who was refused was asked to come back.
-    pub last_return: Instant,
+    /// Total demand that the other reachable boxes report.
+    pub others: DemandRate,
+    /// Number of other reachable boxes that have not reported their demand.
+    pub unreported: usize,
+    /// When the last refused caller was asked to retry.
+    pub last_retry_at: Instant,
 }
 
 impl Demand {
-    /// Nothing yet.
+    /// Creates the state without any demand.
     pub fn new(now: Instant) -> Demand {
         Demand {
-            lately: Rate::new(SMOOTHING, now),
+            recent: Rate::new(SMOOTHING, now),
             usual: Rate::new(USUAL_SMOOTHING, now),
-            others: Asked::default(),
-            unsaid: 0,
-            last_return: now,
+            others: DemandRate::default(),
+            unreported: 0,
+            last_retry_at: now,
         }
     }
 
-    /// This box is asked for a place.
-    pub fn asked(&mut self, now: Instant) {
-        self.lately.add(1.0, now);
+    /// Records a request on this box.
+    pub fn record_request(&mut self, now: Instant) {
+        self.recent.add(1.0, now);
         self.usual.add(1.0, now);
     }
 
-    /// What this box is asked for.
-    pub fn own(&self, now: Instant) -> Asked {
-        Asked { lately: self.lately.get(now), usual: self.usual.since_start(now) }
+    /// Returns the demand on this box.
+    pub fn own(&self, now: Instant) -> DemandRate {
+        DemandRate { recent: self.recent.get(now), usual: self.usual.since_start(now) }
     }
 
-    /// What the others are taken to be asked for now, requests a second. News of it is some tenths of a
-    /// second old, and traffic comes back or rises at all boxes at once: then they are taken to be asked
-    /// for as much of what is usual for them as this one is.
-    pub fn elsewhere(&self, now: Instant) -> f64 {
+    /// Returns the estimated current demand on the other boxes, in requests per second.
+    ///
+    /// Their reports are some tenths of a second old, and traffic returns or increases on all boxes
+    /// at once. The estimate therefore assumes that their demand has increased relative to the
+    /// usual demand by as much as the demand on this box.
+    pub fn other_boxes(&self, now: Instant) -> f64 {
         let own = self.own(now);
-        let by_own = self.others.usual * rise(own);
-        self.others.lately.max(by_own) + own.lately * self.unsaid as f64
+        let by_own_increase = self.others.usual * increase_factor(own);
+        self.others.recent.max(by_own_increase) + own.recent * self.unreported as f64
     }
 }
 
-/// Demand against what is usual; above 1 only where chance does not explain it.
-fn rise(own: Asked) -> f64 {
+/// Returns the recent demand relative to the usual demand. The result is above 1 only if chance
+/// doesn't explain the difference.
+fn increase_factor(own: DemandRate) -> f64 {
     if own.usual <= 0.0 {
         return 1.0;
     }
-    let each = 1.0 / SMOOTHING.as_secs_f64();
-    let spread = (own.usual / SMOOTHING.as_secs_f64()).sqrt();
-    let least = own.lately - each - SIGNIFICANT * spread;
-    (own.lately / own.usual).min(1.0).max(least / own.usual)
+    let one_request = 1.0 / SMOOTHING.as_secs_f64();
+    let deviation = (own.usual / SMOOTHING.as_secs_f64()).sqrt();
+    let significant = own.recent - one_request - SIGNIFICANT_DEVIATIONS * deviation;
+    (own.recent / own.usual).min(1.0).max(significant / own.usual)
 }
--- a/lib/src/coordination/throttle/messages.rs
+++ b/lib/src/coordination/throttle/messages.rs
@@ -1,66 +1,67 @@
-//! What boxes of a region tell each other of servers that name a rate.
+//! Messages between the boxes of a region about servers that state a rate.
 
 use super::ServerLife;
 use super::ServiceHash;
 
-/// What a server last said.
+/// The rate that a server stated last.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct ServerRate {
-    /// The life of the server.
+    /// The incarnation of the server.
     #[prost(fixed64, tag = "1")]
     pub server: ServerLife,
-    /// Its service.
+    /// The service of the server.
     #[prost(fixed64, tag = "2")]
     pub service: ServiceHash,
-    /// Requests a second that it takes from all boxes; `None` for no rate any more.
+    /// Requests per second that the server accepts from all boxes; `None` if it no longer states a
+    /// rate.
     #[prost(double, optional, tag = "3")]
     pub rate: Option<f64>,
-    /// How long ago it said so, milliseconds.
+    /// Time since the server stated the rate, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub said_ms: u32,
 }
 
-/// What the sender sent to a server since the server first named a rate.
+/// Number of requests that the sender has sent to a server since the server first stated a rate.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Count {
-    /// The life of the server.
+pub struct SentCount {
+    /// The incarnation of the server.
     #[prost(fixed64, tag = "1")]
     pub server: ServerLife,
-    /// Requests; only grows in a life of the sender.
+    /// Number of requests. It only increases within an incarnation of the sender.
     #[prost(uint64, tag = "2")]
     pub sent: u64,
 }
 
-/// What the sender is asked for of a service of which a server names a rate.
+/// The sender's demand for a service that has a server with a stated rate.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Demand {
+pub struct ServiceDemand {
     /// The service.
     #[prost(fixed64, tag = "1")]
     pub service: ServiceHash,
-    /// Requests a minute.
+    /// Requests per minute.
     #[prost(uint32, tag = "2")]
     pub per_minute: u32,
-    /// The same over a longer time.
+    /// Requests per minute, averaged over a longer time.
     #[prost(uint32, tag = "3")]
     pub usual_per_minute: u32,
 }
 
-/// All of it in one report.
+/// The part of a report that concerns stated rates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ThrottleReport {
-    /// What servers said.
+    /// Rates that servers stated.
     #[prost(message, repeated, tag = "1")]
     pub words: Vec<ServerRate>,
-    /// What was sent to them.
+    /// Requests that the sender has sent to servers.
     #[prost(message, repeated, tag = "2")]
-    pub counts: Vec<Count>,
-    /// What the sender is asked for.
+    pub counts: Vec<SentCount>,
+    /// The sender's demand.
     #[prost(message, repeated, tag = "3")]
-    pub demands: Vec<Demand>,
+    pub demands: Vec<ServiceDemand>,
 }
 
 impl ThrottleReport {
-    /// Whether there is nothing to tell.
+    /// Returns whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.words.is_empty() && self.counts.is_empty() && self.demands.is_empty()
     }
--- a/lib/src/coordination/throttle/peers.rs
+++ b/lib/src/coordination/throttle/peers.rs
@@ -1,76 +1,81 @@
-//! What the other boxes of the region said, and what those that are silent keep of a rate.
+//! Reports of the other boxes of the region, and the share of a rate that unreachable boxes keep.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
 use super::ServerLife;
 use super::ServiceHash;
-use super::demand::Asked;
+use super::demand::DemandRate;
 
-/// Part of a rate that boxes share evenly while some are silent: demand moves on then, and nobody hears of it.
-const EVEN_IN_SILENCE: f64 = 0.3;
+/// Part of a rate that boxes share evenly while some are unreachable. The demand on those changes
+/// without being reported.
+const EVEN_SHARE: f64 = 0.3;
 
-/// What another box of the region said.
+/// The last reports of another box of the region.
 #[derive(Debug)]
-pub struct Source {
-    /// Its start.
+pub struct Peer {
+    /// Incarnation of the box.
     pub incarnation: u64,
     /// Number of its last report.
     pub number: u64,
-    /// When that came.
-    pub heard_at: Instant,
-    /// What it sent, by server.
+    /// When the last report arrived.
+    pub last_report_at: Instant,
+    /// Number of requests that the box has sent, by server.
     pub counts: HashMap<ServerLife, u64>,
-    /// What it is asked for, by service.
-    pub demands: HashMap<ServiceHash, Asked>,
+    /// Demand on the box, by service.
+    pub demands: HashMap<ServiceHash, DemandRate>,
 }
 
-/// What was heard of one service.
+/// Totals over the other boxes for one service.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Region {
-    /// Boxes that are heard.
-    heard: usize,
-    /// Those of them that have not said what they are asked for.
-    pub unsaid: usize,
-    /// What they are asked for, in sum.
-    pub demand: Asked,
-    /// Boxes that have fallen silent.
-    silent: usize,
-    /// Requests a second that these usually were asked for when last heard.
-    silent_usual: f64,
+pub struct PeerTotals {
+    /// Number of reachable boxes.
+    reachable: usize,
+    /// Number of reachable boxes that have not reported their demand.
+    pub unreported: usize,
+    /// Total demand on the reachable boxes.
+    pub demand: DemandRate,
+    /// Number of boxes that have become unreachable.
+    unreachable: usize,
+    /// Total usual demand on the unreachable boxes, in requests per second, as last reported.
+    unreachable_usual: f64,
 }
 
-impl Region {
-    /// A box, what it is asked for if it said so, and whether it is heard.
-    pub fn add(&mut self, asked: Option<Asked>, is_heard: bool) {
-        if !is_heard {
-            self.silent += 1;
-            self.silent_usual += asked.map_or(0.0, |asked| asked.usual);
+impl PeerTotals {
+    /// Adds a box, with its demand if it has reported it.
+    pub fn add(&mut self, demand: Option<DemandRate>, is_reachable: bool) {
+        if !is_reachable {
+            self.unreachable += 1;
+            self.unreachable_usual += demand.map_or(0.0, |demand| demand.usual);
             return;
         }
-        self.heard += 1;
-        match asked {
-            Some(asked) => {
-                self.demand.lately += asked.lately;
-                self.demand.usual += asked.usual;
+        self.reachable += 1;
+        match demand {
+            Some(demand) => {
+                self.demand.recent += demand.recent;
+                self.demand.usual += demand.usual;
             }
-            None => self.unsaid += 1,
+            None => self.unreported += 1,
         }
     }
 
-    /// Part of a rate that boxes which hear each other may use, this one with its own demand among
-    /// them. Those that were never heard are taken to be asked for as much as the others in the mean.
-    pub fn rest(&self, own_usual: f64, unknown: usize) -> f64 {
-        let away = (self.silent + unknown) as f64;
-        if away == 0.0 {
+    /// Returns the share of a rate for this box and the reachable ones. `unknown` boxes have never
+    /// sent a report; they are assumed to have the average demand of the others.
+    pub fn reachable_share(&self, own_usual: f64, unknown: usize) -> f64 {
+        let missing = (self.unreachable + unknown) as f64;
+        if missing == 0.0 {
             return 1.0;
         }
-        let known = (1 + self.heard + self.silent) as f64;
-        let known_usual = own_usual + self.demand.usual + self.silent_usual;
+        let known = (1 + self.reachable + self.unreachable) as f64;
+        let known_usual = own_usual + self.demand.usual + self.unreachable_usual;
         let unknown_usual = unknown as f64 * known_usual / known;
-        let even = away / (known + unknown as f64);
-        let all = known_usual + unknown_usual;
-        let by_demand = if all > 0.0 { (self.silent_usual + unknown_usual) / all } else { even };
-        1.0 - EVEN_IN_SILENCE * even - (1.0 - EVEN_IN_SILENCE) * by_demand
+        let even_share = missing / (known + unknown as f64);
+        let total_usual = known_usual + unknown_usual;
+        let demand_share = if total_usual > 0.0 {
+            (self.unreachable_usual + unknown_usual) / total_usual
+        } else {
+            even_share
+        };
+        1.0 - EVEN_SHARE * even_share - (1.0 - EVEN_SHARE) * demand_share
     }
 }
