--- a/lib/src/coordination/throttle.rs
+++ b/lib/src/coordination/throttle.rs
@@ -24,9 +24,9 @@
 
 mod account;
 mod demand;
+mod exchange;
 pub mod messages;
-mod peers;
-mod reports;
+mod region;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -40,8 +40,8 @@
 use self::account::RateChange;
 use self::account::StatedRate;
 use self::demand::Demand;
-use self::peers::Peer;
-use self::peers::PeerTotals;
+use self::region::Peer;
+use self::region::PeerTotals;
 use super::rendezvous;
 
 /// Identifies one incarnation of a server.
--- a/lib/src/coordination/throttle/reports.rs
+++ b/lib/src/coordination/throttle/exchange.rs
@@ -16,7 +16,7 @@
 use super::messages::SentCount;
 use super::messages::ServerRate;
 use super::messages::ThrottleReport;
-use super::peers::Peer;
+use super::region::Peer;
 use crate::coordination::quota::ReportId;
 
 /// Number of first reports of a box in which all requests that it has sent count as new to a box
