--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -1,9 +1,9 @@
-//! A pool of backend servers on one box: who runs now, where, and who waits.
+//! A pool of backend servers on one box: placement of requests on servers, and the queue.
 //!
-//! A request arrives and is placed on a server, queued, sent to a region that
-//! lends, or refused at once. A slot that comes free places the next waiting
-//! requests. The pool counts its own requests per server exactly; what other
-//! boxes do it knows from load reports, which lag, and trusts less as they age.
+//! A submitted request is placed on a server, queued, sent to a region that lends slots, or refused
+//! at once. When a slot becomes free, queued requests are placed. The pool counts its own requests
+//! per server exactly. It knows the requests of other boxes only from load reports, which are late,
+//! and whose weight decreases with their age.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,137 +32,138 @@
 use crate::protocol::ServerId;
 use crate::protocol::config::Priority;
 
-/// Requests of all boxes, as a factor of the pool's slots, that the boxes' even
-/// shares add up to. Over 1, since slots that wait for a request are idle;
-/// engines keep priorities among the few that wait in them.
-const SHARED_OUT: f64 = 1.25;
-/// Requests on one server, as a factor of its slots, at which it is full.
-const SERVER_FULL: f64 = 2.0;
-/// Share of a pool's servers that may be out for failing.
-const MOST_EJECTED: f64 = 0.5;
-/// Retries allowed per request, over time.
-const RETRY_SHARE: f64 = 0.1;
-/// Retries that may be saved up.
-const RETRY_BURST: f64 = 10.0;
-/// When to come back where no server can run the request.
-const NO_SERVER_RETRY: Duration = Duration::from_secs(5);
-/// Time by which a remote answer must be expected earlier than a local one.
-const LENDING_MARGIN: Duration = Duration::from_millis(100);
+/// Number of requests that the even shares of all boxes add up to, as a factor of the pool's slots.
+/// The factor is over 1, because a slot is idle while it waits for the next request. Engines apply
+/// priorities to the few requests that wait in them.
+const OVERCOMMIT_FACTOR: f64 = 1.25;
+/// Number of requests at which a server is full, as a factor of its slots.
+const SERVER_FULL_FACTOR: f64 = 2.0;
+/// Maximum share of a pool's servers that may be ejected for failures.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+/// Average number of retries allowed per request.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Maximum number of retries that may accumulate.
+const MAX_SAVED_RETRIES: f64 = 10.0;
+/// Time after which a caller is asked to retry if no server can run its request.
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Minimum wait from which a request is sent to another region: its answer has to be expected
+/// earlier than the local one by this much.
+const MIN_WAIT_TO_BORROW: Duration = Duration::from_millis(100);
 
 /// A request to place.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Which.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// When its answer is of no use any more.
+    /// When the answer is no longer useful.
     pub deadline: Instant,
-    /// Bytes it holds while it waits.
+    /// Bytes that the request takes up in the queue.
     pub bytes: usize,
-    /// Whether this region may run it.
+    /// Whether the request may run in this region.
     pub local_allowed: bool,
-    /// Other regions that may run it.
+    /// Other regions in which the request may run.
     pub remote_regions: Vec<RegionId>,
-    /// Hash of the beginning of its prompt.
+    /// Hash of the start of the prompt.
     pub prefix: Option<u64>,
-    /// Servers that it was tried on already.
+    /// Servers on which the request was tried already.
     pub tried_servers: Vec<ServerId>,
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// To this backend server; a slot is taken.
+    /// To this backend server. A slot is taken.
     Server(ServerId, SocketAddr),
-    /// To this region; a credit is used, or the region is the only one with servers.
+    /// To this region. A credit is used, or the own region has no server for the request.
     Region(RegionId),
-    /// Nowhere; the final answer.
+    /// Nowhere: the request is refused, with the time after which to retry.
     Refused(Kind, Duration),
 }
 
-/// What becomes of an arrival.
+/// Result of submitting a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Placed or refused at once.
+    /// The request was placed or refused at once.
     Immediate(Placement),
-    /// It waits; a [`Wake`] will come.
+    /// The request is queued; a [`Wake`] will follow.
     Queued,
 }
 
-/// A request that waited has been placed.
+/// The final placement of a request that was queued.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Wake {
-    /// Which.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Where it goes.
+    /// Where the request is sent.
     pub placement: Placement,
 }
 
 /// How an attempt on a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It answered.
+    /// The server answered.
     Answered {
-        /// From dispatch to the first byte.
+        /// Time from dispatch to the first byte.
         first_byte: Duration,
-        /// From dispatch to the end.
+        /// Time from dispatch to the end.
         total: Duration,
     },
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// It refused, and wants nothing from this box for so long.
+    /// The server refused the request and asked this box to send nothing for this time.
     Rests(Duration),
-    /// The caller went away, or the server was not to blame.
+    /// The caller disconnected, or the server was not at fault.
     Cancelled,
 }
 
-/// The pool.
+/// The state of one pool on one box.
 pub struct Pool<P> {
     policy: P,
     servers: BTreeMap<ServerId, Server>,
-    departed: BTreeMap<ServerId, u32>,
+    in_flight_on_removed: BTreeMap<ServerId, u32>,
     queue: Queue<Arrival>,
     borrower: Borrower,
     regions_with_servers: BTreeSet<RegionId>,
     service_time: Option<Duration>,
-    retries: TokenBucket,
+    retry_budget: TokenBucket,
     boxes: usize,
     rests: Rests,
     returns: Returns,
 }
 
-/// What the configuration says of a pool.
+/// Configured limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// Bytes that may wait.
+    /// Maximum total size of the queued requests, in bytes.
     pub max_queued_bytes: usize,
-    /// Boxes that use the pool's servers, this one among them.
+    /// Number of boxes that use the pool's servers, including this one.
     pub boxes: usize,
 }
 
 impl<P: Policy> Pool<P> {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(policy: P, limits: Limits, now: Instant) -> Pool<P> {
         Pool {
             policy,
             servers: BTreeMap::new(),
-            departed: BTreeMap::new(),
+            in_flight_on_removed: BTreeMap::new(),
             queue: Queue::new(limits.max_queued, limits.max_queued_bytes),
             borrower: Borrower::default(),
             regions_with_servers: BTreeSet::new(),
             service_time: None,
-            retries: TokenBucket::new(0.0, RETRY_BURST, now),
+            retry_budget: TokenBucket::new(0.0, MAX_SAVED_RETRIES, now),
             boxes: limits.boxes.max(1),
             rests: Rests::default(),
             returns: Returns::default(),
         }
     }
 
-    /// Takes in the configuration and the latest observations of this
-    /// region's servers; what runs on a server that is gone runs on.
+    /// Applies the configuration and the latest observations of this region's servers. Requests on
+    /// a server that was removed continue.
     pub fn update(
         &mut self,
         limits: Limits,
@@ -175,38 +176,38 @@
         let mut previous = std::mem::take(&mut self.servers);
         for (id, lane) in lanes {
             let mut server = previous.remove(&id).unwrap_or_else(|| Server::new(&id, lane.clone()));
-            server.in_flight += self.departed.remove(&id).unwrap_or(0);
+            server.in_flight += self.in_flight_on_removed.remove(&id).unwrap_or(0);
             server.observe(lane);
             self.servers.insert(id, server);
         }
         for (id, server) in previous.into_iter().filter(|(_, server)| server.in_flight > 0) {
-            *self.departed.entry(id).or_default() += server.in_flight;
+            *self.in_flight_on_removed.entry(id).or_default() += server.in_flight;
         }
     }
 
-    /// A region lends slots.
+    /// Adds slots lent by another region.
     pub fn add_credit(&mut self, region: RegionId, slots: u32, life: Duration, now: Instant) {
         self.borrower.receive(region, slots, life, now);
     }
 
-    /// Slots of this region that are free, as far as this box knows.
+    /// Returns the estimated number of free slots in this region.
     pub fn free_slots(&self, now: Instant) -> u32 {
         if !self.queue.is_empty() {
             return 0;
         }
-        let free = |server: &Server| (server.usable_slots(now) - server.load(now)).max(0.0);
-        self.servers.values().filter(|server| server.up()).map(free).sum::<f64>() as u32
+        let free_on = |server: &Server| (server.usable_slots(now) - server.load(now)).max(0.0);
+        self.servers.values().filter(|server| server.up()).map(free_on).sum::<f64>() as u32
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests of this box on servers of the pool.
+    /// Returns the number of this box's requests on servers of the pool.
     pub fn in_flight(&self) -> u32 {
-        let listed: u32 = self.servers.values().map(|server| server.in_flight).sum();
-        listed + self.departed.values().sum::<u32>()
+        let on_current_servers: u32 = self.servers.values().map(|server| server.in_flight).sum();
+        on_current_servers + self.in_flight_on_removed.values().sum::<u32>()
     }
 
     /// Places, queues or refuses a request.
@@ -217,7 +218,7 @@
         rng: &mut impl Rng,
     ) -> (Decision, Vec<Wake>) {
         if arrival.tried_servers.is_empty() {
-            self.retries.add(RETRY_SHARE);
+            self.retry_budget.add(RETRIES_PER_REQUEST);
         }
         if now >= arrival.deadline {
             return (refused(Kind::WouldBeLate, Duration::ZERO), Vec::new());
@@ -225,17 +226,17 @@
         if !arrival.local_allowed {
             return (Decision::Immediate(self.without_local_server(&arrival, now)), Vec::new());
         }
-        let behind = self.queue.ahead(arrival.priority, arrival.deadline);
-        if behind == 0
+        let queued_ahead = self.queue.ahead(arrival.priority, arrival.deadline);
+        if queued_ahead == 0
             && let Some(placement) = self.place(&arrival, now, rng)
         {
             return (Decision::Immediate(placement), Vec::new());
         }
-        let wait = self.expected_wait(behind, now);
+        let wait = self.expected_wait(queued_ahead, now);
         if let Some(region) = self.borrow(&arrival, wait, now) {
             return (Decision::Immediate(Placement::Region(region)), Vec::new());
         }
-        if !self.has_hope(&arrival, now) {
+        if !self.may_get_server(&arrival, now) {
             return (Decision::Immediate(self.without_local_server(&arrival, now)), Vec::new());
         }
         if now + wait + self.service_time.unwrap_or_default() > arrival.deadline {
@@ -266,12 +267,14 @@
         (decision, wakes)
     }
 
-    /// Whether a server that could take the request may come free. One that wants nothing before its deadline does not.
-    fn has_hope(&self, arrival: &Arrival, now: Instant) -> bool {
-        let in_time = |server: &Server| {
+    /// Returns whether a slot may become free on a server that the request was not tried on. A
+    /// server that rests until the request's deadline doesn't count.
+    fn may_get_server(&self, arrival: &Arrival, now: Instant) -> bool {
+        let available_in_time = |server: &Server| {
             self.rests.until(server.hash, now).is_none_or(|until| until < arrival.deadline)
         };
-        let mut up = self.servers.iter().filter(|(_, server)| server.up() && in_time(server));
+        let mut up =
+            self.servers.iter().filter(|(_, server)| server.up() && available_in_time(server));
         up.any(|(id, _)| !arrival.tried_servers.contains(id))
     }
 
@@ -281,12 +284,12 @@
         {
             return Placement::Region(region.clone());
         }
-        let come_back = self.first_rest_ends(now).map(|until| self.returns.next(until, now));
-        Placement::Refused(Kind::NoServer, come_back.unwrap_or(NO_SERVER_RETRY))
+        let retry_after = self.first_rest_end(now).map(|until| self.returns.next(until, now));
+        Placement::Refused(Kind::NoServer, retry_after.unwrap_or(NO_SERVER_RETRY_AFTER))
     }
 
-    /// When the first of the servers takes requests again, if all rest.
-    fn first_rest_ends(&self, now: Instant) -> Option<Instant> {
+    /// Returns when the first server accepts requests again, if all of them rest.
+    fn first_rest_end(&self, now: Instant) -> Option<Instant> {
         let up = self.servers.values().filter(|server| server.up());
         let ends: Option<Vec<Instant>> =
             up.map(|server| self.rests.until(server.hash, now)).collect();
@@ -294,7 +297,7 @@
     }
 
     fn borrow(&mut self, arrival: &Arrival, wait: Duration, now: Instant) -> Option<RegionId> {
-        if wait < LENDING_MARGIN || arrival.remote_regions.is_empty() {
+        if wait < MIN_WAIT_TO_BORROW || arrival.remote_regions.is_empty() {
             return None;
         }
         let regions = &self.regions_with_servers;
@@ -302,7 +305,7 @@
         self.borrower.use_slot(allowed, now)
     }
 
-    /// Time until a request with this many before it would be placed.
+    /// Returns the expected time until a request with `ahead` others before it is placed.
     pub fn expected_wait(&self, ahead: usize, now: Instant) -> Duration {
         let slots: f64 = self
             .servers
@@ -325,16 +328,17 @@
             let candidate = server.candidate(id, now);
             load += candidate.load;
             slots += candidate.slots;
-            let full = candidate.load >= candidate.slots * SERVER_FULL;
+            let full = candidate.load >= candidate.slots * SERVER_FULL_FACTOR;
             if !full && !arrival.tried_servers.contains(id) {
                 candidates.push(candidate);
             }
         }
-        // Its even share a box uses whatever the reports say, since they lag: boxes
-        // that all fill what all see as free overshoot, and then all hold back.
-        // Over its share it goes only while the reports say that there is room.
-        // Whole requests, so that a pool of few slots is not overcommitted by rounding.
-        let share = (slots * SHARED_OUT / self.boxes as f64).floor().max(1.0);
+        // A box uses its even share of the slots whatever the load reports say, because they are
+        // late: if all boxes filled the slots that the reports show as free, they would overshoot,
+        // and then all hold back. Beyond its share a box sends requests only while the reports show
+        // free slots. The share is a whole number of requests, so that rounding doesn't overcommit
+        // a pool with few slots.
+        let share = (slots * OVERCOMMIT_FACTOR / self.boxes as f64).floor().max(1.0);
         if f64::from(self.in_flight()) >= share && load >= slots {
             return None;
         }
@@ -350,7 +354,7 @@
         Some(Placement::Server(id, address))
     }
 
-    /// An attempt ended; its slot is free.
+    /// Records the end of an attempt, which frees its slot.
     pub fn finish(
         &mut self,
         id: &ServerId,
@@ -363,11 +367,11 @@
                 format!("server={id}")
             });
             server.in_flight = server.in_flight.saturating_sub(1);
-            self.learn(id, outcome, now);
-        } else if let Some(left) = self.departed.get_mut(id) {
-            *left -= 1;
-            if *left == 0 {
-                self.departed.remove(id);
+            self.apply_outcome(id, outcome, now);
+        } else if let Some(remaining) = self.in_flight_on_removed.get_mut(id) {
+            *remaining -= 1;
+            if *remaining == 0 {
+                self.in_flight_on_removed.remove(id);
             }
         } else {
             invariant::check(Invariant::SlotsBalance, false, || format!("server={id} unknown"));
@@ -375,7 +379,7 @@
         self.dispatch_queued(now, rng)
     }
 
-    fn learn(&mut self, id: &ServerId, outcome: Outcome, now: Instant) {
+    fn apply_outcome(&mut self, id: &ServerId, outcome: Outcome, now: Instant) {
         let Some(server) = self.servers.get_mut(id) else { return };
         match outcome {
             Outcome::Answered { first_byte, total } => {
@@ -387,7 +391,7 @@
                     self.eject(id, now);
                 }
             }
-            // A server that says how it is has not failed.
+            // A server that asks for rest has not failed.
             Outcome::Rests(rest) => {
                 self.rests.ask(server.hash, rest, now);
                 log::info!("event=server_rests server={id} rest_ms={}", rest.as_millis());
@@ -397,8 +401,9 @@
     }
 
     fn may_eject(&self, now: Instant) -> bool {
-        let out = self.servers.values().filter(|server| server.health.ejected(now)).count();
-        (out + 1) as f64 <= self.servers.len() as f64 * MOST_EJECTED
+        let ejected_count =
+            self.servers.values().filter(|server| server.health.ejected(now)).count();
+        (ejected_count + 1) as f64 <= self.servers.len() as f64 * MAX_EJECTED_SHARE
     }
 
     fn eject(&mut self, id: &ServerId, now: Instant) {
@@ -408,28 +413,29 @@
         }
     }
 
-    /// Whether one more attempt fits the retry budget.
+    /// Takes one retry from the retry budget. Returns `false` if none is left.
     pub fn take_retry(&mut self, now: Instant) -> bool {
-        self.retries.take(1.0, now).is_ok()
+        self.retry_budget.take(1.0, now).is_ok()
     }
 
-    /// A caller that waited went away.
+    /// Removes a queued request whose caller disconnected.
     pub fn cancel(&mut self, id: RequestId, priority: Priority, deadline: Instant) -> bool {
         self.queue.remove(id, priority, deadline)
     }
 
-    /// Refuses what is too late and places what waits and fits.
+    /// Refuses queued requests that are too late and places those that fit.
     pub fn dispatch_queued(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Wake> {
-        let late = self.queue.pop_expired(now).into_iter().map(|waiting| Wake {
+        let expired = self.queue.pop_expired(now).into_iter().map(|waiting| Wake {
             id: waiting.id,
             placement: Placement::Refused(Kind::WouldBeLate, Duration::ZERO),
         });
-        let mut wakes: Vec<Wake> = late.collect();
+        let mut wakes: Vec<Wake> = expired.collect();
         while let Some(waiting) = self.queue.pop() {
             match self.place(&waiting.request, now, rng) {
                 Some(placement) => wakes.push(Wake { id: waiting.id, placement }),
-                // No server is left for it here: it goes elsewhere or gets its answer.
-                None if !self.has_hope(&waiting.request, now) => {
+                // No server here can take the request any longer: it is sent to another region or
+                // refused.
+                None if !self.may_get_server(&waiting.request, now) => {
                     let placement = self.without_local_server(&waiting.request, now);
                     wakes.push(Wake { id: waiting.id, placement });
                 }
@@ -443,6 +449,6 @@
     }
 }
 
-fn refused(kind: Kind, after: Duration) -> Decision {
-    Decision::Immediate(Placement::Refused(kind, after.max(Duration::from_secs(1))))
+fn refused(kind: Kind, retry_after: Duration) -> Decision {
+    Decision::Immediate(Placement::Refused(kind, retry_after.max(Duration::from_secs(1))))
 }
