--- a/lib/benches/admission.rs
+++ b/lib/benches/admission.rs
@@ -1,5 +1,5 @@
-//! What it costs to tell whose request it is and to take it from the team's limit, by number of teams.
-//! Requests paid neither before there were keys and limits.
+//! Cost of resolving the team of a request and charging it to the team's limit, by number of teams.
+//! Without keys and limits, a request incurs neither cost.
 //!
 //! `cargo bench -p copperweir-lib --bench admission`
 
@@ -24,7 +24,7 @@
 
 const REQUESTS: u32 = 100_000;
 const ROUNDS: usize = 7;
-const SIZES: [usize; 3] = [16, 480, 5000];
+const TEAM_COUNTS: [usize; 3] = [16, 480, 5000];
 
 fn route() -> Route {
     Route {
@@ -47,7 +47,7 @@
     format!("some-key-of-team-{number}")
 }
 
-/// Microseconds a request.
+/// Returns the microseconds per request.
 fn measure(count: usize) -> f64 {
     let limit = Limit { rate: 1e9, burst: 1e9, unit: Unit::Tokens { plain: 200 } };
     let team = |number| {
@@ -58,27 +58,27 @@
         .with_teams(Some(Teams::new((0..count).map(team))));
     let start = Instant::now();
     let mut quotas = Quotas::new(Tolerance { slack: 0.0, dither: 0.5 }, start);
-    let (route, later) = (route(), start + Duration::from_secs(10));
+    let (route, after_start) = (route(), start + Duration::from_secs(10));
     let keys: Vec<String> = (0..count).map(key).collect();
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..REQUESTS as usize {
         let digest = KeyDigest::of(&keys[number % count]);
         let claim = Credentials { key: Some(digest), forwarded: None };
         let team = identity::resolve_team(&claim, &routing, &route, false).expect("held");
         let team = team.expect("a team");
-        let now = later + Duration::from_micros(number as u64);
+        let now = after_start + Duration::from_micros(number as u64);
         let admitted = quotas.admit(rendezvous::weight(&team.name, ""), limit, 1000.0, now);
         assert!(admitted.is_ok());
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
 }
 
 fn main() {
     println!("teams  us a request (min..max)");
-    for count in SIZES {
+    for count in TEAM_COUNTS {
         let rounds: Vec<f64> = (0..ROUNDS).map(|_| measure(count)).collect();
-        let least = rounds.iter().copied().fold(f64::MAX, f64::min);
-        let most = rounds.iter().copied().fold(0.0, f64::max);
-        println!("{count:>5}  {least:.2}..{most:.2}");
+        let min = rounds.iter().copied().fold(f64::MAX, f64::min);
+        let max = rounds.iter().copied().fold(0.0, f64::max);
+        println!("{count:>5}  {min:.2}..{max:.2}");
     }
 }
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, by number of backend servers.
+//! Cost of one placement decision, by number of backend servers.
 //!
 //! `cargo bench -p copperweir-lib --bench decision`
 
@@ -23,7 +23,7 @@
 const DECISIONS: u32 = 20_000;
 const REFRESHES: u32 = 200;
 const ROUNDS: usize = 5;
-const SIZES: [usize; 5] = [12, 40, 150, 316, 600];
+const SERVER_COUNTS: [usize; 5] = [12, 40, 150, 316, 600];
 
 fn lanes(count: usize, now: Instant) -> BTreeMap<String, Lane> {
     let lane = |index: usize| Lane {
@@ -46,7 +46,7 @@
         first_byte: Duration::from_millis(20),
         total: Duration::from_millis(100),
     };
-    let began = Instant::now();
+    let started = Instant::now();
     for id in 0..u64::from(DECISIONS) {
         let arrival = Arrival {
             id,
@@ -63,18 +63,18 @@
             pool.finish(&server, outcome, now, &mut rng);
         }
     }
-    let decision = began.elapsed() / DECISIONS;
-    let began = Instant::now();
+    let decision = started.elapsed() / DECISIONS;
+    let started = Instant::now();
     for _ in 0..REFRESHES {
         pool.update(limits, lanes(count, now), BTreeSet::new());
     }
-    let refresh = began.elapsed() / REFRESHES;
+    let refresh = started.elapsed() / REFRESHES;
     (decision.as_secs_f64() * 1e6, refresh.as_secs_f64() * 1e6)
 }
 
 fn main() {
     println!("servers  decision us (min..max)  refresh us (min..max)");
-    for count in SIZES {
+    for count in SERVER_COUNTS {
         let mut rounds: Vec<(f64, f64)> = (0..ROUNDS).map(|_| measure(count)).collect();
         rounds.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (low, high) = (rounds[0].0, rounds[ROUNDS - 1].0);
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -1,9 +1,9 @@
-//! Policies on identical arrivals, in virtual time, against an oracle without lag.
+//! Comparison of policies on identical arrivals, in virtual time, with an oracle.
 //!
-//! One region: boxes with the daemon's own pool code, engines with a cost model
-//! (slots, a prefix cache of limited memory, prefill one after another, decode
-//! steps that lengthen with the batch), load reports that lag. The oracle sees
-//! every engine's true state and cache at each arrival.
+//! The simulated region has boxes that run the daemon's pool code, and load reports that are late.
+//! Its engines have a cost model: slots, a prefix cache of limited size, prefill of one prompt at a
+//! time, and decode steps that take longer with larger batches. The oracle sees the true state and
+//! cache of every engine at each arrival.
 //!
 //! `cargo bench -p copperweir-lib --bench policies`
 
@@ -23,7 +23,7 @@
 use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::policy::PrefixHash;
 use copperweir_lib::coordination::policy::Random;
-use copperweir_lib::coordination::policy::Request as Asked;
+use copperweir_lib::coordination::policy::Request as RequestInfo;
 use copperweir_lib::coordination::policy::RoundRobin;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
@@ -41,29 +41,30 @@
 const ENGINES: usize = 12;
 const BOXES: usize = 3;
 const SLOTS: u32 = 8;
-/// Prefixes that an engine's cache holds.
-const CACHED: usize = 40;
-/// Prefixes that callers use, by Zipf's law.
-const PREFIXES: f64 = 200.0;
-/// Seconds per token of prefill, and per decode step, alone and per request beside it.
-const PREFILL: f64 = 0.000_1;
-const STEP: f64 = 0.010;
-const STEP_PER_REQUEST: f64 = 0.001;
-const REPORT_PERIOD: f64 = 0.5;
-const REPORT_LAG: f64 = 0.3;
-const LENGTH: f64 = 120.0;
-const WARM_UP: f64 = 20.0;
+/// Number of prefixes in an engine's cache.
+const CACHED_PREFIXES: usize = 40;
+/// Number of prefixes that callers use, with a Zipf distribution.
+const PREFIX_COUNT: f64 = 200.0;
+/// Seconds per token of prefill, per decode step, and added to a decode step per running request.
+const PREFILL_S_PER_TOKEN: f64 = 0.000_1;
+const DECODE_STEP_S: f64 = 0.010;
+const DECODE_STEP_S_PER_REQUEST: f64 = 0.001;
+const REPORT_PERIOD_S: f64 = 0.5;
+const REPORT_LAG_S: f64 = 0.3;
+const DURATION_S: f64 = 120.0;
+const WARM_UP_S: f64 = 20.0;
 const SEEDS: u64 = 5;
 const LOADS: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
 
-/// Kind of request: share, shared and own prompt tokens, answer tokens, priority, patience.
-struct Kind {
+/// A kind of request. `share` is its part of all requests; `prefix` and `own` are the shared and
+/// the own prompt tokens; `tokens` are the answer tokens; `patience_s` is the time to the deadline.
+struct RequestKind {
     share: f64,
     prefix: f64,
     own: f64,
     tokens: f64,
     priority: Priority,
-    patience: f64,
+    patience_s: f64,
 }
 
 const fn kind(
@@ -72,18 +73,18 @@
     own: f64,
     tokens: f64,
     priority: Priority,
-    patience: f64,
-) -> Kind {
-    Kind { share, prefix, own, tokens, priority, patience }
+    patience_s: f64,
+) -> RequestKind {
+    RequestKind { share, prefix, own, tokens, priority, patience_s }
 }
 
-/// Fault logs to summarise, and questions about codes.
-const UTILITY: [Kind; 2] = [
+/// Summaries of fault logs, and questions about codes.
+const UTILITY: [RequestKind; 2] = [
     kind(0.4, 1500.0, 500.0, 60.0, Priority::High, 10.0),
     kind(0.6, 100.0, 25.0, 20.0, Priority::Normal, 20.0),
 ];
-/// Reviews of listings, and buyers' questions.
-const TICKETS: [Kind; 2] = [
+/// Reviews of listings, and questions of buyers.
+const TICKETS: [RequestKind; 2] = [
     kind(0.3, 2250.0, 250.0, 40.0, Priority::Low, 30.0),
     kind(0.7, 75.0, 25.0, 15.0, Priority::High, 10.0),
 ];
@@ -104,18 +105,18 @@
     waiting: VecDeque<Job>,
     prefill_free_at: f64,
     cache: VecDeque<u64>,
-    past: VecDeque<(f64, u32)>,
+    load_history: VecDeque<(f64, u32)>,
 }
 
 enum Event {
     Arrive(Job),
-    Land(usize, Job),
+    ReachEngine(usize, Job),
     Done(usize, Job, f64),
     Report,
 }
 
 #[derive(Default)]
-struct Tally {
+struct Statistics {
     first: Vec<f64>,
     urgent: Vec<f64>,
     completed: usize,
@@ -124,13 +125,13 @@
     hits: usize,
     lookups: usize,
     work: f64,
-    /// Slot-seconds in use, and of those, waiting for a prefill to end.
+    /// Slot-seconds in use, and those of them spent waiting for a prefill to end.
     busy: f64,
     stalled: f64,
 }
 
-struct World<'a, P> {
-    kinds: &'a [Kind],
+struct Simulation<'a, P> {
+    kinds: &'a [RequestKind],
     pools: Vec<Pool<P>>,
     engines: Vec<Engine>,
     jobs: HashMap<u64, Job>,
@@ -141,7 +142,7 @@
     now: f64,
     oracle: bool,
     rng: SmallRng,
-    tally: Tally,
+    statistics: Statistics,
 }
 
 fn name(engine: usize) -> String {
@@ -150,10 +151,10 @@
 
 const LIMITS: Limits = Limits { max_queued: 256, max_queued_bytes: usize::MAX, boxes: BOXES };
 
-impl<'a, P: Policy + Default> World<'a, P> {
-    fn new(kinds: &'a [Kind], oracle: bool, seed: u64) -> World<'a, P> {
+impl<'a, P: Policy + Default> Simulation<'a, P> {
+    fn new(kinds: &'a [RequestKind], oracle: bool, seed: u64) -> Simulation<'a, P> {
         let start = Instant::now();
-        let mut world = World {
+        let mut simulation = Simulation {
             kinds,
             pools: (0..BOXES).map(|_| Pool::new(P::default(), LIMITS, start)).collect(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
@@ -165,13 +166,13 @@
             now: 0.0,
             oracle,
             rng: SmallRng::seed_from_u64(seed ^ 0xfeed),
-            tally: Tally::default(),
+            statistics: Statistics::default(),
         };
-        world.at(0.0, Event::Report);
-        world
+        simulation.schedule(0.0, Event::Report);
+        simulation
     }
 
-    fn at(&mut self, time: f64, event: Event) {
+    fn schedule(&mut self, time: f64, event: Event) {
         self.number += 1;
         self.queue.push(Reverse(((time * 1e9) as u64, self.number)));
         self.events.insert(self.number, event);
@@ -181,34 +182,34 @@
         self.start + Duration::from_secs_f64(self.now)
     }
 
-    fn run(mut self, arrivals: &[Job]) -> Tally {
+    fn run(mut self, arrivals: &[Job]) -> Statistics {
         for job in arrivals {
-            self.at(job.arrived, Event::Arrive(job.clone()));
+            self.schedule(job.arrived, Event::Arrive(job.clone()));
         }
         while let Some(Reverse((time, number))) = self.queue.pop() {
             self.now = time as f64 / 1e9;
             match self.events.remove(&number) {
                 Some(Event::Arrive(job)) => self.arrive(job),
-                Some(Event::Land(engine, job)) => self.land(engine, job),
+                Some(Event::ReachEngine(engine, job)) => self.reach_engine(engine, job),
                 Some(Event::Done(engine, job, first)) => self.done(engine, job, first),
                 Some(Event::Report) => self.report(),
                 None => {}
             }
         }
-        self.tally
+        self.statistics
     }
 
-    fn counts(&self, job: &Job) -> bool {
-        job.arrived >= WARM_UP
+    fn is_measured(&self, job: &Job) -> bool {
+        job.arrived >= WARM_UP_S
     }
 
     fn arrive(&mut self, job: Job) {
         if self.oracle {
-            let engine = self.best(&job);
+            let engine = self.best_engine(&job);
             return self.dispatch(engine, job);
         }
         let kind = &self.kinds[job.kind];
-        let patience = Duration::from_secs_f64(kind.patience);
+        let patience = Duration::from_secs_f64(kind.patience_s);
         let arrival = Arrival {
             id: job.id,
             priority: kind.priority,
@@ -223,40 +224,40 @@
         self.jobs.insert(id, job);
         let now = self.instant();
         let (decision, wakes) = self.pools[owner].submit(arrival, now, &mut self.rng);
-        self.woken(wakes);
+        self.handle_wakes(wakes);
         if let Decision::Immediate(placement) = decision {
-            self.placed(id, placement);
+            self.apply_placement(id, placement);
         }
     }
 
-    fn woken(&mut self, wakes: Vec<Wake>) {
+    fn handle_wakes(&mut self, wakes: Vec<Wake>) {
         for wake in wakes {
-            self.placed(wake.id, wake.placement);
+            self.apply_placement(wake.id, wake.placement);
         }
     }
 
-    fn placed(&mut self, id: u64, placement: Placement) {
+    fn apply_placement(&mut self, id: u64, placement: Placement) {
         let Some(job) = self.jobs.remove(&id) else { return };
         match placement {
             Placement::Server(server, _) => {
                 let engine = server["engine-".len()..].parse().unwrap_or(0);
                 self.dispatch(engine, job);
             }
-            _ if self.counts(&job) => {
-                self.tally.refused += 1;
+            _ if self.is_measured(&job) => {
+                self.statistics.refused += 1;
                 let urgent = self.kinds[job.kind].priority == Priority::High;
-                self.tally.refused_urgent += usize::from(urgent);
+                self.statistics.refused_urgent += usize::from(urgent);
             }
             _ => {}
         }
     }
 
-    /// The engine on which the first token would come soonest, by its true state.
-    fn best(&self, job: &Job) -> usize {
+    /// Returns the engine with the earliest first token, according to its true state.
+    fn best_engine(&self, job: &Job) -> usize {
         let kind = &self.kinds[job.kind];
         let cost = |engine: &Engine| {
             let hit = engine.cache.contains(&job.prefix);
-            let prefill = (kind.own + if hit { 0.0 } else { kind.prefix }) * PREFILL;
+            let prefill = (kind.own + if hit { 0.0 } else { kind.prefix }) * PREFILL_S_PER_TOKEN;
             let ahead = (engine.running + engine.waiting.len() as u32) as f64 / f64::from(SLOTS);
             let queued = (ahead - 1.0 + 1.0 / f64::from(SLOTS)).max(0.0);
             (engine.prefill_free_at - self.now).max(0.0) + prefill + queued + 0.02 * ahead
@@ -267,10 +268,10 @@
 
     fn dispatch(&mut self, engine: usize, mut job: Job) {
         job.dispatched = self.now;
-        self.at(self.now + 0.001, Event::Land(engine, job));
+        self.schedule(self.now + 0.001, Event::ReachEngine(engine, job));
     }
 
-    fn land(&mut self, engine: usize, job: Job) {
+    fn reach_engine(&mut self, engine: usize, job: Job) {
         self.engines[engine].waiting.push_back(job);
         self.admit(engine);
     }
@@ -281,7 +282,7 @@
         if engine.running >= SLOTS {
             return;
         }
-        // The engine honours priorities.
+        // Engines serve higher priorities first.
         let urgent = |job: &Job| kinds[job.kind].priority;
         let next = (0..engine.waiting.len()).rev().max_by_key(|at| urgent(&engine.waiting[*at]));
         let Some(job) = next.and_then(|next| engine.waiting.remove(next)) else { return };
@@ -292,33 +293,34 @@
             engine.cache.remove(position);
         }
         engine.cache.push_back(job.prefix);
-        if engine.cache.len() > CACHED {
+        if engine.cache.len() > CACHED_PREFIXES {
             engine.cache.pop_front();
         }
-        let prefill = (kind.own + if hit.is_some() { 0.0 } else { kind.prefix }) * PREFILL;
+        let prefill =
+            (kind.own + if hit.is_some() { 0.0 } else { kind.prefix }) * PREFILL_S_PER_TOKEN;
         let prefilled = engine.prefill_free_at.max(now) + prefill;
         engine.prefill_free_at = prefilled;
-        let step = STEP + STEP_PER_REQUEST * f64::from(engine.running);
+        let step = DECODE_STEP_S + DECODE_STEP_S_PER_REQUEST * f64::from(engine.running);
         let first = prefilled + step;
         let end = prefilled + step * kind.tokens;
-        if job.arrived >= WARM_UP {
-            self.tally.lookups += 1;
-            self.tally.hits += usize::from(hit.is_some());
-            self.tally.work += prefill + step * kind.tokens / f64::from(SLOTS);
-            self.tally.busy += end - now;
-            self.tally.stalled += prefilled - now;
+        if job.arrived >= WARM_UP_S {
+            self.statistics.lookups += 1;
+            self.statistics.hits += usize::from(hit.is_some());
+            self.statistics.work += prefill + step * kind.tokens / f64::from(SLOTS);
+            self.statistics.busy += end - now;
+            self.statistics.stalled += prefilled - now;
         }
-        self.at(end, Event::Done(index, job, first));
+        self.schedule(end, Event::Done(index, job, first));
     }
 
     fn done(&mut self, engine: usize, job: Job, first: f64) {
         self.engines[engine].running -= 1;
         self.admit(engine);
-        if self.counts(&job) {
-            self.tally.completed += 1;
-            self.tally.first.push(first - job.arrived);
+        if self.is_measured(&job) {
+            self.statistics.completed += 1;
+            self.statistics.first.push(first - job.arrived);
             if self.kinds[job.kind].priority == Priority::High {
-                self.tally.urgent.push(first - job.arrived);
+                self.statistics.urgent.push(first - job.arrived);
             }
         }
         if self.oracle {
@@ -330,24 +332,24 @@
         };
         let now = self.instant();
         let wakes = self.pools[job.owner].finish(&name(engine), outcome, now, &mut self.rng);
-        self.woken(wakes);
+        self.handle_wakes(wakes);
     }
 
-    /// Every box gets every engine's load as it was a while ago.
+    /// Sends every box the load that each engine had some time ago.
     fn report(&mut self) {
-        if self.now > LENGTH {
+        if self.now > DURATION_S {
             return;
         }
-        self.at(self.now + REPORT_PERIOD, Event::Report);
+        self.schedule(self.now + REPORT_PERIOD_S, Event::Report);
         let now = self.now;
         let mut lanes = BTreeMap::new();
         for (index, engine) in self.engines.iter_mut().enumerate() {
             let load = engine.running + engine.waiting.len() as u32;
-            engine.past.push_back((now, load));
-            while engine.past.len() > 1 && engine.past[1].0 <= now - REPORT_LAG {
-                engine.past.pop_front();
+            engine.load_history.push_back((now, load));
+            while engine.load_history.len() > 1 && engine.load_history[1].0 <= now - REPORT_LAG_S {
+                engine.load_history.pop_front();
             }
-            let (at, load) = engine.past[0];
+            let (at, load) = engine.load_history[0];
             let lane = Lane {
                 address: SocketAddr::from(([127, 0, 0, 1], index as u16)),
                 slots: SLOTS,
@@ -361,16 +363,16 @@
         for index in 0..BOXES {
             self.pools[index].update(LIMITS, lanes.clone(), BTreeSet::new());
             let wakes = self.pools[index].dispatch_queued(now, &mut self.rng);
-            self.woken(wakes);
+            self.handle_wakes(wakes);
         }
     }
 }
 
-fn arrivals(kinds: &[Kind], rate: f64, seed: u64) -> Vec<Job> {
+fn arrivals(kinds: &[RequestKind], rate: f64, seed: u64) -> Vec<Job> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut jobs = Vec::new();
     let mut now = 0.0;
-    while now < LENGTH {
+    while now < DURATION_S {
         now += -rng.random_range(f64::EPSILON..1.0).ln() / rate;
         let mut left: f64 = rng.random();
         let drawn = kinds.iter().position(|kind| {
@@ -378,7 +380,7 @@
             left < 0.0
         });
         let kind = drawn.unwrap_or(0);
-        let prefix = PREFIXES.powf(rng.random::<f64>()) as u64 + 1000 * kind as u64;
+        let prefix = PREFIX_COUNT.powf(rng.random::<f64>()) as u64 + 1000 * kind as u64;
         jobs.push(Job {
             id: jobs.len() as u64,
             kind,
@@ -391,12 +393,14 @@
     jobs
 }
 
-/// Requests a second at which all slots are busy in full batches.
-fn capacity(kinds: &[Kind]) -> f64 {
-    let step = STEP + STEP_PER_REQUEST * f64::from(SLOTS);
+/// Returns the requests per second at which all slots are busy with full batches.
+fn capacity(kinds: &[RequestKind]) -> f64 {
+    let step = DECODE_STEP_S + DECODE_STEP_S_PER_REQUEST * f64::from(SLOTS);
     let busy: f64 = kinds
         .iter()
-        .map(|kind| kind.share * (kind.tokens * step + (kind.own + kind.prefix / 2.0) * PREFILL))
+        .map(|kind| {
+            kind.share * (kind.tokens * step + (kind.own + kind.prefix / 2.0) * PREFILL_S_PER_TOKEN)
+        })
         .sum();
     ENGINES as f64 * f64::from(SLOTS) / busy
 }
@@ -409,38 +413,44 @@
     times[((times.len() - 1) as f64 * share).round() as usize] * 1000.0
 }
 
-/// Estimate without prefix affinity.
+/// [`PrefixAffinity`] without the prefix.
 #[derive(Default)]
 struct NoPrefix(PrefixAffinity);
 
 impl Policy for NoPrefix {
     fn choose(
         &mut self,
-        _asked: Asked,
+        _request: RequestInfo,
         candidates: &[Candidate<'_>],
         rng: &mut impl Rng,
     ) -> Option<usize> {
-        self.0.choose(Asked { prefix: None }, candidates, rng)
+        self.0.choose(RequestInfo { prefix: None }, candidates, rng)
     }
 }
 
-fn row<P: Policy + Default>(label: &str, kinds: &[Kind], load: f64, oracle: bool) -> Vec<f64> {
+fn run_policy<P: Policy + Default>(
+    label: &str,
+    kinds: &[RequestKind],
+    load: f64,
+    oracle: bool,
+) -> Vec<f64> {
     let mut seeds = Vec::new();
     for seed in 1..=SEEDS {
         let jobs = arrivals(kinds, capacity(kinds) * load, seed);
-        let mut tally = World::<P>::new(kinds, oracle, seed).run(&jobs);
-        let total = (tally.completed + tally.refused) as f64;
+        let mut statistics = Simulation::<P>::new(kinds, oracle, seed).run(&jobs);
+        let total = (statistics.completed + statistics.refused) as f64;
         seeds.push([
-            quantile(&mut tally.first.clone(), 0.5),
-            quantile(&mut tally.first, 0.95),
-            quantile(&mut tally.urgent.clone(), 0.95),
-            quantile(&mut tally.urgent, 0.99),
-            tally.refused as f64 / total * 100.0,
-            tally.refused_urgent as f64 / total * 100.0,
-            tally.hits as f64 / tally.lookups as f64 * 100.0,
-            tally.work / tally.completed as f64 * 1000.0,
-            tally.busy / ((LENGTH - WARM_UP) * ENGINES as f64 * f64::from(SLOTS)) * 100.0,
-            tally.stalled / tally.busy * 100.0,
+            quantile(&mut statistics.first.clone(), 0.5),
+            quantile(&mut statistics.first, 0.95),
+            quantile(&mut statistics.urgent.clone(), 0.95),
+            quantile(&mut statistics.urgent, 0.99),
+            statistics.refused as f64 / total * 100.0,
+            statistics.refused_urgent as f64 / total * 100.0,
+            statistics.hits as f64 / statistics.lookups as f64 * 100.0,
+            statistics.work / statistics.completed as f64 * 1000.0,
+            statistics.busy / ((DURATION_S - WARM_UP_S) * ENGINES as f64 * f64::from(SLOTS))
+                * 100.0,
+            statistics.stalled / statistics.busy * 100.0,
         ]);
     }
     let column = |index: usize| {
@@ -477,14 +487,17 @@
             "p95 range"
         );
         for load in LOADS {
-            let oracle = row::<PrefixAffinity>("oracle", kinds, load, true);
-            let ours = row::<PrefixAffinity>("estimate", kinds, load, false);
-            row::<NoPrefix>("- no prefix", kinds, load, false);
-            row::<Random>("random", kinds, load, false);
-            row::<RoundRobin>("round robin", kinds, load, false);
-            row::<LeastInFlight>("least in flight", kinds, load, false);
-            row::<PrefixHash>("prefix sticky", kinds, load, false);
-            println!("estimate p95 over the oracle's: {:.2}", ours[2] / oracle[2]);
+            let oracle = run_policy::<PrefixAffinity>("oracle", kinds, load, true);
+            let affinity = run_policy::<PrefixAffinity>("prefix affinity", kinds, load, false);
+            run_policy::<NoPrefix>("- no prefix", kinds, load, false);
+            run_policy::<Random>("random", kinds, load, false);
+            run_policy::<RoundRobin>("round robin", kinds, load, false);
+            run_policy::<LeastInFlight>("least in flight", kinds, load, false);
+            run_policy::<PrefixHash>("prefix hash", kinds, load, false);
+            println!(
+                "prefix affinity p95 relative to the oracle's: {:.2}",
+                affinity[2] / oracle[2]
+            );
         }
     }
 }
--- a/lib/src/coordination/invariant.rs
+++ b/lib/src/coordination/invariant.rs
@@ -34,10 +34,10 @@
     Hops "hops" "A request visits each box at most once, and at most three boxes.";
     VersionGrows "version_grows" "The configuration in force never reverts.";
     OneExchange "one_exchange" "A request has at most one backend exchange at a time.";
-    WholeAnswer "whole_answer" "The caller received the answer that the backend server sent, from start to end.";
-    RanNoIsTrue "ran_no_is_true" "`ran: no` is reported only if nothing was sent to a backend server.";
+    WholeAnswer "whole_answer" "The caller received the server's answer as it was sent, to the end.";
+    RanNoIsTrue "ran_no_is_true" "`ran: no` is reported only if nothing was sent to a server.";
     AtMostOnce "at_most_once" "A request that may not be repeated is sent at most once.";
-    NoWorkToLeaving "no_work_to_leaving" "A backend server known to be leaving gets no new requests.";
+    NoWorkToLeaving "no_work_to_leaving" "A server known to be leaving gets no new requests.";
     OrderUnderLease "order_under_lease" "Orders are sent only under a live lease.";
     SlotsBalance "slots_balance" "Every slot taken is released exactly once.";
     LentWithinSpare "lent_within_spare" "A box never lends more than its share of the spare slots.";
--- a/lib/tests/test_coordination.rs
+++ b/lib/tests/test_coordination.rs
@@ -1,4 +1,4 @@
-//! The decisions, without sockets: properties under drawn events.
+//! Property tests of the decision logic, without sockets.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,10 +46,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Cases of each property in CI; the long run sets COPPERWEIR_CASES.
+/// Number of cases per property in CI. Longer runs set COPPERWEIR_CASES.
 const CASES: u32 = 256;
 
-/// A runner with a fixed seed, or with the one that COPPERWEIR_SEED gives.
+/// Returns a runner with a fixed seed, or with the seed in COPPERWEIR_SEED.
 fn runner() -> TestRunner {
     invariant::panic_on_breach();
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
@@ -78,36 +78,38 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { priority: usize, patience: u64, remote_allowed: bool, local_allowed: bool },
+    Arrive { priority: usize, timeout_ms: u64, remote_allowed: bool, local_allowed: bool },
     Finish { which: usize, failed: bool },
     Withdraw { which: usize },
-    Turn { server: usize, leaving: bool, reachable: bool },
+    ChangeServer { server: usize, leaving: bool, reachable: bool },
     Credit { slots: u32 },
-    Pass { millis: u64 },
+    AdvanceTime { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..3usize, 1..5000u64, any::<bool>(), prop::bool::weighted(0.9))
-            .prop_map(|(priority, patience, remote_allowed, local_allowed)| {
-                Step::Arrive { priority, patience, remote_allowed, local_allowed }
+            .prop_map(|(priority, timeout_ms, remote_allowed, local_allowed)| {
+                Step::Arrive { priority, timeout_ms, remote_allowed, local_allowed }
             }),
         4 => (any::<usize>(), prop::bool::weighted(0.2))
             .prop_map(|(which, failed)| Step::Finish { which, failed }),
         1 => any::<usize>().prop_map(|which| Step::Withdraw { which }),
         1 => (0..SERVERS, any::<bool>(), prop::bool::weighted(0.8))
-            .prop_map(|(server, leaving, reachable)| Step::Turn { server, leaving, reachable }),
+            .prop_map(|(server, leaving, reachable)| {
+                Step::ChangeServer { server, leaving, reachable }
+            }),
         1 => (0..4u32).prop_map(|slots| Step::Credit { slots }),
-        2 => (1..2000u64).prop_map(|millis| Step::Pass { millis }),
+        2 => (1..2000u64).prop_map(|millis| Step::AdvanceTime { millis }),
     ]
 }
 
-/// A pool and what should be true of it.
+/// A pool, and a model of the state that it must be in.
 struct Model {
     pool: Pool<PrefixAffinity>,
     rng: SmallRng,
     now: Instant,
-    next: u64,
+    last_id: u64,
     leaving: Vec<bool>,
     reachable: Vec<bool>,
     running: Vec<(u64, String)>,
@@ -123,7 +125,7 @@
             pool: Pool::new(PrefixAffinity, limits, now),
             rng: SmallRng::seed_from_u64(7),
             now,
-            next: 0,
+            last_id: 0,
             leaving: vec![false; SERVERS],
             reachable: vec![true; SERVERS],
             running: Vec::new(),
@@ -140,16 +142,16 @@
         self.pool.update(limits, lanes(&self.leaving, &self.reachable), regions);
     }
 
-    fn placed(&mut self, id: u64, remote_allowed: bool, placement: Placement) {
+    fn check_placement(&mut self, id: u64, remote_allowed: bool, placement: Placement) {
         match placement {
             Placement::Server(server, _) => {
-                let index: usize = server[1..].parse().expect("a server of ours");
-                assert!(!self.leaving[index], "new work for a server that leaves");
-                assert!(self.reachable[index], "new work for a server that is not reachable");
+                let index: usize = server[1..].parse().expect("a server of the model");
+                assert!(!self.leaving[index], "new request for a leaving server");
+                assert!(self.reachable[index], "new request for a server that is not reachable");
                 self.running.push((id, server));
             }
             Placement::Region(region) => {
-                assert!(remote_allowed, "sent elsewhere against its rule");
+                assert!(remote_allowed, "sent elsewhere although not allowed");
                 assert_eq!(region, "there");
             }
             Placement::Refused(kind, after) => {
@@ -159,17 +161,18 @@
         }
     }
 
-    fn woken(&mut self, wakes: Vec<Wake>) {
+    fn handle_wakes(&mut self, wakes: Vec<Wake>) {
         for wake in wakes {
-            let (.., remote_allowed) = self.waiting.remove(&wake.id).expect("a wake for who waits");
-            self.placed(wake.id, remote_allowed, wake.placement);
+            let (.., remote_allowed) =
+                self.waiting.remove(&wake.id).expect("a wake for a queued request");
+            self.check_placement(wake.id, remote_allowed, wake.placement);
         }
     }
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Arrive { priority, patience, remote_allowed, local_allowed } => {
-                self.arrive(Priority::ALL[priority], patience, remote_allowed, local_allowed);
+            Step::Arrive { priority, timeout_ms, remote_allowed, local_allowed } => {
+                self.arrive(Priority::ALL[priority], timeout_ms, remote_allowed, local_allowed);
             }
             Step::Finish { which, failed } if !self.running.is_empty() => {
                 let (_, server) = self.running.swap_remove(which % self.running.len());
@@ -181,7 +184,7 @@
                     },
                 };
                 let wakes = self.pool.finish(&server, outcome, self.now, &mut self.rng);
-                self.woken(wakes);
+                self.handle_wakes(wakes);
             }
             Step::Withdraw { which } if !self.waiting.is_empty() => {
                 let id = *self.waiting.keys().nth(which % self.waiting.len()).expect("one");
@@ -189,23 +192,23 @@
                 assert!(self.pool.cancel(id, priority, deadline));
             }
             Step::Finish { .. } | Step::Withdraw { .. } => {}
-            Step::Turn { server, leaving, reachable } => {
+            Step::ChangeServer { server, leaving, reachable } => {
                 self.leaving[server] = leaving;
                 self.reachable[server] = reachable;
                 self.update();
                 let wakes = self.pool.dispatch_queued(self.now, &mut self.rng);
-                self.woken(wakes);
+                self.handle_wakes(wakes);
             }
             Step::Credit { slots } => {
                 self.credits += slots;
                 self.pool.add_credit("there".to_owned(), slots, CREDIT_LIFETIME, self.now);
             }
-            Step::Pass { millis } => {
+            Step::AdvanceTime { millis } => {
                 self.now += Duration::from_millis(millis);
                 let wakes = self.pool.dispatch_queued(self.now, &mut self.rng);
-                self.woken(wakes);
+                self.handle_wakes(wakes);
                 for (_, deadline, _) in self.waiting.values() {
-                    assert!(*deadline > self.now, "given up on, and not answered");
+                    assert!(*deadline > self.now, "past its deadline and not answered");
                 }
             }
         }
@@ -218,13 +221,13 @@
     fn arrive(
         &mut self,
         priority: Priority,
-        patience: u64,
+        timeout_ms: u64,
         remote_allowed: bool,
         local_allowed: bool,
     ) {
-        self.next += 1;
-        let id = self.next;
-        let deadline = self.now + Duration::from_millis(patience);
+        self.last_id += 1;
+        let id = self.last_id;
+        let deadline = self.now + Duration::from_millis(timeout_ms);
         let arrival = Arrival {
             id,
             priority,
@@ -236,35 +239,35 @@
             tried_servers: Vec::new(),
         };
         let (decision, wakes) = self.pool.submit(arrival, self.now, &mut self.rng);
-        self.woken(wakes);
+        self.handle_wakes(wakes);
         match decision {
             Decision::Queued => {
-                assert!(local_allowed, "waits here against its rule");
+                assert!(local_allowed, "queued here although not allowed");
                 self.waiting.insert(id, (priority, deadline, remote_allowed));
             }
             Decision::Immediate(placement) => {
                 assert!(
                     local_allowed || !matches!(placement, Placement::Server(..)),
-                    "runs against its rule"
+                    "runs here although not allowed"
                 );
-                self.placed(id, remote_allowed, placement);
+                self.check_placement(id, remote_allowed, placement);
             }
         }
     }
 }
 
 #[test]
-fn a_pool_keeps_its_promises() {
+fn pool_invariants_hold() {
     let steps = prop::collection::vec(step(), 1..200);
     let result = runner().run(&steps, |steps| {
         let mut model = Model::new();
         for step in &steps {
             model.apply(step);
         }
-        // Everybody who waits is answered in the end.
+        // Every queued request is answered in the end.
         model.now += Duration::from_secs(10);
         let wakes = model.pool.dispatch_queued(model.now, &mut model.rng);
-        model.woken(wakes);
+        model.handle_wakes(wakes);
         prop_assert!(model.waiting.is_empty());
         Ok(())
     });
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn an_arrival_bound_elsewhere_never_runs_here() {
+fn request_not_allowed_locally_never_runs_here() {
     let mut model = Model::new();
     for _ in 0..10 {
         model.arrive(Priority::High, 1000, true, false);
@@ -281,70 +284,71 @@
 }
 
 #[test]
-fn the_least_urgent_is_not_starved() {
+fn lowest_priority_is_not_starved() {
     let mut model = Model::new();
     for _ in 0..SERVERS * SLOTS as usize {
         model.arrive(Priority::High, 100_000, false, true);
     }
     model.arrive(Priority::Low, 100_000, false, true);
-    let low = model.next;
+    let low = model.last_id;
     for _ in 0..40 {
         model.arrive(Priority::High, 100_000, false, true);
         model.apply(&Step::Finish { which: 0, failed: false });
     }
-    assert!(!model.waiting.contains_key(&low), "the low one still waits");
+    assert!(!model.waiting.contains_key(&low), "the request of low priority still waits");
 }
 
 #[test]
-fn a_ledger_runs_each_key_once_and_stays_in_bounds() {
+fn ledger_runs_each_key_once_within_its_limits() {
     #[derive(Clone, Debug)]
-    enum Act {
+    enum Operation {
         Begin(u8, u8),
         Conclude(u8, u8),
-        Pass(u64),
+        AdvanceTime(u64),
     }
-    let act = prop_oneof![
-        4 => (0..8u8, 0..2u8).prop_map(|(key, body)| Act::Begin(key, body)),
-        3 => (0..8u8, 0..3u8).prop_map(|(key, how)| Act::Conclude(key, how)),
-        1 => (1..30u64).prop_map(Act::Pass),
+    let operation = prop_oneof![
+        4 => (0..8u8, 0..2u8).prop_map(|(key, body)| Operation::Begin(key, body)),
+        3 => (0..8u8, 0..3u8).prop_map(|(key, outcome)| Operation::Conclude(key, outcome)),
+        1 => (1..30u64).prop_map(Operation::AdvanceTime),
     ];
-    let result = runner().run(&prop::collection::vec(act, 1..200), |acts| {
+    let result = runner().run(&prop::collection::vec(operation, 1..200), |operations| {
         let bounds = LedgerLimits { max_entries: 5, max_answer_bytes: 250 };
         let mut ledger = Ledger::new(bounds);
         let mut now = Instant::now();
         let key = |number: u8| Key { team: "t".to_owned(), text: number.to_string() };
-        // Until when each key may not run again, and whether it runs now.
-        let mut held: BTreeMap<u8, (Instant, bool)> = BTreeMap::new();
-        for act in acts {
-            match act {
-                Act::Begin(number, body) => {
+        // Time until which each key may not run again, and whether it is running.
+        let mut blocked_keys: BTreeMap<u8, (Instant, bool)> = BTreeMap::new();
+        for operation in operations {
+            match operation {
+                Operation::Begin(number, body) => {
                     let keep_until = now + Duration::from_secs(10);
                     let admission = ledger.begin(&key(number), [body; 32], keep_until, now);
                     if admission == Admission::Run {
-                        let again = held.get(&number).is_some_and(|(until, _)| *until > now);
-                        prop_assert!(!again, "{number} ran again");
-                        held.insert(number, (keep_until, true));
+                        let may_not_run =
+                            blocked_keys.get(&number).is_some_and(|(until, _)| *until > now);
+                        prop_assert!(!may_not_run, "{number} ran again");
+                        blocked_keys.insert(number, (keep_until, true));
                     }
                 }
-                Act::Conclude(number, how) => {
-                    let Some((until, true)) = held.get(&number).copied() else { continue };
+                Operation::Conclude(number, outcome) => {
+                    let Some((until, true)) = blocked_keys.get(&number).copied() else { continue };
                     let answer = Answer {
                         status: 200,
                         headers: Vec::new(),
                         body: Bytes::from(vec![number; 100]),
                     };
-                    let conclusion = match how {
+                    let conclusion = match outcome {
                         0 => Conclusion::NotRun,
                         1 => Conclusion::Unknown,
                         _ => Conclusion::Answered(Some(answer)),
                     };
                     ledger.conclude(&key(number), conclusion);
-                    match how {
-                        0 => held.remove(&number),
-                        _ => held.insert(number, (until, false)),
+                    match outcome {
+                        0 => blocked_keys.remove(&number),
+                        _ => blocked_keys.insert(number, (until, false)),
                     };
                 }
-                Act::Pass(seconds) => now += Duration::from_secs(seconds),
+                Operation::AdvanceTime(seconds) => now += Duration::from_secs(seconds),
             }
             prop_assert!(ledger.len() <= bounds.max_entries);
             prop_assert!(ledger.bytes() <= bounds.max_answer_bytes);
@@ -355,35 +359,36 @@
 }
 
 #[test]
-fn two_holders_never_act_at_once() {
-    // Each step advances the clock, may freeze one of two boxes, and lets the store expire leases.
+fn two_boxes_never_hold_the_lease_at_once() {
+    // Each step advances the clock and runs one of two boxes. The store may expire leases, and an
+    // answer of the store may be lost.
     let steps = prop::collection::vec((0..2usize, 100..4000u64, any::<bool>()), 1..300);
     let result = runner().run(&steps, |steps| {
-        let tuning = lease::Timing::default();
-        let mut holders = [LeaseClient::new(tuning), LeaseClient::new(tuning)];
+        let timing = lease::Timing::default();
+        let mut holders = [LeaseClient::new(timing), LeaseClient::new(timing)];
         let mut now = Instant::now();
-        let mut stored: Option<(usize, Instant, u64)> = None;
+        let mut stored_lease: Option<(usize, Instant, u64)> = None;
         let mut epoch = 0;
         for (active, millis, answer_lost) in steps {
             now += Duration::from_millis(millis);
-            if stored.is_some_and(|(_, until, _)| now >= until) {
-                stored = None;
+            if stored_lease.is_some_and(|(_, until, _)| now >= until) {
+                stored_lease = None;
             }
             // Only one box runs in this step; the other is frozen.
             for action in holders[active].handle(lease::Event::Tick(now)) {
                 let event = match action {
-                    Action::Acquire if stored.is_none() => {
+                    Action::Acquire if stored_lease.is_none() => {
                         epoch += 1;
-                        stored = Some((active, now + tuning.ttl, epoch));
+                        stored_lease = Some((active, now + timing.ttl, epoch));
                         match answer_lost {
                             true => lease::Event::AcquireFailed(now),
                             false => lease::Event::Acquired { epoch, asked_at: now },
                         }
                     }
                     Action::Acquire => lease::Event::AcquireFailed(now),
-                    Action::Renew => match &mut stored {
+                    Action::Renew => match &mut stored_lease {
                         Some((holder, until, _)) if *holder == active => {
-                            *until = now + tuning.ttl;
+                            *until = now + timing.ttl;
                             match answer_lost {
                                 true => lease::Event::RenewalFailed,
                                 false => lease::Event::Renewed { asked_at: now },
@@ -399,7 +404,7 @@
             prop_assert!(epochs.len() <= 1, "two holders at once");
             for holder in &holders {
                 if let Some(own) = holder.epoch(now) {
-                    prop_assert_eq!(stored.map(|(.., epoch)| epoch), Some(own));
+                    prop_assert_eq!(stored_lease.map(|(.., epoch)| epoch), Some(own));
                 }
             }
         }
@@ -409,7 +414,7 @@
 }
 
 #[test]
-fn a_rollout_never_reverts() {
+fn configuration_version_never_decreases() {
     let result = runner().run(&prop::collection::vec(0..20u64, 1..100), |offers| {
         let mut rollout = Rollout::new(Instant::now(), Duration::from_secs(1));
         let mut before = 0;
@@ -426,7 +431,7 @@
 }
 
 #[test]
-fn a_fresh_box_waits_for_those_it_asked() {
+fn new_box_waits_for_queried_sources() {
     let start = Instant::now();
     let mut rollout = Rollout::new(start, Duration::from_secs(1));
     rollout.query_started();
@@ -444,23 +449,23 @@
 }
 
 #[test]
-fn lent_slots_stay_within_what_is_spare() {
-    let acts = prop::collection::vec((0..10u32, 0..10u32, 0..2000u64), 1..100);
-    let result = runner().run(&acts, |acts| {
+fn lent_slots_never_exceed_spare_slots() {
+    let operations = prop::collection::vec((0..10u32, 0..10u32, 0..2000u64), 1..100);
+    let result = runner().run(&operations, |operations| {
         let (mut lender, mut borrower) = (Lender::default(), Borrower::default());
         let there = "there".to_owned();
         let mut now = Instant::now();
-        let mut out: Vec<(Instant, u32)> = Vec::new();
-        for (spare, wanted, millis) in acts {
+        let mut lent_slots: Vec<(Instant, u32)> = Vec::new();
+        for (spare, wanted, millis) in operations {
             now += Duration::from_millis(millis);
-            out.retain(|(until, _)| now < *until);
-            let before: u32 = out.iter().map(|(_, slots)| slots).sum();
+            lent_slots.retain(|(until, _)| now < *until);
+            let before: u32 = lent_slots.iter().map(|(_, slots)| slots).sum();
             let lent = lender.lend(spare, wanted, now);
             prop_assert!(lent == 0 || before + lent <= spare);
-            out.push((now + CREDIT_LIFETIME, lent));
+            lent_slots.push((now + CREDIT_LIFETIME, lent));
             borrower.receive(there.clone(), lent, CREDIT_LIFETIME, now);
-            let owed: u32 = out.iter().map(|(_, slots)| slots).sum();
-            prop_assert!(borrower.available(&there, now) <= owed);
+            let outstanding: u32 = lent_slots.iter().map(|(_, slots)| slots).sum();
+            prop_assert!(borrower.available(&there, now) <= outstanding);
             borrower.use_slot([&there].into_iter(), now);
         }
         Ok(())
@@ -469,23 +474,23 @@
 }
 
 #[test]
-fn shares_of_a_team_add_up_to_its_rate() {
+fn team_shares_add_up_to_its_rate() {
     const BOXES: usize = 9;
     const RATE: f64 = 90.0;
     const SECONDS: u64 = 60;
     let team = "t".to_owned();
     let mut limiters: Vec<RateLimiter> = (0..BOXES).map(|_| RateLimiter::default()).collect();
     let mut now = Instant::now();
-    let (mut admitted, mut late) = (0, 0);
+    let (mut admitted, mut admitted_late) = (0, 0);
     for second in 0..SECONDS {
-        // One greedy box gets ten times as many requests as the others.
+        // One box gets ten times as many requests as the others.
         for (index, limiter) in limiters.iter_mut().enumerate() {
             let requests = if index == 0 { 100 } else { 10 };
             for request in 0..requests {
                 let at = now + Duration::from_micros(1_000_000 * request / requests);
                 let admits = limiter.admit(&team, RATE, at).is_ok();
                 admitted += u64::from(admits);
-                late += u64::from(admits && second >= SECONDS / 2);
+                admitted_late += u64::from(admits && second >= SECONDS / 2);
             }
         }
         now += Duration::from_secs(1);
@@ -497,13 +502,13 @@
             limiter.tick(Duration::from_secs(1), now);
         }
     }
-    let rate = late as f64 / (SECONDS / 2) as f64;
+    let rate = admitted_late as f64 / (SECONDS / 2) as f64;
     assert!((RATE * 0.9..=RATE * 1.1).contains(&rate), "{rate} a second of {RATE}");
     assert!(admitted > 0);
 }
 
 #[test]
-fn tickets_survive_the_wire() {
+fn tickets_round_trip_through_text() {
     let parts = ("[a-z0-9.-]{1,30}", any::<u64>(), 0..u64::MAX / 2, any::<u64>());
     let result = runner().run(&parts, |(owner, incarnation, issued, nonce)| {
         let ticket = Ticket { owner, incarnation, issued: Duration::from_millis(issued), nonce };
@@ -519,12 +524,12 @@
 }
 
 #[test]
-fn a_drain_ends_only_with_nothing_in_progress() {
+fn drain_finishes_only_without_requests_in_progress() {
     let steps = prop::collection::vec((0..3usize, 0..500u64), 1..100);
     let result = runner().run(&steps, |steps| {
-        let tuning =
+        let timeouts =
             drain::Timeouts { grace: Duration::from_secs(1), limit: Duration::from_secs(20) };
-        let mut drain = Drain::new(tuning);
+        let mut drain = Drain::new(timeouts);
         let start = Instant::now();
         let mut now = start;
         drain.handle(drain::Event::Stop(now));
@@ -533,8 +538,8 @@
             let before = drain.stage();
             let stage = drain.handle(drain::Event::Tick { now, in_flight });
             prop_assert!(stage != Stage::Done || before == Stage::Done || in_flight == 0);
-            prop_assert!(!stage.accepts_requests() || now < start + tuning.grace);
-            prop_assert!(stage != Stage::Cut || now >= start + tuning.limit);
+            prop_assert!(!stage.accepts_requests() || now < start + timeouts.grace);
+            prop_assert!(stage != Stage::Cut || now >= start + timeouts.limit);
         }
         Ok(())
     });
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, where boxes know different configurations.
+//! Resolution of teams from keys on boxes with different configuration versions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     }
 }
 
-/// A version in which `keys` are held by the team "water".
+/// Returns a configuration version in which team "water" holds `keys`.
 fn routing(version: u64, keys: &[&str]) -> Routing {
     let keys = keys.iter().map(|key| KeyDigest::of(key)).collect();
     let teams = Teams::new([(Team::named("water"), keys)]);
@@ -46,80 +46,80 @@
     Credentials { key: Some(KeyDigest::of(text)), forwarded: None }
 }
 
-fn passed_on(text: &str, team: Option<&str>, version: u64) -> Credentials {
+fn forwarded(text: &str, team: Option<&str>, version: u64) -> Credentials {
     let checked = ForwardedIdentity { team: team.map(str::to_owned), version };
     Credentials { forwarded: Some(checked), ..key(text) }
 }
 
-/// Name of the team, "" for none, or the kind of the refusal.
-fn verdict(
-    claim: &Credentials,
+/// Returns the team's name, "" for no team, or the kind of the failure.
+fn resolve(
+    credentials: &Credentials,
     routing: &Routing,
     anonymous: bool,
     stale: bool,
 ) -> Result<String, Kind> {
-    let team = resolve_team(claim, routing, &route(anonymous), stale);
+    let team = resolve_team(credentials, routing, &route(anonymous), stale);
     team.map(|team| team.map_or(String::new(), |team| team.name.clone()))
         .map_err(|failure| failure.kind)
 }
 
 #[test]
-fn a_key_that_is_held_names_the_team() {
+fn known_key_resolves_to_its_team() {
     let routing = routing(3, &["k1", "k2"]);
-    assert_eq!(verdict(&key("k2"), &routing, false, false), Ok("water".to_owned()));
-    assert_eq!(verdict(&key("k3"), &routing, false, false), Err(Kind::Unauthorized));
-    assert_eq!(verdict(&Credentials::default(), &routing, false, false), Err(Kind::Unauthorized));
+    assert_eq!(resolve(&key("k2"), &routing, false, false), Ok("water".to_owned()));
+    assert_eq!(resolve(&key("k3"), &routing, false, false), Err(Kind::Unauthorized));
+    assert_eq!(resolve(&Credentials::default(), &routing, false, false), Err(Kind::Unauthorized));
 }
 
 #[test]
-fn a_box_that_may_lack_a_newer_version_does_not_say_that_there_is_no_such_key() {
+fn stale_box_does_not_reject_an_unknown_key() {
     let routing = routing(3, &["k1"]);
-    assert_eq!(verdict(&key("new"), &routing, false, true), Err(Kind::Behind));
-    assert_eq!(verdict(&Credentials::default(), &routing, false, true), Err(Kind::Unauthorized));
+    assert_eq!(resolve(&key("new"), &routing, false, true), Err(Kind::Behind));
+    assert_eq!(resolve(&Credentials::default(), &routing, false, true), Err(Kind::Unauthorized));
 }
 
 #[test]
-fn routes_that_need_no_key_still_know_a_team_by_its_key() {
+fn anonymous_routes_still_resolve_known_keys() {
     let routing = routing(3, &["k1"]);
-    assert_eq!(verdict(&Credentials::default(), &routing, true, false), Ok(String::new()));
-    assert_eq!(verdict(&key("k3"), &routing, true, false), Ok(String::new()));
-    assert_eq!(verdict(&key("k1"), &routing, true, false), Ok("water".to_owned()));
+    assert_eq!(resolve(&Credentials::default(), &routing, true, false), Ok(String::new()));
+    assert_eq!(resolve(&key("k3"), &routing, true, false), Ok(String::new()));
+    assert_eq!(resolve(&key("k1"), &routing, true, false), Ok("water".to_owned()));
 }
 
 #[test]
-fn without_teams_nobody_needs_a_key() {
+fn no_key_is_needed_without_teams() {
     let routing = Routing::new(3, Vec::new(), BTreeMap::new(), Limits::default());
-    assert_eq!(verdict(&key("k1"), &routing, false, false), Ok(String::new()));
+    assert_eq!(resolve(&key("k1"), &routing, false, false), Ok(String::new()));
 }
 
-/// A key was taken away in version 4. The box that the caller asked has not heard of it.
+/// Version 4 revokes a key. The box that the caller contacted still has version 3.
 #[test]
-fn of_two_boxes_the_one_with_the_newer_version_decides() {
+fn newer_configuration_version_decides() {
     let (older, newer) = (routing(3, &["k1", "k2"]), routing(4, &["k1"]));
-    let from_older = passed_on("k2", Some("water"), 3);
-    assert_eq!(verdict(&from_older, &newer, false, false), Err(Kind::Unauthorized));
-    // A key was added in version 5, and a team with it.
-    let from_newer = passed_on("k5", Some("heat"), 5);
-    assert_eq!(verdict(&from_newer, &older, false, false), Ok("heat".to_owned()));
-    let anonymous_since = passed_on("k5", None, 5);
-    assert_eq!(verdict(&anonymous_since, &older, false, false), Ok(String::new()));
-    // With the same version both look the key up alike.
-    let from_same = passed_on("k2", Some("water"), 4);
-    assert_eq!(verdict(&from_same, &newer, false, false), Err(Kind::Unauthorized));
+    let from_older = forwarded("k2", Some("water"), 3);
+    assert_eq!(resolve(&from_older, &newer, false, false), Err(Kind::Unauthorized));
+    // Version 5 adds a key and its team.
+    let from_newer = forwarded("k5", Some("heat"), 5);
+    assert_eq!(resolve(&from_newer, &older, false, false), Ok("heat".to_owned()));
+    let anonymous_since = forwarded("k5", None, 5);
+    assert_eq!(resolve(&anonymous_since, &older, false, false), Ok(String::new()));
+    // Two boxes with the same version look up the key with the same result.
+    let from_same = forwarded("k2", Some("water"), 4);
+    assert_eq!(resolve(&from_same, &newer, false, false), Err(Kind::Unauthorized));
 }
 
 #[test]
-fn digests_are_read_as_they_are_written_and_show_no_key() {
+fn digests_round_trip_and_reveal_no_key() {
     let digest = KeyDigest::of("secret");
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert!(format!("{digest:?}").len() < 20);
-    for odd in ["", "ab", &"g".repeat(64), &"é".repeat(32)] {
-        assert!(odd.parse::<KeyDigest>().is_err(), "{odd}");
+    for malformed in ["", "ab", &"g".repeat(64), &"é".repeat(32)] {
+        assert!(malformed.parse::<KeyDigest>().is_err(), "{malformed}");
     }
 }
 
 #[test]
-fn a_request_counts_by_its_tokens_or_as_one() {
+fn cost_is_the_token_count_or_one() {
     let tokens = Limit { rate: 1.0, burst: 1.0, unit: Unit::Tokens { plain: 200 } };
     assert_eq!((tokens.cost(Some(1540)), tokens.cost(None)), (1540.0, 200.0));
     let requests = Limit { unit: Unit::Requests, ..tokens };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_teams_rank_goes_first_and_a_routes_rank_counts_within_it() {
+fn team_rank_precedes_route_rank() {
     assert!(urgency::rank(Some(0), 2) < urgency::rank(Some(1), 0));
     assert!(urgency::rank(Some(1), 0) < urgency::rank(Some(1), 1));
     assert_eq!(urgency::rank(None, 4), 4);
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Who is taken for dead, and who not.
+//! Detection of dead members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn a_dead_box_stays_dead_until_it_speaks_itself() {
+fn dead_member_stays_dead_until_it_refutes_its_death() {
     let mut membership = Membership::new(member("a", 1), Config::default());
     let now = Instant::now();
     membership.merge_member(member("bb", 20), now);
     let peer = member("bb", 20).peers;
-    assert!(!membership.call_failed(peer, now), "dead after one call");
-    assert!(membership.call_failed(peer, now), "alive after two calls");
+    assert!(!membership.call_failed(peer, now), "dead after one failed call");
+    assert!(membership.call_failed(peer, now), "alive after two failed calls");
     assert_eq!(membership.live(now).count(), 0);
-    // Counters that were still on their way.
+    // Counters that were still in transit when the member was marked as dead.
     let id = member("bb", 20).id();
     let beat = |beat| Beat { member: id, beat };
     membership.merge_beats(&[beat(25)], now);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_box_whose_calls_all_fail_blames_itself() {
+fn box_whose_calls_all_fail_assumes_its_own_fault() {
     let mut membership = Membership::new(member("a", 1), Config::default());
     let now = Instant::now();
     let names: Vec<String> = (2..22).map(|length| "b".repeat(length)).collect();
@@ -62,23 +62,23 @@
 }
 
 #[test]
-fn a_box_takes_back_word_of_its_own_death() {
+fn box_refutes_its_own_death() {
     let mut membership = Membership::new(member("a", 7), Config::default());
-    let word = Member { phase: Phase::Dead, beat: 17, ..member("a", 7) };
-    membership.merge_member(word, Instant::now());
+    let record = Member { phase: Phase::Dead, beat: 17, ..member("a", 7) };
+    membership.merge_member(record, Instant::now());
     assert!(membership.own().beat > 17);
     assert_eq!(membership.own().phase, Phase::Serving);
 }
 
 #[test]
-fn a_thawed_box_does_not_take_the_others_for_dead() {
+fn unfrozen_box_keeps_other_members_alive() {
     let config = Config::default();
     let mut membership = Membership::new(member("a", 1), config.clone());
     let start = Instant::now();
     membership.merge_member(member("bb", 5), start);
     membership.tick(start + Duration::from_secs(1), Duration::ZERO);
-    let frozen = Duration::from_secs(60);
-    let now = start + Duration::from_secs(1) + frozen;
-    membership.tick(now, frozen);
+    let frozen_for = Duration::from_secs(60);
+    let now = start + Duration::from_secs(1) + frozen_for;
+    membership.tick(now, frozen_for);
     assert_eq!(membership.live(now).count(), 1);
 }
