--- a/lib/src/coordination/throttle/exchange.rs
+++ b/lib/src/coordination/throttle/exchange.rs
@@ -28,7 +28,7 @@
 const MAX_COUNTS: usize = 32;
 const MAX_DEMANDS: usize = 2;
 /// Number of reports from one unchanged rate to the next.
-const REPEAT_INTERVAL: usize = 5;
+const REPEAT_INTERVAL_REPORTS: usize = 5;
 /// Minimum difference in age for an unchanged rate to count as a new statement. The reported age
 /// doesn't include the network latency of the datagram. Without this minimum, a rate that is passed
 /// back and forth between boxes would look newer each time, and newer than the server's next
@@ -54,11 +54,11 @@
         }
         self.report_count = self.report_count.wrapping_add(1);
         // A box may have lost all reports that contained a rate.
-        if self.report_count.is_multiple_of(REPEAT_INTERVAL)
+        if self.report_count.is_multiple_of(REPEAT_INTERVAL_REPORTS)
             && report.words.is_empty()
             && !servers.is_empty()
         {
-            let server = servers[self.report_count / REPEAT_INTERVAL % servers.len()];
+            let server = servers[self.report_count / REPEAT_INTERVAL_REPORTS % servers.len()];
             report
                 .words
                 .extend(self.servers.get(&server).map(|account| server_rate(server, account, now)));
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -198,7 +198,7 @@
             for (name, scenario) in [
                 ("steady", steady),
                 ("surge", surge),
-                ("cut off", partition),
+                ("cut", partition),
                 ("surge while cut off", surge_during_partition),
                 ("surge, all restart", restart),
                 ("surge, a third of the reports lost", lost),
