--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::exchange::Exchange;
-use copperweir_lib::coordination::exchange::Extra;
+use copperweir_lib::coordination::gossip::Gossip;
+use copperweir_lib::coordination::gossip::Payload;
+use copperweir_lib::coordination::membership::Config;
 use copperweir_lib::coordination::membership::Membership;
-use copperweir_lib::coordination::membership::Tuning;
 use copperweir_lib::coordination::rendezvous;
 use copperweir_lib::protocol::name_hash;
 use copperweir_lib::protocol::peer::Demand;
@@ -48,7 +48,7 @@
 const TEAMS_PER_BOX: usize = 20;
 
 struct Node {
-    exchange: Exchange,
+    exchange: Gossip,
     region: usize,
     version: u64,
     dead: bool,
@@ -113,8 +113,8 @@
             for number in 0..count {
                 let own = member(region, number, nodes.len());
                 addresses.insert(own.peer_address, nodes.len());
-                let membership = Membership::new(own, Tuning::default());
-                let exchange = Exchange { membership, load: ServerLoads::default() };
+                let membership = Membership::new(own, Config::default());
+                let exchange = Gossip { membership, load: ServerLoads::default() };
                 nodes.push(Node {
                     exchange,
                     region,
@@ -136,7 +136,7 @@
             .collect();
         let seeds: Vec<SocketAddr> = addresses.keys().copied().collect();
         for node in &mut nodes {
-            node.exchange.membership.learn_addresses(seeds.iter().copied());
+            node.exchange.membership.add_addresses(seeds.iter().copied());
         }
         let mut simulation = Simulation {
             start,
@@ -187,26 +187,26 @@
         match event {
             Event::HeartbeatTick => {
                 let now = self.current_instant();
-                let period = self.nodes[node].exchange.membership.tuning().period;
+                let period = self.nodes[node].exchange.membership.config().period;
                 self.schedule(self.now + period, node, Event::HeartbeatTick);
                 let started_at = Instant::now();
                 let membership = &mut self.nodes[node].exchange.membership;
                 membership.tick(now, Duration::ZERO);
-                let targets = membership.targets(now, &mut self.rng);
+                let targets = membership.heartbeat_targets(now, &mut self.rng);
                 self.nodes[node].cpu_time += started_at.elapsed();
                 for target in targets {
-                    self.send(node, target, Extra::default());
+                    self.send(node, target, Payload::default());
                 }
             }
             Event::ProbeTick => self.probe_servers(node),
             Event::Request(from, bytes) => self.handle_request(node, from, &bytes),
             Event::Response(peer, bytes) => {
-                self.nodes[node].exchange.membership.answered(peer);
+                self.nodes[node].exchange.membership.call_succeeded(peer);
                 self.handle_response(node, &bytes);
             }
             Event::CallTimedOut(peer) => {
                 let now = self.current_instant();
-                if self.nodes[node].exchange.membership.unanswered(peer, now) {
+                if self.nodes[node].exchange.membership.call_failed(peer, now) {
                     self.send_urgent_heartbeats(node);
                 }
             }
@@ -253,7 +253,7 @@
         self.nodes[node].probed_servers_valid_until = self.now + Duration::from_secs(10);
     }
 
-    fn compose(&mut self, node: usize, to: usize, mut extra: Extra) -> Vec<u8> {
+    fn compose(&mut self, node: usize, to: usize, mut extra: Payload) -> Vec<u8> {
         let now = self.current_instant();
         let demand = |team: usize| Demand {
             team: name_hash(&format!("team-{team}")),
@@ -277,7 +277,7 @@
         if self.nodes[one].region == self.nodes[other].region { LOCAL_DELAY } else { REMOTE_DELAY }
     }
 
-    fn send(&mut self, from: usize, target: SocketAddr, extra: Extra) {
+    fn send(&mut self, from: usize, target: SocketAddr, extra: Payload) {
         let Some(to) = self.addresses.get(&target).copied() else { return };
         let bytes = self.compose(from, to, extra);
         self.nodes[from].calls_sent += 1;
@@ -300,13 +300,13 @@
         &mut self,
         node: usize,
         bytes: &[u8],
-    ) -> copperweir_lib::coordination::exchange::Heard {
+    ) -> copperweir_lib::coordination::gossip::Received {
         let now = self.current_instant();
         let started_at = Instant::now();
         let message = wire::Heartbeat::decode(bytes).expect("valid encoding");
         let heartbeat = Heartbeat::try_from(message).expect("a valid heartbeat");
         let version = self.nodes[node].version;
-        let effects = self.nodes[node].exchange.hear(&heartbeat, version, now);
+        let effects = self.nodes[node].exchange.receive(&heartbeat, version, now);
         self.nodes[node].cpu_time += started_at.elapsed();
         if let Some((newer, _)) = effects.newer {
             // Fetching the configuration takes a round trip; then the box notifies others
@@ -324,17 +324,17 @@
         effects
     }
 
-    fn apply_request(&mut self, node: usize, bytes: &[u8]) -> Extra {
+    fn apply_request(&mut self, node: usize, bytes: &[u8]) -> Payload {
         let follow_up = self.apply_heartbeat(node, bytes).follow_up;
         let (wanted, given) =
             follow_up.map(|follow_up| (follow_up.wanted, follow_up.given)).unwrap_or_default();
-        Extra { wanted, given, ..Extra::default() }
+        Payload { wanted, given, ..Payload::default() }
     }
 
     fn handle_response(&mut self, node: usize, bytes: &[u8]) {
         if let Some(follow_up) = self.apply_heartbeat(node, bytes).follow_up {
             let extra =
-                Extra { wanted: follow_up.wanted, given: follow_up.given, ..Extra::default() };
+                Payload { wanted: follow_up.wanted, given: follow_up.given, ..Payload::default() };
             self.send(node, follow_up.to, extra);
         }
     }
@@ -342,12 +342,13 @@
     fn send_urgent_heartbeats(&mut self, node: usize) {
         let now = self.current_instant();
         self.nodes[node].exchange.membership.update_own(|own| own.beat += 1);
-        let mut targets = self.nodes[node].exchange.membership.targets(now, &mut self.rng);
-        targets.extend(self.nodes[node].exchange.membership.targets(now, &mut self.rng));
+        let mut targets =
+            self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng);
+        targets.extend(self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng));
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
-            self.send(node, target, Extra::default());
+            self.send(node, target, Payload::default());
         }
     }
 
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, by number of backend servers.
+//! Cost of one placement decision, by number of backend servers.
 //!
 //! `cargo bench -p copperweir-lib --bench decision`
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::policy::Estimate;
+use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::pool::Arrival;
 use copperweir_lib::coordination::pool::Decision;
 use copperweir_lib::coordination::pool::Limits;
@@ -23,7 +23,7 @@
 const DECISIONS: u32 = 20_000;
 const REFRESHES: u32 = 200;
 const ROUNDS: usize = 5;
-const SIZES: [usize; 5] = [12, 40, 150, 316, 600];
+const SERVER_COUNTS: [usize; 5] = [12, 40, 150, 316, 600];
 
 fn lanes(count: usize, now: Instant) -> BTreeMap<String, ServerSnapshot> {
     let lane = |index: usize| ServerSnapshot {
@@ -38,43 +38,43 @@
 
 fn measure(count: usize) -> (f64, f64) {
     let now = Instant::now();
-    let limits = Limits { queue: 256, bytes: 1 << 30, boxes: 3 };
-    let mut pool = Pool::new(Estimate, limits, now);
+    let limits = Limits { max_queued: 256, max_queued_bytes: 1 << 30, boxes: 3 };
+    let mut pool = Pool::new(PrefixAffinity, limits, now);
     let mut rng = SmallRng::seed_from_u64(1);
     pool.update(limits, lanes(count, now), BTreeSet::new());
     let outcome = Outcome::Answered {
         first_byte: Duration::from_millis(20),
         total: Duration::from_millis(100),
     };
-    let began = Instant::now();
+    let started = Instant::now();
     for id in 0..u64::from(DECISIONS) {
         let arrival = Arrival {
             id,
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(10),
             bytes: 100,
-            here: true,
-            elsewhere: Vec::new(),
+            local_allowed: true,
+            remote_regions: Vec::new(),
             prefix: Some(id % 200),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
         };
-        let (decision, _) = pool.arrive(arrival, now, &mut rng);
-        if let Decision::Now(Placement::Server(server, _)) = decision {
+        let (decision, _) = pool.submit(arrival, now, &mut rng);
+        if let Decision::Immediate(Placement::Server(server, _)) = decision {
             pool.finish(&server, outcome, now, &mut rng);
         }
     }
-    let decision = began.elapsed() / DECISIONS;
-    let began = Instant::now();
+    let decision = started.elapsed() / DECISIONS;
+    let started = Instant::now();
     for _ in 0..REFRESHES {
         pool.update(limits, lanes(count, now), BTreeSet::new());
     }
-    let refresh = began.elapsed() / REFRESHES;
+    let refresh = started.elapsed() / REFRESHES;
     (decision.as_secs_f64() * 1e6, refresh.as_secs_f64() * 1e6)
 }
 
 fn main() {
     println!("servers  decision us (min..max)  refresh us (min..max)");
-    for count in SIZES {
+    for count in SERVER_COUNTS {
         let mut rounds: Vec<(f64, f64)> = (0..ROUNDS).map(|_| measure(count)).collect();
         rounds.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (low, high) = (rounds[0].0, rounds[ROUNDS - 1].0);
--- a/lib/src/coordination/feedback.rs
+++ b/lib/src/coordination/feedback.rs
@@ -177,7 +177,7 @@
         }
         if is_complete || status.rate.is_some() {
             let before = self.throttles.rate(incarnation);
-            if self.throttles.said(incarnation, service, status.rate, now) {
+            if self.throttles.record_rate(incarnation, service, status.rate, now) {
                 effects.notify(Audience::Region);
             }
             if before != status.rate {
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::quarantine::wire;
+use super::quota::BoxUsage;
+use super::quota::RegionUsage;
+use super::throttle::messages::ThrottleReport;
+use super::unlisted::NeighborRecord;
 use prost::Message;
 
 use super::departures::wire::DepartureNotice;
-use super::quarantine::wire;
-use super::quota::Count;
-use super::quota::Flow;
-use super::throttle::told::News;
-use super::unlisted::NeighborRecord;
 
 /// Age at which a report expires: several have been lost by then, or the box is gone.
 const REPORT_TTL: Duration = Duration::from_millis(1500);
@@ -93,10 +93,10 @@
     /// Requests that the sender admitted for teams, where the numbers have changed; sent only to
     /// boxes of its region.
     #[prost(message, repeated, tag = "21")]
-    pub counts: Vec<Count>,
+    pub counts: Vec<BoxUsage>,
     /// Requests that the sender's region admits for teams; sent only to boxes of other regions.
     #[prost(message, repeated, tag = "22")]
-    pub flows: Vec<Flow>,
+    pub flows: Vec<RegionUsage>,
     /// Recent crashes of servers and the requests that they were executing.
     #[prost(message, repeated, tag = "23")]
     pub ends: Vec<wire::CrashReport>,
@@ -109,7 +109,7 @@
     /// Servers that set a rate limit, and what the sender sent them; sent only to boxes of its
     /// region.
     #[prost(message, optional, tag = "26")]
-    pub throttle: Option<News>,
+    pub throttle: Option<ThrottleReport>,
     /// Hashes of services whose servers in the sender's region currently accept nothing by their
     /// own statement; sent only to boxes of other regions.
     #[prost(fixed64, repeated, tag = "27")]
--- a/lib/src/coordination/mod.rs
+++ b/lib/src/coordination/mod.rs
@@ -1,21 +1,19 @@
-//! The decisions.
+//! Decision logic, free of I/O.
 //!
-//! Nothing in this layer does I/O, reads a clock or draws from a random source
-//! of its own. Each part takes events and an instant, and returns actions, so
-//! the same code runs behind sockets, in virtual time under a property test,
-//! and inside other programs.
+//! No module in this layer does I/O, reads a clock or owns a random source. Each one takes events
+//! and the current instant, and returns actions. The same code therefore runs behind sockets, in
+//! virtual time under property tests, and inside other programs.
 
 pub mod attempt;
 pub mod backoff;
-pub mod bucket;
 pub mod candidate;
 pub mod departures;
 pub mod drain;
 pub mod ejection;
-pub mod exchange;
 pub mod feedback;
 pub mod fingerprint;
 pub mod freshness;
+pub mod gossip;
 pub mod health;
 pub mod identity;
 pub mod interrupted;
@@ -23,7 +21,6 @@
 pub mod lease;
 pub mod ledger;
 pub mod lending;
-pub mod limit;
 pub mod loads;
 pub mod membership;
 pub mod placement;
@@ -35,6 +32,7 @@
 pub mod queue;
 pub mod quota;
 pub mod rate;
+pub mod rate_limiter;
 pub mod regions;
 pub mod rendezvous;
 pub mod retries;
@@ -45,6 +43,7 @@
 pub mod store_rollback;
 pub mod throttle;
 pub mod ticket;
+pub mod token_bucket;
 pub mod unlisted;
 pub mod urgency;
 pub mod warmup;
--- a/lib/src/coordination/placement/fullness.rs
+++ b/lib/src/coordination/placement/fullness.rs
@@ -6,7 +6,7 @@
 use super::Placement;
 use crate::coordination::candidate::Candidate;
 use crate::coordination::loads::Loads;
-use crate::coordination::regions::Fullness;
+use crate::coordination::regions::Utilization;
 use crate::coordination::throttle::Throttles;
 
 /// Assumed time for which a request occupies a slot at a server that sets a rate limit.
@@ -21,9 +21,9 @@
 
     /// Utilization of the servers. A server with a rate limit counts with the slots that this rate
     /// occupies; a server that is backing off does not count.
-    pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Fullness {
+    pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Utilization {
         let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
-        let mut fullness = Fullness::default();
+        let mut fullness = Utilization::default();
         for candidate in self.servers.values() {
             if candidate.is_usable() && self.backoffs.until(candidate.incarnation, now).is_none() {
                 let slots = f64::from(candidate.state.server.slots);
@@ -48,7 +48,7 @@
                 backing_off = true;
             } else if !candidate.is_healthy(now) || !candidate.has_room(load, false, now) {
                 saturated = true;
-            } else if throttles.has_left(candidate.incarnation, now) {
+            } else if throttles.has_capacity(candidate.incarnation, now) {
                 return false;
             } else {
                 throttled = true;
--- a/lib/src/daemon/caller_api.rs
+++ b/lib/src/daemon/caller_api.rs
@@ -1,13 +1,6 @@
 //! The HTTP API for callers: handles a request from its arrival to its
 //! response.
 
-use std::sync::Arc;
-use std::time::Duration;
-use std::time::Instant;
-
-use super::idempotency::GatewayResponse;
-use super::request::IncomingRequest;
-use super::request::Purpose;
 use bytes::Bytes;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -22,6 +15,13 @@
 use hyper::body::Incoming as RequestBody;
 use rand::Rng;
 use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+use std::time::Instant;
+
+use super::idempotency::GatewayResponse;
+use super::request::IncomingRequest;
+use super::request::Purpose;
 
 use super::dispatch;
 use super::idempotency;
@@ -103,7 +103,7 @@
         Endpoint::Boxes => return box_list_response(shared, snapshot),
         _ => {}
     }
-    if !snapshot.stage.accepts() {
+    if !snapshot.stage.accepts_requests() {
         return Err(leaving_failure(snapshot));
     }
     check_rate_limit(shared, &snapshot.configuration, &team)?;
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -40,7 +40,7 @@
     /// Queries the store, the platform's list and the seed peers for the
     /// configuration at the start of the box.
     pub(super) fn request_initial_configuration(&mut self) {
-        self.rollout.asked();
+        self.rollout.query_started();
         let platform = self.platform.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
@@ -51,7 +51,7 @@
         });
         // The platform's list names further peers to query, so it counts as a source
         // until it has been read.
-        self.rollout.asked();
+        self.rollout.query_started();
         self.read_platform_list(true);
         for seed in self.shared.settings.seeds.clone() {
             self.request_configuration_from_peer(seed);
@@ -63,7 +63,7 @@
         if address == self.shared.addresses.peers || !self.peers_asked.insert(address) {
             return;
         }
-        self.rollout.asked();
+        self.rollout.query_started();
         let peers = Arc::clone(&self.peers);
         let events = self.events.clone();
         tokio::spawn(async move {
@@ -163,7 +163,7 @@
                 return;
             }
         };
-        match self.rollout.offer(document.version) {
+        match self.rollout.check_offer(document.version) {
             Offer::Same => {}
             Offer::Older => self.count(Counter::OlderOffers),
             Offer::Adopt => self.adopt(&document, bytes),
@@ -181,7 +181,7 @@
                 return;
             }
         };
-        self.rollout.adopted(document.version);
+        self.rollout.adopt(document.version);
         self.configuration = Arc::new(configuration);
         self.shared.document.store(Arc::new(bytes));
         self.count(Counter::ConfigurationsAdopted);
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -11,7 +11,7 @@
 
 use super::Control;
 use super::Event;
-use crate::coordination::exchange::Extra;
+use crate::coordination::gossip::Payload;
 use crate::daemon::shared::lock;
 use crate::protocol::RegionId;
 use crate::protocol::peer::Credit;
@@ -44,11 +44,11 @@
     pub(super) fn send_heartbeats(&mut self, now: Instant, late: Duration) {
         self.exchange.membership.tick(now, late);
         self.update_watcher_role(now);
-        let period = self.exchange.membership.tuning().period;
+        let period = self.exchange.membership.config().period;
         lock(&self.shared.limiter).tick(period, now);
         self.log_members(now);
         self.publish();
-        for target in self.exchange.membership.targets(now, &mut self.rng) {
+        for target in self.exchange.membership.heartbeat_targets(now, &mut self.rng) {
             self.send_heartbeat(target, now);
         }
     }
@@ -58,7 +58,7 @@
         let now = clock::now();
         let mut targets = Vec::new();
         while targets.len() < URGENT_HEARTBEAT_TARGETS {
-            let next_targets = self.exchange.membership.targets(now, &mut self.rng);
+            let next_targets = self.exchange.membership.heartbeat_targets(now, &mut self.rng);
             if next_targets.is_empty() {
                 break;
             }
@@ -87,11 +87,11 @@
     }
 
     fn send_heartbeat(&mut self, target: SocketAddr, now: Instant) {
-        let extra = Extra { demands: lock(&self.shared.limiter).demands(), ..Extra::default() };
+        let extra = Payload { demands: lock(&self.shared.limiter).demands(), ..Payload::default() };
         self.send_heartbeat_with(target, extra, now);
     }
 
-    fn send_heartbeat_with(&mut self, target: SocketAddr, extra: Extra, now: Instant) {
+    fn send_heartbeat_with(&mut self, target: SocketAddr, extra: Payload, now: Instant) {
         let member =
             self.exchange.membership.live(now).find(|member| member.peer_address == target);
         let region = member.map(|member| member.region.clone());
@@ -120,7 +120,7 @@
     fn compose_heartbeat(
         &mut self,
         receiver: Option<&RegionId>,
-        mut extra: Extra,
+        mut extra: Payload,
         now: Instant,
     ) -> Heartbeat {
         if receiver.is_some_and(|region| *region != self.shared.settings.region) {
@@ -138,12 +138,12 @@
     ) {
         let now = clock::now();
         if answered {
-            return self.exchange.membership.answered(peer);
+            return self.exchange.membership.call_succeeded(peer);
         }
         // A call that ended later than any call can was delayed by a suspension of this
         // box, not by the peer.
         let was_suspended = now.saturating_duration_since(sent_at) > MAX_HEARTBEAT_CALL_DURATION;
-        if !was_suspended && self.exchange.membership.unanswered(peer, now) {
+        if !was_suspended && self.exchange.membership.call_failed(peer, now) {
             self.log_members(now);
             self.publish();
             self.send_urgent_heartbeats();
@@ -160,12 +160,12 @@
         let mut credits = Vec::new();
         for (id, pool) in &self.configuration.pools {
             let Some(pool_handle) = self.shared.pools.get(id) else { continue };
-            let spare_slots = f64::from(pool_handle.with(|pool| pool.spare(now)));
+            let spare_slots = f64::from(pool_handle.with(|pool| pool.free_slots(now)));
             let share = (spare_slots * pool.lend_share / boxes) as u32;
             let lender = self.lenders.entry(id.clone()).or_default();
             let slots = lender.lend(share, share.div_ceil(2), now);
             if slots > 0 {
-                let ttl = crate::coordination::lending::LIFE;
+                let ttl = crate::coordination::lending::CREDIT_LIFETIME;
                 credits.push(Credit { pool: id.clone(), slots, ttl });
             }
         }
@@ -180,10 +180,10 @@
         response_sender: Option<oneshot::Sender<Heartbeat>>,
     ) {
         let now = clock::now();
-        let effects = self.exchange.hear(&heartbeat, self.rollout.version(), now);
+        let effects = self.exchange.receive(&heartbeat, self.rollout.version(), now);
         let sender = &heartbeat.sender;
         self.receive_credits(&sender.region, &heartbeat.credits, now);
-        lock(&self.shared.limiter).hear(&sender.name, &heartbeat.demands);
+        lock(&self.shared.limiter).record_demands(&sender.name, &heartbeat.demands);
         if let Some((_, peer)) = effects.newer {
             self.fetch_configuration_from(peer);
         }
@@ -203,13 +203,16 @@
                 let (wanted, given) = follow_up
                     .map(|follow_up| (follow_up.wanted, follow_up.given))
                     .unwrap_or_default();
-                let extra = Extra { wanted, given, ..Extra::default() };
+                let extra = Payload { wanted, given, ..Payload::default() };
                 let _ =
                     response_sender.send(self.compose_heartbeat(Some(&sender.region), extra, now));
             }
             (None, Some(follow_up)) => {
-                let extra =
-                    Extra { wanted: follow_up.wanted, given: follow_up.given, ..Extra::default() };
+                let extra = Payload {
+                    wanted: follow_up.wanted,
+                    given: follow_up.given,
+                    ..Payload::default()
+                };
                 self.send_heartbeat_with(follow_up.to, extra, now);
             }
             (None, None) => {}
@@ -222,7 +225,7 @@
         }
         for credit in credits {
             if let Some(pool) = self.shared.pools.get(&credit.pool) {
-                pool.with(|pool| pool.credit(from.clone(), credit.slots, credit.ttl, now));
+                pool.with(|pool| pool.add_credit(from.clone(), credit.slots, credit.ttl, now));
             }
         }
     }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -32,9 +32,9 @@
 use crate::coordination::drain;
 use crate::coordination::drain::Drain;
 use crate::coordination::drain::Stage;
-use crate::coordination::exchange::Exchange;
+use crate::coordination::gossip::Gossip;
 use crate::coordination::lease;
-use crate::coordination::lease::Holder;
+use crate::coordination::lease::LeaseClient;
 use crate::coordination::lending::Lender;
 use crate::coordination::membership;
 use crate::coordination::membership::Membership;
@@ -140,11 +140,11 @@
     shared: Arc<SharedState>,
     events: mpsc::Sender<Event>,
     stop: watch::Sender<Shutdown>,
-    exchange: Exchange,
+    exchange: Gossip,
     rollout: Rollout,
     configuration: Arc<Configuration>,
     drain: Drain,
-    lease_holder: Holder,
+    lease_holder: LeaseClient,
     lease_id: Option<LeaseId>,
     lenders: BTreeMap<PoolId, Lender>,
     peers: Arc<peer::Client>,
@@ -173,20 +173,20 @@
     ) -> Control {
         let now = clock::now();
         let settings = &shared.settings;
-        let tuning = drain::Tuning { grace: settings.stop_grace, limit: settings.stop_limit };
-        let mut membership = Membership::new(own, membership::Tuning::default());
-        membership.learn_addresses(settings.seeds.iter().copied());
+        let timeouts = drain::Timeouts { grace: settings.stop_grace, limit: settings.stop_limit };
+        let mut membership = Membership::new(own, membership::Config::default());
+        membership.add_addresses(settings.seeds.iter().copied());
         let metrics = settings.statsd.and_then(|address| {
             metrics::StatsdSink::open(address, &settings.name, &settings.region)
                 .inspect_err(|error| log::warn!("event=metrics_off error=\"{error}\""))
                 .ok()
         });
         Control {
-            exchange: Exchange { membership, load: ServerLoads::default() },
+            exchange: Gossip { membership, load: ServerLoads::default() },
             rollout: Rollout::new(now, INITIAL_CONFIGURATION_TIMEOUT),
             configuration: Arc::new(Configuration::default()),
-            drain: Drain::new(tuning),
-            lease_holder: Holder::new(lease::Tuning::default()),
+            drain: Drain::new(timeouts),
+            lease_holder: LeaseClient::new(lease::Timing::default()),
             lease_id: None,
             lenders: BTreeMap::new(),
             peers: Arc::new(peers),
@@ -215,7 +215,7 @@
         self.watch_configuration();
         while let Some(event) = events.recv().await {
             self.handle_event(event);
-            if self.drain.stage().ended() {
+            if self.drain.stage().is_finished() {
                 break;
             }
         }
@@ -227,7 +227,7 @@
 
     fn start_timers(&self) {
         let mut timer = Timer::default();
-        let period = membership::Tuning::default().period;
+        let period = membership::Config::default().period;
         // Boxes that start together spread these tasks over the period.
         let initial_delay = |period: Duration| period.mul_f64(self.jitter_fraction());
         timer.subscribe(Topic::Heartbeat, period, Duration::ZERO);
@@ -277,7 +277,7 @@
             }
             Event::ConfigurationOffered(document) => self.handle_offered_configuration(document),
             Event::ConfigurationSourceDone => {
-                self.rollout.answered();
+                self.rollout.query_finished();
                 self.publish();
             }
             Event::NewerVersionRequired(version) => self.fetch_version(version),
@@ -394,7 +394,7 @@
             }
         }
         let limiter = &self.shared.limiter;
-        lock(limiter).keep_boxes(|name| live.iter().any(|(live, ..)| live == name));
+        lock(limiter).retain_boxes(|name| live.iter().any(|(live, ..)| live == name));
         if live != self.logged_members {
             self.logged_members = live;
             self.assign_probes(now);
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -92,8 +92,8 @@
             match action {
                 Action::Acquire => self.acquire_lease(),
                 Action::Renew => self.renew_lease(),
-                Action::Begin(epoch) => log::info!("event=orders_begin epoch={epoch}"),
-                Action::End(epoch) => log::info!("event=orders_end epoch={epoch}"),
+                Action::StartLeading(epoch) => log::info!("event=orders_begin epoch={epoch}"),
+                Action::StopLeading(epoch) => log::info!("event=orders_end epoch={epoch}"),
             }
         }
     }
@@ -117,7 +117,7 @@
             let asked_at = clock::now();
             let event = match platform.renew(lease_id).await {
                 Ok(()) => lease::Event::Renewed { asked_at },
-                Err(PlatformError::LeaseExpired) => lease::Event::Over(clock::now()),
+                Err(PlatformError::LeaseExpired) => lease::Event::Expired(clock::now()),
                 Err(_) => lease::Event::RenewalFailed,
             };
             let _ = events.send(Event::Lease(event, None)).await;
@@ -127,8 +127,8 @@
     /// Sends an order to each engine of this region that may receive one now.
     pub(super) fn send_orders(&mut self, now: Instant) {
         let Some(epoch) = self.lease_holder.epoch(now) else { return };
-        let may_order_unchecked = self.lease_holder.epoch_unchecked(now).is_some();
-        let Some(lease_valid_until) = self.lease_holder.until() else { return };
+        let may_order_unchecked = self.lease_holder.exclusive_epoch(now).is_some();
+        let Some(lease_valid_until) = self.lease_holder.held_until() else { return };
         let region = &self.shared.settings.region;
         for (pool_id, pool) in &self.configuration.pools {
             if self.configuration.services.contains_key(pool_id) {
@@ -164,14 +164,14 @@
     name: &str,
 ) -> (lease::Event, Option<LeaseId>) {
     let asked_at = clock::now();
-    let not_acquired = || (lease::Event::Refused(clock::now()), None);
+    let not_acquired = || (lease::Event::AcquireFailed(clock::now()), None);
     // Most attempts find that another box holds the lease; a read is cheaper
     // than a grant and a write.
     match platform.get(key).await {
         Ok(None) => {}
         _ => return not_acquired(),
     }
-    let ttl = lease::Tuning::default().life;
+    let ttl = lease::Timing::default().ttl;
     let Ok(lease_id) = platform.grant(ttl).await else { return not_acquired() };
     let value = json!({"box": name, "lease": lease_id}).to_string();
     let put = Put { value: value.clone(), expect: 0, lease: Some(lease_id), life_ms: None };
@@ -212,7 +212,7 @@
             format!("server={} epoch={}", self.server, self.wanted_state.epoch)
         });
         counters.increment(Counter::Orders);
-        let timeout = lease::Tuning::default().flight;
+        let timeout = lease::Timing::default().max_order_delay;
         let epoch: Epoch = self.wanted_state.epoch;
         match engine.order(self.address, &self.wanted_state, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -209,7 +209,7 @@
                 self.request_configuration_from_peer(address);
             }
         }
-        self.exchange.membership.learn_addresses(addresses);
+        self.exchange.membership.add_addresses(addresses);
         let now = clock::now();
         let mut changed = false;
         for entry in listed.iter().filter(|entry| entry.state == BoxListState::Leaving) {
@@ -224,7 +224,7 @@
 }
 
 fn limits(pool: &config::Pool, boxes: usize) -> pool::Limits {
-    pool::Limits { queue: pool.queue_limit, bytes: pool.queue_bytes, boxes }
+    pool::Limits { max_queued: pool.queue_limit, max_queued_bytes: pool.queue_bytes, boxes }
 }
 
 async fn probe_connection(address: SocketAddr) -> Option<EngineLoad> {
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -7,12 +7,6 @@
 //! sending, it closes the connection, which tells the backend server that
 //! nobody waits for the response.
 
-use std::sync::Arc;
-use std::time::Instant;
-
-use super::relay::RequestAccounting;
-use super::relay::ResponseSource;
-use super::request::Purpose;
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -20,6 +14,12 @@
 use http::Uri;
 use http::header;
 use http_body_util::Full;
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
 
 use super::forward;
 use super::pools;
@@ -150,7 +150,7 @@
 }
 
 fn may_retry(pool: &pools::SharedPool) -> bool {
-    pool.with(|pool| pool.may_retry(clock::now()))
+    pool.with(|pool| pool.take_retry(clock::now()))
 }
 
 /// Corrects the failure of a request after earlier attempts. If one of them may
@@ -175,10 +175,10 @@
         priority: request.priority,
         deadline: request.deadline,
         bytes: request.incoming.body.len(),
-        here: request.allowed_regions.contains(&request.snapshot.own.region),
-        elsewhere: other_regions.to_vec(),
+        local_allowed: request.allowed_regions.contains(&request.snapshot.own.region),
+        remote_regions: other_regions.to_vec(),
         prefix: request.prompt_prefix_hash(),
-        tried: tried_servers.to_vec(),
+        tried_servers: tried_servers.to_vec(),
     }
 }
 
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -7,14 +7,6 @@
 //! ledger. Each run is a separate task: it continues if its caller disconnects,
 //! and the caller gets the response on the next request with the same key.
 
-use std::collections::HashMap;
-use std::sync::Arc;
-use std::sync::Mutex;
-use std::time::Duration;
-use std::time::Instant;
-
-use super::dispatch::RelayedResponse;
-use super::request::Purpose;
 use bytes::Bytes;
 use bytes::BytesMut;
 use http::HeaderMap;
@@ -23,21 +15,29 @@
 use rapidhash::v3::rapidhash_v3;
 use serde::Deserialize;
 use serde::Serialize;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
+use super::dispatch::RelayedResponse;
+use super::request::Purpose;
+
 use super::dispatch;
 use super::forward;
 use super::relay::Relay;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
+use crate::coordination::ledger::Admission;
 use crate::coordination::ledger::Answer as KeptResponse;
-use crate::coordination::ledger::Bounds;
 use crate::coordination::ledger::Conclusion;
 use crate::coordination::ledger::Key;
 use crate::coordination::ledger::Ledger;
-use crate::coordination::ledger::Verdict;
+use crate::coordination::ledger::LedgerLimits;
 use crate::coordination::ticket::Ticket;
 use crate::error::ErrorKind;
 use crate::error::Executed;
@@ -53,7 +53,8 @@
 use crate::transport::timer;
 
 /// Bounds of the ledger.
-pub const LEDGER_BOUNDS: Bounds = Bounds { entries: 100_000, bytes: 64 << 20 };
+pub const LEDGER_BOUNDS: LedgerLimits =
+    LedgerLimits { max_entries: 100_000, max_answer_bytes: 64 << 20 };
 /// Maximum size of a response that is kept for replay.
 const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
 /// Time to live of a claim in the store.
@@ -101,15 +102,15 @@
         key: &Key,
         request: &ValidatedRequest,
         keep_until: Instant,
-    ) -> (Verdict, Option<oneshot::Receiver<()>>) {
+    ) -> (Admission, Option<oneshot::Receiver<()>>) {
         let inner = &mut *lock(&self.inner);
-        let verdict = inner.ledger.begin(key, request.fingerprint(), keep_until, clock::now());
-        let waiter = matches!(verdict, Verdict::Wait).then(|| {
+        let admission = inner.ledger.begin(key, request.fingerprint(), keep_until, clock::now());
+        let waiter = matches!(admission, Admission::Wait).then(|| {
             let (sender, receiver) = oneshot::channel();
             inner.waiters.entry(key.clone()).or_default().push(sender);
             receiver
         });
-        (verdict, waiter)
+        (admission, waiter)
     }
 
     fn conclude(&self, key: &Key, conclusion: Conclusion) {
@@ -163,14 +164,16 @@
         KeyOwner::Local { keep_until, needs_claim } => (keep_until, needs_claim),
     };
     loop {
-        let (verdict, waiter) = shared.keyed_requests.begin(&ledger_key, &request, keep_until);
-        match (verdict, waiter) {
-            (Verdict::Run, _) => return spawn_run(shared, request, ledger_key, needs_claim).await,
-            (Verdict::Wait, Some(waiter)) => {
+        let (admission, waiter) = shared.keyed_requests.begin(&ledger_key, &request, keep_until);
+        match (admission, waiter) {
+            (Admission::Run, _) => {
+                return spawn_run(shared, request, ledger_key, needs_claim).await;
+            }
+            (Admission::Wait, Some(waiter)) => {
                 let wait_result = timer::timeout_at(request.deadline, waiter).await;
                 wait_result.map_err(|_| still_running_failure())?.ok();
             }
-            (verdict, _) => return response_from_verdict(shared, verdict),
+            (admission, _) => return response_from_verdict(shared, admission),
         }
     }
 }
@@ -182,26 +185,26 @@
 
 fn response_from_verdict(
     shared: &SharedState,
-    verdict: Verdict,
+    admission: Admission,
 ) -> Result<GatewayResponse, Failure> {
-    match verdict {
-        Verdict::Replay(kept) => {
+    match admission {
+        Admission::Replay(kept) => {
             shared.counters.increment(Counter::Replayed);
             Ok(replay(shared, kept))
         }
-        Verdict::Ran => {
+        Admission::AnswerDropped => {
             let message = "the request ran; its answer is no longer kept";
             Err(Failure::new(ErrorKind::AlreadyRan, message))
         }
-        Verdict::Reused => {
+        Admission::KeyReused => {
             let message = "the key was used before with another request";
             Err(Failure::new(ErrorKind::KeyReused, message))
         }
-        Verdict::Full => {
+        Admission::Full => {
             let message = "the box remembers as many keys as it can";
             Err(Failure::new(ErrorKind::LedgerFull, message))
         }
-        Verdict::Unknown | Verdict::Run | Verdict::Wait => {
+        Admission::Unknown | Admission::Run | Admission::Wait => {
             let message = "an earlier request with this key may have run";
             Err(Failure::new(ErrorKind::BackendFailed, message).with_executed(Executed::Unknown))
         }
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -38,7 +38,7 @@
 use self::shared::Addresses;
 use self::shared::SharedState;
 use crate::coordination::drain::Stage;
-use crate::coordination::limit::Limiter;
+use crate::coordination::rate_limiter::RateLimiter;
 use crate::protocol::Incarnation;
 use crate::protocol::config::Configuration;
 use crate::protocol::peer::Member;
@@ -208,7 +208,7 @@
         snapshot: Arc::new(ArcSwap::from_pointee(snapshot)),
         document: ArcSwap::from_pointee(Bytes::new()),
         pools: pools::PoolTable::default(),
-        limiter: Mutex::new(Limiter::default()),
+        limiter: Mutex::new(RateLimiter::default()),
         keyed_requests: idempotency::KeyedRequests::default(),
         burn: Mutex::new(BurnTracker::new(now)),
         counters,
--- a/lib/src/daemon/operator_api.rs
+++ b/lib/src/daemon/operator_api.rs
@@ -146,7 +146,7 @@
                 name: name.clone(),
                 in_flight: pool.in_flight(),
                 waiting: pool.waiting(),
-                spare: pool.spare(now),
+                spare: pool.free_slots(now),
             })
         })
         .collect();
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -18,7 +18,7 @@
 use rand::rngs::SmallRng;
 use tokio::sync::oneshot;
 
-use crate::coordination::policy::Estimate;
+use crate::coordination::policy::PrefixAffinity;
 use crate::coordination::pool::Arrival;
 use crate::coordination::pool::Decision;
 use crate::coordination::pool::Limits;
@@ -45,7 +45,7 @@
 }
 
 struct Inner {
-    pool: Pool<Estimate>,
+    pool: Pool<PrefixAffinity>,
     waiters: HashMap<RequestId, oneshot::Sender<Result<Grant, Failure>>>,
     rng: SmallRng,
 }
@@ -102,13 +102,13 @@
     fn drop(&mut self) {
         let mut inner = self.pool.lock();
         inner.waiters.remove(&self.id);
-        inner.pool.withdraw(self.id, self.priority, self.deadline);
+        inner.pool.cancel(self.id, self.priority, self.deadline);
     }
 }
 
 impl SharedPool {
     fn new(limits: Limits, seed: u64) -> SharedPool {
-        let pool = Pool::new(Estimate, limits, clock::now());
+        let pool = Pool::new(PrefixAffinity, limits, clock::now());
         let rng = SmallRng::seed_from_u64(seed);
         SharedPool { inner: Mutex::new(Inner { pool, waiters: HashMap::new(), rng }) }
     }
@@ -118,7 +118,7 @@
     }
 
     /// Runs a closure on the pool while holding its lock.
-    pub fn with<T>(&self, action: impl FnOnce(&mut Pool<Estimate>) -> T) -> T {
+    pub fn with<T>(&self, action: impl FnOnce(&mut Pool<PrefixAffinity>) -> T) -> T {
         action(&mut self.lock().pool)
     }
 
@@ -129,7 +129,7 @@
             if inner.pool.waiting() == 0 {
                 return;
             }
-            inner.pool.pump(now, &mut inner.rng)
+            inner.pool.dispatch_queued(now, &mut inner.rng)
         };
         self.deliver_grants(wakes);
     }
@@ -144,8 +144,8 @@
         let (id, priority, deadline) = (arrival.id, arrival.priority, arrival.deadline);
         let (decision, wakes, waiter) = {
             let inner = &mut *self.lock();
-            let (decision, wakes) = inner.pool.arrive(arrival, clock::now(), &mut inner.rng);
-            let waiter = matches!(decision, Decision::Wait).then(|| {
+            let (decision, wakes) = inner.pool.submit(arrival, clock::now(), &mut inner.rng);
+            let waiter = matches!(decision, Decision::Queued).then(|| {
                 let (sender, receiver) = oneshot::channel();
                 inner.waiters.insert(id, sender);
                 receiver
@@ -153,7 +153,7 @@
             (decision, wakes, waiter)
         };
         self.deliver_grants(wakes);
-        let Decision::Now(placement) = decision else {
+        let Decision::Immediate(placement) = decision else {
             on_queued();
             let queue_entry = QueueEntry { pool: self, id, priority, deadline };
             let result = match waiter {
@@ -174,7 +174,7 @@
                 pool: Arc::clone(self),
                 server,
                 address,
-                outcome: Outcome::Withdrawn,
+                outcome: Outcome::Cancelled,
             })),
         }
     }
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -18,7 +18,7 @@
 use super::control;
 use super::idempotency;
 use super::pools;
-use crate::coordination::limit::Limiter;
+use crate::coordination::rate_limiter::RateLimiter;
 use crate::protocol::Incarnation;
 use crate::protocol::settings::Settings;
 use crate::state::burn::BurnTracker;
@@ -57,7 +57,7 @@
     /// Pools of backend servers.
     pub pools: pools::PoolTable,
     /// Rate limits of the teams.
-    pub limiter: Mutex<Limiter>,
+    pub limiter: Mutex<RateLimiter>,
     /// Requests with an idempotency key.
     pub keyed_requests: idempotency::KeyedRequests,
     /// Error-budget burn of the objectives.
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -33,7 +33,7 @@
 use crate::coordination::drain::Stage;
 use crate::coordination::placement::Placement;
 use crate::coordination::presence;
-use crate::coordination::retries::Budget;
+use crate::coordination::retries::RetryBudget;
 use crate::coordination::watchers;
 use crate::daemon::StopOutcome;
 use crate::protocol::adapter::Adapter;
@@ -93,7 +93,7 @@
         own_record: BoxRecord,
         stop: watch::Sender<Shutdown>,
     ) -> Control<A> {
-        let tuning = drain::Tuning { grace: STOP_GRACE, limit: shared.settings.stop_limit };
+        let timeouts = drain::Timeouts { grace: STOP_GRACE, limit: shared.settings.stop_limit };
         let (record_sender, _) = watch::channel(own_record.clone());
         Control {
             shared,
@@ -101,7 +101,7 @@
             cluster_state,
             own_record,
             record_sender,
-            drain: Drain::new(tuning),
+            drain: Drain::new(timeouts),
             stop,
             store_down_since: None,
             next_check_at: None,
@@ -293,7 +293,7 @@
             }
             self.publish();
         }
-        stage.ended()
+        stage.is_finished()
     }
 
     /// Counts boxes that send reports though the store doesn't list them, or no longer does.
@@ -334,7 +334,7 @@
             for (name, service) in &routing.services {
                 let state = services.entry(name.clone()).or_insert_with(|| Service {
                     placement: Placement::new(self.started_at),
-                    budget: Budget::new(settings.retries, now),
+                    budget: RetryBudget::new(settings.retries, now),
                 });
                 let servers = local_servers.remove(name).unwrap_or_default();
                 state.placement.update(servers, sharing_boxes, service, now);
--- a/lib/src/gateway/cross_region.rs
+++ b/lib/src/gateway/cross_region.rs
@@ -14,7 +14,7 @@
 use super::job::Origin;
 use super::shared::Shared;
 use super::shared::lock;
-use crate::coordination::regions::Fullness;
+use crate::coordination::regions::Utilization;
 use crate::coordination::rendezvous;
 use crate::coordination::shared_prefix::SharedPrefix;
 use crate::protocol::adapter::Adapter;
@@ -33,7 +33,7 @@
     /// The servers of this region are busy, and a share of the requests goes to another region.
     Overflow {
         /// Requests and slots of the servers of this region.
-        own_fullness: Fullness,
+        own_fullness: Utilization,
         /// Share of the requests that is forwarded.
         share: f64,
     },
@@ -72,7 +72,7 @@
 /// Whether the servers of another region have room for a request, according to its reports.
 fn has_room<A>(shared: &Shared<A>, job: &Job, region: &str) -> bool {
     let service_hash = rendezvous::weight(&job.service, "");
-    lock(&shared.regions).has_room(service_hash, region, clock::now())
+    lock(&shared.regions).may_have_room(service_hash, region, clock::now())
 }
 
 /// A box near the engine assigned to the request's text, if that engine is in another region. Only
@@ -120,9 +120,10 @@
     })?;
     let service_hash = rendezvous::weight(&job.service, "");
     let regions = lock(&shared.regions);
-    let allowed =
-        |region: &str| job.is_allowed_in(region) && regions.has_room(service_hash, region, now);
-    let (region, share) = regions.overflow(service_hash, own_fullness, allowed, now)?;
+    let allowed = |region: &str| {
+        job.is_allowed_in(region) && regions.may_have_room(service_hash, region, now)
+    };
+    let (region, share) = regions.overflow_target(service_hash, own_fullness, allowed, now)?;
     if rand::rng().random::<f64>() >= share {
         return None;
     }
@@ -149,7 +150,7 @@
             && !tried.contains(&other.peers)
             && job.is_allowed_in(&other.region)
             && slots.get(&other.region).is_some_and(|slots| *slots > 0)
-            && regions.has_room(service_hash, &other.region, now)
+            && regions.may_have_room(service_hash, &other.region, now)
     };
     let boxes: Vec<&BoxRecord> = job.snapshot.boxes.iter().filter(eligible).collect();
     let in_region = |region: &str| boxes.iter().filter(|other| other.region == region).count();
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -183,7 +183,7 @@
     {
         return Ok(Target::Peer(address, reason));
     }
-    lock(&shared.throttles).asked(throttle::service_hash(&job.service), clock::now());
+    lock(&shared.throttles).record_request(throttle::service_hash(&job.service), clock::now());
     let blocked = match reserve_server(shared, job, history, Eligible::Healthy) {
         Ok(reservation) => return Ok(Target::Server(reservation)),
         Err(blocked) => blocked,
@@ -230,7 +230,7 @@
                 stale,
             };
             let place = service.placement.choose(demand, now, &mut rand::rng())?;
-            throttles.sent(place.incarnation, now);
+            throttles.record_sent(place.incarnation, now);
             Ok(place)
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
@@ -307,7 +307,8 @@
         return false;
     }
     let boxes = job.snapshot.fleet_size;
-    let admitted = shared.with_service(&job.service, |service| service.budget.repeat(boxes, now));
+    let admitted =
+        shared.with_service(&job.service, |service| service.budget.try_resend(boxes, now));
     let admitted = admitted.unwrap_or(false);
     shared.counters.increment(if admitted { Counter::Retries } else { Counter::RetriesDenied });
     admitted
@@ -316,7 +317,7 @@
 /// Counts the request for the retry budget, at the box that its caller asked.
 fn count_first_send<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
     if job.origin == Origin::Caller {
-        shared.with_service(&job.service, |service| service.budget.first(clock::now()));
+        shared.with_service(&job.service, |service| service.budget.record_first_send(clock::now()));
     }
 }
 
--- a/lib/src/gateway/gossip.rs
+++ b/lib/src/gateway/gossip.rs
@@ -24,9 +24,9 @@
 use crate::coordination::loads::BoxReport;
 use crate::coordination::presence;
 use crate::coordination::quarantine::Audience;
-use crate::coordination::quota::Fleet;
-use crate::coordination::quota::Teller;
-use crate::coordination::regions::Fullness;
+use crate::coordination::quota::FleetSize;
+use crate::coordination::quota::ReportId;
+use crate::coordination::regions::Utilization;
 use crate::coordination::rendezvous;
 use crate::coordination::unlisted::Neighbor;
 use crate::protocol::adapter::Adapter;
@@ -103,7 +103,7 @@
             Ok(report) if report.number == REPLY_NUMBER => {
                 feedback::receive_leaving(shared, &report.leaving_servers, now);
                 let rates = report.throttle.unwrap_or_default();
-                lock(&shared.throttles).hear_words(&rates.words, now);
+                lock(&shared.throttles).merge_rates(&rates.words, now);
             }
             Ok(report) => {
                 apply_presence(shared, &report, now);
@@ -218,8 +218,8 @@
 
 fn apply_quota_counts<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
     let BoxReport { sender, incarnation, number, .. } = *report;
-    let source = Teller { sender, incarnation, number };
-    lock(&shared.quotas).hear_box(source, &report.counts, now);
+    let source = ReportId { sender, incarnation, number };
+    lock(&shared.quotas).record_box_usage(source, &report.counts, now);
 }
 
 /// Applies the rates that another box reports. A box that has just started gets all that this one
@@ -232,10 +232,10 @@
     now: Instant,
 ) {
     let BoxReport { sender, incarnation, number, .. } = *report;
-    let source = Teller { sender, incarnation, number };
+    let source = ReportId { sender, incarnation, number };
     let rates = report.throttle.clone().unwrap_or_default();
     let mut throttles = lock(&shared.throttles);
-    let is_new_sender = throttles.hear(source, &rates, now);
+    let is_new_sender = throttles.receive_report(source, &rates, now);
     let leaving_servers = lock(&shared.departures).all_notices(now);
     if !is_new_sender || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
@@ -245,7 +245,7 @@
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
         region: shared.settings.region.clone(),
-        throttle: Some(throttles.all_words(now)),
+        throttle: Some(throttles.all_rates(now)),
         leaving_servers,
         ..BoxReport::default()
     };
@@ -254,13 +254,13 @@
 }
 
 fn apply_region_load<A: Adapter>(shared: &Shared<A>, report: BoxReport, now: Instant) {
-    lock(&shared.quotas).hear_region(&report.region, &report.flows, now);
+    lock(&shared.quotas).record_region_usage(&report.region, &report.flows, now);
     let mut regions = lock(&shared.regions);
-    regions.hear_closed(report.region.clone(), report.closed.clone(), now);
+    regions.record_closed_services(report.region.clone(), report.closed.clone(), now);
     let loads = report.region_in_flight.iter().zip(&report.region_slots);
     for (service, (in_flight, slots)) in report.services.iter().zip(loads) {
-        let fullness = Fullness { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
-        regions.hear(*service, report.region.clone(), fullness, now);
+        let fullness = Utilization { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
+        regions.record_utilization(*service, report.region.clone(), fullness, now);
     }
 }
 
@@ -346,7 +346,7 @@
     report.counts.clear();
     report.throttle = None;
     report.leaving_servers.clear();
-    report.flows = lock(&shared.quotas).flows(now);
+    report.flows = lock(&shared.quotas).region_usage_to_report(now);
     report.ends = lock(&shared.quarantine).crash_reports(Audience::AllRegions, now);
     add_region_load(shared, report);
 }
@@ -384,9 +384,9 @@
 }
 
 /// The number of boxes, and the number of reports in which the rotation covers this region.
-fn quota_fleet<A: Adapter>(shared: &Shared<A>) -> Fleet {
+fn quota_fleet<A: Adapter>(shared: &Shared<A>) -> FleetSize {
     let others = region_addresses(shared).len();
-    Fleet {
+    FleetSize {
         boxes: shared.snapshot.load().fleet_size,
         rounds: others.div_ceil(MAX_RECIPIENTS) as u32,
     }
@@ -449,8 +449,8 @@
         state_age_ms: u64::try_from(shared.state_age_ms()).ok(),
         handover_port: u32::from(shared.settings.listen.handover.port()),
         unlisted: lock(&shared.unlisted).neighbor_records(now),
-        counts: lock(&shared.quotas).counts(now),
-        throttle: Some(lock(&shared.throttles).news(now)).filter(|rates| !rates.is_empty()),
+        counts: lock(&shared.quotas).box_usage_to_report(now),
+        throttle: Some(lock(&shared.throttles).next_report(now)).filter(|rates| !rates.is_empty()),
         leaving_servers: lock(&shared.departures).next_notices(now),
         ..BoxReport::default()
     };
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -24,8 +24,8 @@
 use crate::coordination::fingerprint;
 use crate::coordination::fingerprint::Fingerprint;
 use crate::coordination::identity;
-use crate::coordination::identity::Checked;
-use crate::coordination::identity::Claim;
+use crate::coordination::identity::Credentials;
+use crate::coordination::identity::ForwardedIdentity;
 use crate::coordination::urgency;
 use crate::error::ErrorKind;
 use crate::error::Failure;
@@ -271,26 +271,26 @@
 
 /// The identity that a request claims for its caller. Only requests from other boxes may claim more
 /// than a key.
-fn identity_claim(origin: Origin, ask: &RequestMetadata, headers: &HeaderMap) -> Claim {
+fn identity_claim(origin: Origin, ask: &RequestMetadata, headers: &HeaderMap) -> Credentials {
     if origin == Origin::Caller {
-        return Claim { key: ask.key, checked: None };
+        return Credentials { key: ask.key, forwarded: None };
     }
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let key = text(&KEY_HEADER).and_then(|key| key.parse::<KeyDigest>().ok());
     let version = text(&VERSION_HEADER).and_then(|version| version.parse().ok());
     let team = text(&TEAM_HEADER).map(str::to_owned);
-    Claim { key, checked: version.map(|version| Checked { team, version }) }
+    Credentials { key, forwarded: version.map(|version| ForwardedIdentity { team, version }) }
 }
 
 fn identify_team<A: Adapter>(
     shared: &Shared<A>,
-    claim: &Claim,
+    claim: &Credentials,
     routing: &Routing,
     route: &Route,
 ) -> Result<Option<Arc<Team>>, Failure> {
     let state_age = lock(&shared.freshness).age(clock::now());
     let stale = state_age.is_none_or(|state_age| state_age > shared.settings.propagation_limit);
-    let team = identity::team(claim, routing, route, stale)?;
+    let team = identity::resolve_team(claim, routing, route, stale)?;
     let expired_max_age = shared
         .settings
         .max_key_age
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -42,14 +42,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+use self::control::Control;
+use self::control::Event;
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
 use self::cluster_state::ClusterState;
-use self::control::Control;
-use self::control::Event;
 use self::job::Origin;
 use self::settings::Listen;
 use self::settings::Settings;
@@ -268,8 +268,8 @@
     Ok(socket)
 }
 
-fn quota_bound(settings: &Settings) -> quota::Bound {
-    quota::Bound { slack: settings.quota_slack, dither: rand::random() }
+fn quota_bound(settings: &Settings) -> quota::Tolerance {
+    quota::Tolerance { slack: settings.quota_slack, dither: rand::random() }
 }
 
 fn build_own_record(settings: &Settings) -> BoxRecord {
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -46,7 +46,7 @@
     /// Maximum number of file descriptors for sockets.
     pub socket_descriptors: usize,
     /// Bound on retries.
-    pub retries: retries::Bound,
+    pub retries: retries::RetryLimit,
     /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
     /// Requests to a cold server beyond that.
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -28,8 +28,8 @@
 use crate::coordination::presence::Presence;
 use crate::coordination::quarantine::Quarantine;
 use crate::coordination::quota::Quotas;
-use crate::coordination::regions::Regions;
-use crate::coordination::retries::Budget;
+use crate::coordination::regions::RegionUtilization;
+use crate::coordination::retries::RetryBudget;
 use crate::coordination::throttle::Throttles;
 use crate::coordination::unlisted::Unlisted;
 pub use crate::daemon::shared::lock;
@@ -69,7 +69,7 @@
     /// Chooses a server for each request.
     pub placement: Placement,
     /// Budget for retries.
-    pub budget: Budget,
+    pub budget: RetryBudget,
 }
 
 /// State shared by all threads of a gateway.
@@ -96,7 +96,7 @@
     /// Servers that said that they leave. Locked after `services` and `throttles`, never before.
     pub departures: Mutex<Departures>,
     /// Load of the servers of other regions.
-    pub regions: Mutex<Regions>,
+    pub regions: Mutex<RegionUtilization>,
     /// Status that other boxes report about themselves.
     pub presence: Mutex<Presence>,
     /// Boxes that are heard from though the store doesn't list them.
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -15,7 +15,7 @@
 use crate::coordination::rendezvous;
 use crate::coordination::throttle::ServerLife;
 use crate::coordination::throttle::ServiceHash;
-use crate::coordination::throttle::Stored;
+use crate::coordination::throttle::StoredRate;
 use crate::error::ErrorKind;
 use crate::error::Failure;
 use crate::protocol::adapter::Adapter;
@@ -44,7 +44,7 @@
     shared.counters.increment(Counter::Throttled);
     let retry_after = shared.with_service(&job.service, |Service { placement, .. }| {
         let service = service_hash(&job.service);
-        lock(&shared.throttles).come_back(service, placement.usable_incarnations(), clock::now())
+        lock(&shared.throttles).retry_after(service, placement.usable_incarnations(), clock::now())
     });
     let message = "the backend servers get as many requests as they take";
     let failure = Failure::new(ErrorKind::Throttled, message);
@@ -60,7 +60,7 @@
     value: &[u8],
 ) -> Result<(), serde_json::Error> {
     let stored_rate = serde_json::from_slice(value)?;
-    lock(&shared.throttles).stored(stored_rate, clock::now());
+    lock(&shared.throttles).merge_stored(stored_rate, clock::now());
     Ok(())
 }
 
@@ -68,8 +68,8 @@
 pub fn remove_stored_rate<A: Adapter>(shared: &Shared<A>, key: &str) {
     let server = key.strip_prefix(RATES).and_then(|life| ServerLife::from_str_radix(life, 16).ok());
     if let Some(server) = server {
-        let stored_rate = Stored { server, service: 0, rate: None };
-        lock(&shared.throttles).stored(stored_rate, clock::now());
+        let stored_rate = StoredRate { server, service: 0, rate: None };
+        lock(&shared.throttles).merge_stored(stored_rate, clock::now());
     }
 }
 
@@ -78,14 +78,16 @@
     let own_hash = presence::box_hash(&shared.settings.name);
     loop {
         timer::sleep(WRITE_INTERVAL).await;
-        let rates = lock(&shared.throttles).unwritten(own_hash, clock::now());
+        let rates = lock(&shared.throttles).rates_to_write(own_hash, clock::now());
         if rates.is_empty() {
             continue;
         }
         match write_batch(&store, &rates).await {
             Ok(()) => {
                 let mut throttles = lock(&shared.throttles);
-                rates.iter().for_each(|stored_rate| throttles.stored(*stored_rate, clock::now()));
+                rates
+                    .iter()
+                    .for_each(|stored_rate| throttles.merge_stored(*stored_rate, clock::now()));
             }
             Err(error) => {
                 log::warn!("event=rates_not_written count={} error=\"{error}\"", rates.len());
@@ -96,14 +98,14 @@
 
 async fn write_batch<A: Adapter>(
     store: &store::Client<A>,
-    rates: &[Stored],
+    rates: &[StoredRate],
 ) -> Result<(), PlatformError> {
     let StoreResponse::Lease(lease) =
         store.call(&Operation::Grant { ttl: RATE_LEASE_LIFE }).await?
     else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
-    let row = |stored_rate: &Stored| KeyWrite {
+    let row = |stored_rate: &StoredRate| KeyWrite {
         key: format!("{RATES}{:016x}", stored_rate.server),
         // Serializing numbers can't fail.
         value: Bytes::from(serde_json::to_vec(stored_rate).unwrap_or_default()),
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,12 +1,12 @@
 //! Which backend server gets a request, without sockets or a clock.
 
+use copperweir_lib::coordination::candidate::ServerState;
 use std::sync::Arc;
 use std::time::Duration;
 use std::time::Instant;
 use std::time::SystemTime;
 
 use copperweir_lib::coordination::candidate::Outcome;
-use copperweir_lib::coordination::candidate::ServerState;
 use copperweir_lib::coordination::candidate::server_hash;
 use copperweir_lib::coordination::loads::BoxReport;
 use copperweir_lib::coordination::loads::Load;
@@ -17,7 +17,7 @@
 use copperweir_lib::coordination::placement::Placement;
 use copperweir_lib::coordination::placement::PlacementRequest;
 use copperweir_lib::coordination::retries;
-use copperweir_lib::coordination::retries::Budget;
+use copperweir_lib::coordination::retries::RetryBudget;
 use copperweir_lib::coordination::shared_prefix::SharedPrefix;
 use copperweir_lib::coordination::throttle::Throttles;
 use copperweir_lib::coordination::warmup;
@@ -476,13 +476,13 @@
     /// All boxes together keep to the retry budget, however the requests are distributed.
     #[test]
     fn shares_of_the_retry_budget_add_up(requests in prop::collection::vec(0..300u32, 1..40)) {
-        let bound = retries::Bound { ratio: 0.2, window: Duration::from_secs(10), extra: 58.0 };
+        let bound = retries::RetryLimit { ratio: 0.2, window: Duration::from_secs(10), extra: 58.0 };
         let now = Instant::now();
         let mut repeats = 0;
         for count in &requests {
-            let mut budget = Budget::new(bound, now);
-            (0..*count).for_each(|_| budget.first(now));
-            repeats += (0..1000).filter(|_| budget.repeat(requests.len(), now)).count();
+            let mut budget = RetryBudget::new(bound, now);
+            (0..*count).for_each(|_| budget.record_first_send(now));
+            repeats += (0..1000).filter(|_| budget.try_resend(requests.len(), now)).count();
         }
         let total: u32 = requests.iter().sum();
         prop_assert!(repeats as f64 <= 0.2 * f64::from(total) + 58.0);
@@ -491,15 +491,15 @@
 
 #[test]
 fn the_retry_budget_recovers_with_time() {
-    let bound = retries::Bound { ratio: 0.0, window: Duration::from_secs(10), extra: 10.0 };
+    let bound = retries::RetryLimit { ratio: 0.0, window: Duration::from_secs(10), extra: 10.0 };
     let mut now = Instant::now();
-    let mut budget = Budget::new(bound, now);
-    let spent = (0..20).filter(|_| budget.repeat(1, now)).count();
+    let mut budget = RetryBudget::new(bound, now);
+    let spent = (0..20).filter(|_| budget.try_resend(1, now)).count();
     assert_eq!(spent, 8);
     now += Duration::from_secs(9);
-    assert!(!budget.repeat(1, now));
+    assert!(!budget.try_resend(1, now));
     now += Duration::from_secs(2);
-    assert!(budget.repeat(1, now));
+    assert!(budget.try_resend(1, now));
 }
 
 /// A server restarts under its id: requests of the earlier incarnation end without effect, and its
@@ -539,7 +539,7 @@
 fn a_rate_limited_server_gets_no_more_while_others_have_capacity() {
     let mut fixture = Fixture::new(placement(2, 4, 1));
     let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.said(life, 1, Some(2.0), fixture.now);
+    fixture.throttles.record_rate(life, 1, Some(2.0), fixture.now);
     for _ in 0..12 {
         assert_eq!(fixture.choose_without_prompt().expect("a place on the other").server, "i-1");
     }
@@ -552,9 +552,9 @@
     assert!(!is_throttled(&mut fixture), "the rate admits one request");
     let place = fixture.choose_without_prompt().expect("a place");
     assert_eq!(place.server, "i-0");
-    fixture.throttles.sent(place.incarnation, fixture.now);
+    fixture.throttles.record_sent(place.incarnation, fixture.now);
     assert_eq!(fixture.choose_without_prompt().unwrap_err(), Blocked::Throttled);
-    fixture.throttles.said(life, 1, None, fixture.now);
+    fixture.throttles.record_rate(life, 1, None, fixture.now);
     assert!(fixture.choose_without_prompt().is_ok());
 }
 
@@ -564,7 +564,7 @@
 fn a_rate_limited_server_counts_with_the_slots_that_it_uses() {
     let mut fixture = Fixture::new(placement(2, 64, 1));
     let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.said(life, 1, Some(3.0), fixture.now);
+    fixture.throttles.record_rate(life, 1, Some(3.0), fixture.now);
     assert_eq!(
         fixture.placement.fullness(&fixture.loads, &fixture.throttles, fixture.now).slots,
         67.0
--- a/lib/tests/test_rest.rs
+++ b/lib/tests/test_rest.rs
@@ -77,7 +77,7 @@
     use std::time::Duration;
     use std::time::Instant;
 
-    use copperweir_lib::coordination::policy::Estimate;
+    use copperweir_lib::coordination::policy::PrefixAffinity;
     use copperweir_lib::coordination::pool::Arrival;
     use copperweir_lib::coordination::pool::Decision;
     use copperweir_lib::coordination::pool::Limits;
@@ -92,7 +92,7 @@
     const SECOND: Duration = Duration::from_secs(1);
 
     struct Scenario {
-        pool: Pool<Estimate>,
+        pool: Pool<PrefixAffinity>,
         rng: SmallRng,
         now: Instant,
         next: u64,
@@ -101,7 +101,7 @@
     impl Scenario {
         fn new(servers: usize) -> Scenario {
             let now = Instant::now();
-            let limits = Limits { queue: 50, bytes: 1 << 20, boxes: 1 };
+            let limits = Limits { max_queued: 50, max_queued_bytes: 1 << 20, boxes: 1 };
             let lane = |number: usize| {
                 let address = ([10, 0, 0, number as u8], 80).into();
                 let lane = ServerSnapshot {
@@ -114,7 +114,7 @@
                 (format!("s{number}"), lane)
             };
             let lanes: BTreeMap<_, _> = (1..=servers).map(lane).collect();
-            let mut pool = Pool::new(Estimate, limits, now);
+            let mut pool = Pool::new(PrefixAffinity, limits, now);
             pool.update(limits, lanes, BTreeSet::from(["here".to_owned()]));
             Scenario { pool, rng: SmallRng::seed_from_u64(1), now, next: 0 }
         }
@@ -126,18 +126,18 @@
                 priority: Priority::Normal,
                 deadline: self.now + patience,
                 bytes: 10,
-                here: true,
-                elsewhere: Vec::new(),
+                local_allowed: true,
+                remote_regions: Vec::new(),
                 prefix: None,
-                tried: Vec::new(),
+                tried_servers: Vec::new(),
             };
-            self.pool.arrive(arrival, self.now, &mut self.rng).0
+            self.pool.submit(arrival, self.now, &mut self.rng).0
         }
 
         /// Places a request and returns its server.
         fn place(&mut self) -> String {
             match self.arrive(SECOND) {
-                Decision::Now(Placement::Server(server, _)) => server,
+                Decision::Immediate(Placement::Server(server, _)) => server,
                 other => panic!("no place: {other:?}"),
             }
         }
@@ -156,7 +156,7 @@
             scenario.place();
             let other = scenario.place();
             assert_ne!(other, resting);
-            scenario.finish(&other, Outcome::Withdrawn);
+            scenario.finish(&other, Outcome::Cancelled);
             scenario.now += Duration::from_millis(100);
             if scenario.pool.in_flight() == 0 {
                 break;
@@ -173,12 +173,12 @@
         let only = scenario.place();
         scenario.finish(&only, Outcome::Rests(SECOND * 3));
         match scenario.arrive(SECOND) {
-            Decision::Now(Placement::Refused(_, after)) => assert!(after >= SECOND * 3),
+            Decision::Immediate(Placement::Refused(_, after)) => assert!(after >= SECOND * 3),
             other => panic!("{other:?}"),
         }
-        assert_eq!(scenario.arrive(SECOND * 5), Decision::Wait);
+        assert_eq!(scenario.arrive(SECOND * 5), Decision::Queued);
         scenario.now += SECOND * 3;
-        let wakes = scenario.pool.pump(scenario.now, &mut scenario.rng);
+        let wakes = scenario.pool.dispatch_queued(scenario.now, &mut scenario.rng);
         assert!(matches!(wakes[..], [ref wake] if matches!(wake.placement, Placement::Server(..))));
     }
 }
