--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -268,8 +268,9 @@
         unknown
     }
 
-    /// Advances this box's counter and forgets members that have been silent for long. `delay` is
-    /// the delay of the tick: if this box was frozen, the silence until now proves nothing.
+    /// Advances this box's counter and forgets members whose counter has not advanced for long.
+    /// `delay` is how much later than planned the tick came: if this box was frozen, it proves
+    /// nothing that the counters have not advanced until now.
     pub fn tick(&mut self, now: Instant, delay: Duration) {
         if delay > self.config.period {
             for known in self.others.values_mut() {
@@ -373,8 +374,8 @@
     /// returned.
     fn unknown_addresses(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let live: BTreeSet<SocketAddr> = self.live(now).map(|member| member.peers).collect();
-        let silent = self.others.values().map(|known| known.member.peers);
-        let all: BTreeSet<SocketAddr> = self.addresses.iter().copied().chain(silent).collect();
+        let known = self.others.values().map(|known| known.member.peers);
+        let all: BTreeSet<SocketAddr> = self.addresses.iter().copied().chain(known).collect();
         all.into_iter().filter(move |peer| !live.contains(peer))
     }
 
--- a/lib/tests/test_throttle.rs
+++ b/lib/tests/test_throttle.rs
@@ -184,8 +184,8 @@
             if report_id.number == 0 {
                 self.boxes[to].merge_rates(&report.words, now);
             } else if self.boxes[to].receive_report(report_id, &report, now) {
-                let words = self.boxes[to].all_rates(now);
-                self.send_numbered(0, to, report_id.sender as usize, words, now);
+                let rates = self.boxes[to].all_rates(now);
+                self.send_numbered(0, to, report_id.sender as usize, rates, now);
             }
         }
     }
