--- a/lib/tests/test_departures.rs
+++ b/lib/tests/test_departures.rs
@@ -108,13 +108,13 @@
 #[test]
 fn a_late_notice_is_ignored_once_the_server_serves_again() {
     let mut scenario = Scenario::new();
-    let said_at = scenario.now;
+    let announced_at = scenario.now;
     scenario.announce();
     scenario.advance(SECOND);
     scenario.set_entry(6, false);
     assert!(scenario.advance(LONG_ENOUGH));
     let mut lagging_box = Departures::default();
-    lagging_box.record(1, said_at, said_at);
+    lagging_box.record(1, announced_at, announced_at);
     let notice_count = lagging_box.all_notices(scenario.now);
     assert_eq!(notice_count.len(), 1);
     assert!(
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -219,8 +219,8 @@
     replica.reached(position(1));
     replica.remove("k7");
     replica.reached(position(2));
-    let told = |after| replica.removed_after(position(after)).map(|removed| removed.count());
-    assert_eq!([told(0), told(1), told(2)], [None, Some(1), Some(0)]);
+    let removals = |after| replica.removed_after(position(after)).map(|removed| removed.count());
+    assert_eq!([removals(0), removals(1), removals(2)], [None, Some(1), Some(0)]);
 }
 
 #[test]
@@ -271,8 +271,9 @@
         freshness
     };
     for server in 100..200 {
-        let asking = boxes.iter().filter(|own| freshness_of(own).probes_server(**own, server, now));
-        assert_eq!(asking.count(), 2);
+        let probing =
+            boxes.iter().filter(|own| freshness_of(own).probes_server(**own, server, now));
+        assert_eq!(probing.count(), 2);
     }
     let alone = freshness_of(&1);
     assert!((100..200).all(|server| alone.probes_server(1, server, now + 2 * SECOND)));
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -51,7 +51,7 @@
     placement: Placement,
     throttles: Throttles,
     departures: Departures,
-    broken: InterruptedRequests,
+    interrupted: InterruptedRequests,
     quarantine: Quarantine,
     now: Instant,
     rng: SmallRng,
@@ -85,7 +85,7 @@
             placement,
             throttles: Throttles::new(0.0),
             departures: Departures::default(),
-            broken: InterruptedRequests::default(),
+            interrupted: InterruptedRequests::default(),
             quarantine: Quarantine::default(),
             now,
             rng: SmallRng::seed_from_u64(1),
@@ -110,7 +110,7 @@
             placement: Some(&mut self.placement),
             throttles: &mut self.throttles,
             departures: &mut self.departures,
-            interrupted: &mut self.broken,
+            interrupted: &mut self.interrupted,
             quarantine: &mut self.quarantine,
         }
     }
@@ -224,20 +224,20 @@
             (effects.notify, effects.observations),
             (Some(Audience::Region), vec![Observation::TurnedCold(COLD)])
         );
-        let told: Vec<_> = scenario.placement.cold_reports(scenario.now).collect();
-        assert_eq!(told, [(place.incarnation, COLD, scenario.now)], "after {event:?}");
+        let reports: Vec<_> = scenario.placement.cold_reports(scenario.now).collect();
+        assert_eq!(reports, [(place.incarnation, COLD, scenario.now)], "after {event:?}");
     }
 }
 
 /// Another instance at the address says nothing about the server that was meant.
 #[test]
 fn statements_of_another_instance_are_ignored() {
-    let words =
+    let status =
         Words { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
     let effects =
-        scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Replaced, words));
+        scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Replaced, status));
     assert_eq!(effects, Effects::default());
     assert!(scenario.departures.is_empty() && scenario.throttles.is_empty());
     assert_eq!(scenario.placement.backing_off(scenario.now), 0);
@@ -245,14 +245,14 @@
 
 #[test]
 fn all_statements_are_read_from_the_answer_to_a_probe() {
-    let words =
+    let status =
         Words { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
     let now = scenario.now;
-    let speaker =
+    let server_ref =
         ServerRef { server: &place.server, incarnation: place.incarnation, service: SERVICE };
-    let effects = scenario.handler().handle_probe_answer(speaker, &words, true, now);
+    let effects = scenario.handler().handle_probe_answer(server_ref, &status, true, now);
     assert_eq!((effects.notify, effects.observations.len()), (Some(Audience::Region), 4));
     assert!(
         scenario.departures.is_leaving(place.incarnation)
@@ -293,11 +293,11 @@
 /// If a server is backing off, limits its rate and is cold at once, all of it applies.
 #[test]
 fn several_statements_apply_together() {
-    let words =
+    let status =
         Words { rest: Some(BACKOFF), rate: Some(0.5), cold_left: Some(COLD), leaving: false };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
-    scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Refused, words));
+    scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Refused, status));
     assert!(matches!(scenario.choose().unwrap_err(), Blocked::BackingOff { .. }));
     scenario.now += BACKOFF;
     assert!(scenario.choose().is_ok(), "the rate limit and the cold share admit one request each");
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -201,8 +201,8 @@
 fn prefixes_that_begin_alike_have_different_homes() {
     let mut fixture = Fixture::new(placement(12, 64, 1));
     let mut homes = std::collections::BTreeSet::new();
-    for text in 1..60u64 {
-        let parts = [(7, 500), (text << 8, 5_000), (text << 16, 6_000)];
+    for prefix in 1..60u64 {
+        let parts = [(7, 500), (prefix << 8, 5_000), (prefix << 16, 6_000)];
         let parts = parts.map(|(id, tokens)| Part { id, tokens });
         let mut place = fixture.choose(&parts).expect("a place");
         homes.insert(place.server.clone());
@@ -428,10 +428,10 @@
         Duration::from_secs(3),
         fixture.now,
     );
-    let told: Vec<_> = fixture.placement.cold_reports(fixture.now).collect();
-    assert_eq!(told.len(), 2);
-    assert!(told.contains(&(server_hash("i-0"), Duration::ZERO, fixture.now)));
-    assert!(told.contains(&(server_hash("i-1"), Duration::from_secs(3), fixture.now)));
+    let reports: Vec<_> = fixture.placement.cold_reports(fixture.now).collect();
+    assert_eq!(reports.len(), 2);
+    assert!(reports.contains(&(server_hash("i-0"), Duration::ZERO, fixture.now)));
+    assert!(reports.contains(&(server_hash("i-1"), Duration::from_secs(3), fixture.now)));
     fixture.now += Duration::from_secs(1);
     assert_eq!(fixture.placement.cold_reports(fixture.now).count(), 0);
 }
@@ -508,7 +508,8 @@
     let mut fixture = Fixture::new(placement(0, 8, 1));
     fixture.placement.update(vec![restarted(1)], 1, &service, fixture.now);
     let mut held = fixture.choose(&prompt(1)).expect("a place");
-    let first_life: Vec<u64> = fixture.placement.own_loads().map(|(life, _)| life).collect();
+    let first_incarnation: Vec<u64> =
+        fixture.placement.own_loads().map(|(incarnation, _)| incarnation).collect();
     for _ in 0..20 {
         let mut lost = fixture.choose_among(&[], Eligible::Any).expect("a place");
         fixture.placement.finish(&mut lost, Outcome::Lost, fixture.now);
@@ -521,7 +522,7 @@
     fixture.placement.finish(&mut held, Outcome::Lost, fixture.now);
     let loads: Vec<_> = fixture.placement.own_loads().collect();
     assert_eq!((loads.len(), loads[0].1.in_flight), (1, 1), "its own request is still there");
-    assert_ne!(loads[0].0, first_life[0]);
+    assert_ne!(loads[0].0, first_incarnation[0]);
 }
 
 /// One of two servers limits its rate: requests beyond the limit go to the other one, and are
@@ -529,8 +530,8 @@
 #[test]
 fn a_rate_limited_server_gets_no_more_while_others_have_capacity() {
     let mut fixture = Fixture::new(placement(2, 4, 1));
-    let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.said(life, 1, Some(2.0), fixture.now);
+    let incarnation = fixture.placement.usable_incarnations().next().expect("a server");
+    fixture.throttles.said(incarnation, 1, Some(2.0), fixture.now);
     for _ in 0..12 {
         assert_eq!(fixture.choose_without_prompt().expect("a place on the other").server, "i-1");
     }
@@ -545,7 +546,7 @@
     assert_eq!(place.server, "i-0");
     fixture.throttles.sent(place.incarnation, fixture.now);
     assert_eq!(fixture.choose_without_prompt().unwrap_err(), Blocked::Throttled);
-    fixture.throttles.said(life, 1, None, fixture.now);
+    fixture.throttles.said(incarnation, 1, None, fixture.now);
     assert!(fixture.choose_without_prompt().is_ok());
 }
 
@@ -554,8 +555,8 @@
 #[test]
 fn a_rate_limited_server_counts_with_the_slots_that_it_uses() {
     let mut fixture = Fixture::new(placement(2, 64, 1));
-    let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.said(life, 1, Some(3.0), fixture.now);
+    let incarnation = fixture.placement.usable_incarnations().next().expect("a server");
+    fixture.throttles.said(incarnation, 1, Some(3.0), fixture.now);
     assert_eq!(
         fixture.placement.fullness(&fixture.loads, &fixture.throttles, fixture.now).slots,
         67.0
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -41,10 +41,10 @@
             sent_at,
             interrupted_at,
         };
-        let (life, now) = (self.server_count, self.now);
+        let (incarnation, now) = (self.server_count, self.now);
         requests
             .iter()
-            .map(|request| self.quarantine.record_crash(life, run(request), now))
+            .map(|request| self.quarantine.record_crash(incarnation, run(request), now))
             .collect()
     }
 
@@ -135,9 +135,9 @@
 fn simultaneous_crashes_are_no_evidence() {
     let mut scenario = Scenario::new();
     let (sent_at, now) = (scenario.now, scenario.now + TIME_TO_CRASH);
-    for life in 1..=20 {
+    for incarnation in 1..=20 {
         scenario.quarantine.record_crash(
-            life,
+            incarnation,
             InterruptedRequest { request: FATAL, sent_at, interrupted_at: now },
             now,
         );
@@ -247,17 +247,17 @@
     let mut scenarios = [Scenario::new(), Scenario::new(), Scenario::new()];
     let start = scenarios[0].now;
     // Each box observes one crash and reports it to the others.
-    for (number, life) in [(0, 1), (1, 2), (2, 3)] {
+    for (number, incarnation) in [(0, 1), (1, 2), (2, 3)] {
         let sent_at = start + TIME_TO_CRASH * number;
         let now = sent_at + TIME_TO_CRASH;
         scenarios[number as usize].quarantine.record_crash(
-            life,
+            incarnation,
             InterruptedRequest { request: FATAL, sent_at, interrupted_at: now },
             now,
         );
-        let told = scenarios[number as usize].quarantine.crash_reports(Audience::Region, now);
+        let reported = scenarios[number as usize].quarantine.crash_reports(Audience::Region, now);
         for scenario in &mut scenarios {
-            told.iter().for_each(|crash_under| scenario.quarantine.receive_crash(crash_under, now));
+            reported.iter().for_each(|report| scenario.quarantine.receive_crash(report, now));
             scenario.now = now;
         }
     }
@@ -283,21 +283,20 @@
 fn crashes_before_a_success_are_not_reported_again() {
     let mut scenarios = [Scenario::new(), Scenario::new()];
     let start = scenarios[0].now;
-    for life in 1..=3 {
-        let sent_at = start + TIME_TO_CRASH * life as u32;
+    for incarnation in 1..=3 {
+        let sent_at = start + TIME_TO_CRASH * incarnation as u32;
         let run = InterruptedRequest {
             request: INNOCENT,
             sent_at,
             interrupted_at: sent_at + TIME_TO_CRASH,
         };
-        scenarios[0].quarantine.record_crash(life, run, sent_at + TIME_TO_CRASH);
+        scenarios[0].quarantine.record_crash(incarnation, run, sent_at + TIME_TO_CRASH);
     }
     let mut now = start + TIME_TO_CRASH * 4;
     let exchange = |scenarios: &mut [Scenario; 2], now: Instant| {
         for (from, to) in [(0, 1), (1, 0)] {
             let ends = scenarios[from].quarantine.crash_reports(Audience::AllRegions, now);
-            ends.iter()
-                .for_each(|crash_under| scenarios[to].quarantine.receive_crash(crash_under, now));
+            ends.iter().for_each(|report| scenarios[to].quarantine.receive_crash(report, now));
             scenarios[to].now = now;
         }
     };
@@ -328,9 +327,9 @@
     }
     scenario.wait(EVALUATED);
     let now = scenario.now;
-    let told = scenario.quarantine.verdict_reports(now, &mut rand::rng());
-    let asked = scenario.quarantine.active_verdicts(now);
-    for verdicts in [told, asked] {
+    let reported = scenario.quarantine.verdict_reports(now, &mut rand::rng());
+    let active = scenario.quarantine.active_verdicts(now);
+    for verdicts in [reported, active] {
         let mut other = Quarantine::default();
         verdicts.iter().for_each(|verdict| other.receive_verdict(verdict, now));
         assert!(other.refused_for(FATAL, now).is_some());
