--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -1,8 +1,8 @@
-//! The result of sending a request to a backend server, in one form for all kinds of answer.
+//! The result of sending a request to a backend server, in one form for all kinds of response.
 //!
-//! An attempt is reported when the head of its answer has arrived, with everything that the server
-//! says about itself there, and again when the attempt has ended. All reports go to
-//! [`super::feedback`], so that every kind of answer is evaluated in the same way.
+//! An attempt is reported when the head of its response has arrived, with everything that the
+//! server says about itself there, and again when the attempt has ended. All reports go to
+//! [`super::feedback`], so that every kind of response is evaluated in the same way.
 
 use super::candidate::Outcome;
 use crate::protocol::server_status::ServerStatus;
@@ -10,13 +10,13 @@
 /// Progress or final result of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEvent {
-    /// The head of an answer has arrived; the body is outstanding.
+    /// The head of a response has arrived; the body is outstanding.
     HeadReceived,
-    /// A complete answer: the request succeeded.
+    /// A complete response: the request succeeded.
     Answered,
-    /// A complete answer: the request was invalid.
+    /// A complete response: the request was invalid.
     Rejected,
-    /// A complete answer: the server failed.
+    /// A complete response: the server failed.
     Failed,
     /// The server refused the request without executing it.
     Refused,
@@ -24,11 +24,11 @@
     Replaced,
     /// No connection could be established; the request was not sent.
     Unreachable,
-    /// The connection or the answer broke off.
+    /// The connection or the response broke off.
     Interrupted,
-    /// The server sent bytes that are no valid answer to this request.
+    /// The server sent bytes that are no valid response to this request.
     Invalid,
-    /// The server did not answer in time.
+    /// The server did not respond in time.
     TimedOut,
     /// The request was not sent: meanwhile the server announced a state in which it gets no
     /// requests.
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the server accepted the request, so that the head of its answer is a complete
+    /// Whether the server accepted the request, so that the head of its response is a complete
     /// statement of its state.
     pub fn is_accepted(self) -> bool {
         matches!(
@@ -68,18 +68,18 @@
 pub struct AttemptReport {
     /// Progress or final result.
     pub event: AttemptEvent,
-    /// What the server says about itself, if the head of an answer has just arrived.
-    pub words: Option<ServerStatus>,
+    /// What the server says about itself, if the head of a response has just arrived.
+    pub server_status: Option<ServerStatus>,
 }
 
 impl AttemptReport {
-    /// Reports that the head of an answer has arrived.
-    pub fn head(event: AttemptEvent, words: ServerStatus) -> AttemptReport {
-        AttemptReport { event, words: Some(words) }
+    /// Reports that the head of a response has arrived.
+    pub fn head(event: AttemptEvent, server_status: ServerStatus) -> AttemptReport {
+        AttemptReport { event, server_status: Some(server_status) }
     }
 
     /// Reports that the attempt has ended, after its head or without one.
     pub fn end(event: AttemptEvent) -> AttemptReport {
-        AttemptReport { event, words: None }
+        AttemptReport { event, server_status: None }
     }
 }
--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -1,5 +1,5 @@
-//! One backend server as seen by a box: its load, its prefix cache, its recent answers and the cost
-//! of a request there.
+//! One backend server as seen by a box: its load, its prefix cache, its recent responses and the
+//! cost of a request there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -66,17 +66,17 @@
 /// Result of a request at a server, as far as it bears on the server's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A complete answer, with success or blaming the request.
+    /// A complete response, with success or blaming the request.
     Answered,
-    /// A complete answer: the server failed.
+    /// A complete response: the server failed.
     Failed,
     /// The server refused the request for lack of capacity.
     Shed,
     /// No connection could be established.
     Unreachable,
-    /// The connection broke, or the answer was invalid.
+    /// The connection broke, or the response was invalid.
     Lost,
-    /// The server did not answer in time.
+    /// The server did not respond in time.
     TimedOut,
     /// Another instance has the address.
     Replaced,
@@ -89,7 +89,7 @@
 pub struct Work {
     /// Prompt tokens of the request that the server still has to process.
     pub prefill_tokens: f64,
-    /// Tokens to process until the first token of the answer, those of earlier requests included.
+    /// Tokens to process until the first token of the response, those of earlier requests included.
     pub backlog: f64,
     /// Additional cost of computing a shared prefix that another server has cached, tokens.
     pub duplicate_cost: f64,
@@ -123,7 +123,7 @@
     reported_warm_at: Option<Instant>,
     /// Until when reports of being warm are ignored.
     distrusted_until: Option<Instant>,
-    /// When the server last answered a probe of this box.
+    /// When the server last responded to a probe of this box.
     probed_at: Option<Instant>,
 }
 
@@ -205,14 +205,14 @@
         turned_cold
     }
 
-    /// Records the answer to a probe of this box.
-    pub fn record_probe_answer(&mut self, cold_left: Duration, now: Instant) -> bool {
+    /// Records the response to a probe of this box.
+    pub fn record_probe_response(&mut self, cold_left: Duration, now: Instant) -> bool {
         self.probed_at = Some(now);
         self.record_cold_report(cold_left, now)
     }
 
-    /// The latest answer to a probe of this box, if recent: remaining cold time and time of the
-    /// answer.
+    /// The latest response to a probe of this box, if recent: remaining cold time and time of the
+    /// response.
     pub fn recent_cold_report(&self, now: Instant) -> Option<(Duration, Instant)> {
         let at = self.probed_at.filter(|at| now < *at + WARM_REPORT_TTL)?;
         let cold = self.reported_cold_until.map(|until| until.saturating_duration_since(now));
@@ -339,7 +339,7 @@
                 self.limit = (self.limit * LIMIT_DECREASE).max(floor);
             }
             Outcome::Unreachable => self.ejection.record_unreachable(now),
-            Outcome::Lost | Outcome::TimedOut => self.ejection.record_lost_answer(now),
+            Outcome::Lost | Outcome::TimedOut => self.ejection.record_lost_response(now),
             Outcome::Replaced => self.mark_replaced(),
             Outcome::Abandoned => {}
         }
--- a/lib/src/coordination/departures.rs
+++ b/lib/src/coordination/departures.rs
@@ -1,7 +1,7 @@
-//! Servers that announce in their answers that they are leaving.
+//! Servers that announce in their responses that they are leaving.
 //!
 //! The store shows this too, but late or not at all while it is away or the server cannot reach it.
-//! An announcement therefore applies from the answer in which it arrives, and in all boxes of the
+//! An announcement therefore applies from the response in which it arrives, and in all boxes of the
 //! region: boxes without traffic of their own, and those that start meanwhile, receive it from
 //! others. It applies to one incarnation of a server, until the server's entry in the store is
 //! written anew and shows it as serving.
--- a/lib/src/coordination/ejection.rs
+++ b/lib/src/coordination/ejection.rs
@@ -8,8 +8,8 @@
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
 /// Maximum length of an ejection; a server that works again is found within this time.
 const MAX_EJECTION: Duration = Duration::from_secs(2);
-/// Consecutive lost answers that eject a server; single ones also occur at healthy servers.
-const LOST_ANSWERS_TO_EJECT: u32 = 3;
+/// Consecutive lost responses that eject a server; single ones also occur at healthy servers.
+const LOST_RESPONSES_TO_EJECT: u32 = 3;
 /// Time after a trial request until the next one may be sent.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -18,7 +18,7 @@
 pub struct Ejection {
     ejected_until: Option<Instant>,
     consecutive_ejections: u32,
-    consecutive_lost_answers: u32,
+    consecutive_lost_responses: u32,
 }
 
 impl Ejection {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Records an answer.
+    /// Records a response.
     pub fn record_success(&mut self) {
         *self = Ejection::default();
     }
@@ -45,10 +45,11 @@
         self.eject(now);
     }
 
-    /// Records a lost answer.
-    pub fn record_lost_answer(&mut self, now: Instant) {
-        self.consecutive_lost_answers += 1;
-        if self.consecutive_lost_answers >= LOST_ANSWERS_TO_EJECT || self.consecutive_ejections > 0
+    /// Records a lost response.
+    pub fn record_lost_response(&mut self, now: Instant) {
+        self.consecutive_lost_responses += 1;
+        if self.consecutive_lost_responses >= LOST_RESPONSES_TO_EJECT
+            || self.consecutive_ejections > 0
         {
             self.eject(now);
         }
--- a/lib/src/coordination/feedback.rs
+++ b/lib/src/coordination/feedback.rs
@@ -1,9 +1,9 @@
 //! Evaluation of what servers report and of the results of requests.
 //!
-//! Every attempt report is handled here, whatever the kind of answer, and so is every answer to a
-//! probe. The parts decide what follows from it: which servers get requests, which rates apply,
-//! which servers are leaving or backing off, which requests crash servers. The caller gets back
-//! what other boxes must be told and what needs a probe.
+//! Every attempt report is handled here, whatever the kind of response, and so is every response to
+//! a probe. The parts decide what follows from it: which servers get requests, which rates apply,
+//! which servers are leaving or resting, which requests crash servers. The caller gets back which
+//! boxes to notify at once, and whether to probe the server.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -52,7 +52,7 @@
     /// The server is leaving.
     Leaving,
     /// The server asked this box to send nothing for that time.
-    RequestedBackoff(Duration),
+    RequestedRestPeriod(Duration),
     /// The server turned cold, for that time.
     TurnedCold(Duration),
     /// The server changed its rate limit.
@@ -87,7 +87,7 @@
     }
 }
 
-/// The parts that reports are passed to.
+/// Routes reports to the tables that they concern.
 pub struct FeedbackHandler<'a> {
     /// The servers of the service; `None` if the configuration no longer contains it.
     pub placement: Option<&'a mut Placement>,
@@ -114,7 +114,9 @@
         let server_ref =
             ServerRef { server: &place.server, incarnation: place.incarnation, service };
         // Another instance at the address says nothing about the server that was meant.
-        if let Some(status) = report.words.filter(|_| report.event != AttemptEvent::Replaced) {
+        if let Some(status) =
+            report.server_status.filter(|_| report.event != AttemptEvent::Replaced)
+        {
             let is_complete = report.event.is_accepted();
             self.apply_status(server_ref, &status, is_complete, &mut effects, now);
         }
@@ -128,9 +130,9 @@
         effects
     }
 
-    /// Handles the answer to a probe. A server that only refused the probe may have omitted part of
-    /// its state.
-    pub fn handle_probe_answer(
+    /// Handles the response to a probe. A server that only refused the probe may have omitted part
+    /// of its state.
+    pub fn handle_probe_response(
         &mut self,
         server_ref: ServerRef<'_>,
         status: &ServerStatus,
@@ -164,9 +166,9 @@
             if newly_leaving {
                 placement.set_leaving(|incarnation| self.departures.is_leaving(incarnation));
             }
-            if let Some(backoff) = status.rest {
-                placement.record_backoff(incarnation, backoff, now);
-                effects.observations.push(Observation::RequestedBackoff(backoff));
+            if let Some(rest_period) = status.rest {
+                placement.record_rest_period(incarnation, rest_period, now);
+                effects.observations.push(Observation::RequestedRestPeriod(rest_period));
             }
             if let Some(cold_left) = status.cold_left
                 && placement.record_cold_report(server, cold_left, now)
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -29,7 +29,8 @@
 const RECONNECTING_BOXES: f64 = 8.0;
 /// Interval between checks of the state's age.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Age from which servers are probed, so that their answers are available when the state is stale.
+/// Age from which servers are probed, so that their responses are available when the state is
+/// stale.
 const PROBE_AGE: Duration = Duration::from_secs(2);
 /// Age from which the state may miss that a server turned cold: engines of an evacuated failure
 /// domain turned cold 5 s after the evacuation.
@@ -38,7 +39,7 @@
 const PROBERS_PER_SERVER: usize = 2;
 /// Additional time that a box waits before it asks a box of another region: a round trip, and the
 /// time in which boxes of its own region receive the new state.
-const REMOTE_PATIENCE: Duration = Duration::from_millis(300);
+const REMOTE_EXTRA_TIMEOUT: Duration = Duration::from_millis(300);
 /// Usual maximum latency of a datagram within a region and between regions. It is added to the
 /// reported age: if it were left out, the age would shrink with each report, and boxes without news
 /// from the store would confirm each other's state until none of them checks.
@@ -196,17 +197,17 @@
         }
     }
 
-    /// Address of a box with a newer state, once this box has been behind for `patience`. The wait
+    /// Address of a box with a newer state, once this box has been behind for `timeout`. The wait
     /// is longer if only boxes of other regions have one: traffic between regions is expensive, and
     /// boxes of this region will have the state soon.
-    pub fn peer_to_ask(&self, patience: Duration, now: Instant) -> Option<SocketAddr> {
+    pub fn peer_to_ask(&self, timeout: Duration, now: Instant) -> Option<SocketAddr> {
         let since = self.behind_since?;
         let peer = self.newer_peer?;
-        let patience = if peer.is_same_region { patience } else { patience + REMOTE_PATIENCE };
-        (now >= since + patience).then_some(peer.address)
+        let timeout = if peer.is_same_region { timeout } else { timeout + REMOTE_EXTRA_TIMEOUT };
+        (now >= since + timeout).then_some(peer.address)
     }
 
-    /// Drops the box with the newer state because it does not answer; another one may.
+    /// Drops the box with the newer state because it does not respond; another one may.
     pub fn forget_newer_peer(&mut self) {
         self.newer_peer = None;
         self.behind_since = None;
--- a/lib/src/coordination/gossip.rs
+++ b/lib/src/coordination/gossip.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Merges a heartbeat or the answer to one. `version` is this box's configuration version.
+    /// Merges a heartbeat or the response to one. `version` is this box's configuration version.
     pub fn receive(&mut self, heartbeat: &Heartbeat, version: Version, now: Instant) -> Received {
         let sender = &heartbeat.sender;
         let own_region = self.membership.own().region.clone();
--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -36,7 +36,7 @@
 /// Returns the team of a request; `None` if the request needs no key.
 ///
 /// `stale` says that a newer configuration, with keys unknown here, may exist. A caller with an
-/// unknown key is then asked to retry instead of being told that the key does not exist.
+/// unknown key is then asked to retry instead of getting the error that the key does not exist.
 pub fn resolve_team(
     credentials: &Credentials,
     routing: &Routing,
--- a/lib/src/coordination/interrupted.rs
+++ b/lib/src/coordination/interrupted.rs
@@ -1,7 +1,7 @@
-//! Requests whose answer broke off, until it is known whether their server has crashed.
+//! Requests whose response broke off, until it is known whether their server has crashed.
 //!
-//! A crashing server breaks off all requests that it executes. A connection reset, or an answer
-//! that a faulty server cuts short, breaks off one answer of a server that continues to run.
+//! A crashing server breaks off all requests that it executes. A connection reset, or a response
+//! that a faulty server cuts short, breaks off one response of a server that continues to run.
 //! Several interruptions at the same moment therefore prove a crash. After fewer of them the box
 //! probes whether the server still accepts connections; further interruptions at that server wait
 //! here for the result of the probe.
@@ -12,7 +12,8 @@
 
 use super::fingerprint::Fingerprint;
 
-/// Identifies one incarnation of a server.
+/// Hash that identifies one incarnation of a server: its id and start time. Computed by
+/// [`incarnation_hash`](super::candidate::incarnation_hash).
 pub type ServerIncarnation = u64;
 
 /// How long a crash is remembered: a busy box processes the last interruptions some time after the
@@ -25,14 +26,14 @@
 /// Time window in which simultaneous interruptions are counted.
 const CRASH_WINDOW: Duration = Duration::from_millis(40);
 
-/// A request whose answer broke off.
+/// A request whose response broke off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InterruptedRequest {
     /// Fingerprint of the request.
     pub request: Fingerprint,
     /// When the request was sent to the server.
     pub sent_at: Instant,
-    /// When its answer broke off.
+    /// When its response broke off.
     pub interrupted_at: Instant,
 }
 
--- a/lib/src/coordination/lease.rs
+++ b/lib/src/coordination/lease.rs
@@ -19,7 +19,7 @@
 /// Time parameters of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Lifetime of the lease in the store.
+    /// Time to live of the lease in the store.
     pub ttl: Duration,
     /// Time before the end of the lease at which the holder stops acting.
     pub stop_margin: Duration,
@@ -52,7 +52,7 @@
         /// When the request to acquire the lease was sent.
         asked_at: Instant,
     },
-    /// Another box holds the lease, or the store did not answer.
+    /// Another box holds the lease, or the store did not respond.
     AcquireFailed(Instant),
     /// The lease was renewed.
     Renewed {
--- a/lib/src/coordination/ledger.rs
+++ b/lib/src/coordination/ledger.rs
@@ -1,9 +1,9 @@
 //! In-memory record of idempotent requests, so that each runs at most once.
 //!
 //! An entry is created before the request may run and stays at least as long as its key can be
-//! presented again. A full ledger refuses new keys and never drops an entry early. Finished answers
-//! are kept for replay up to a total size; beyond it, the ledger keeps only the fact that the
-//! request ran.
+//! presented again. A full ledger refuses new keys and never drops an entry early. Finished
+//! responses are kept for replay up to a total size; beyond it, the ledger keeps only the fact that
+//! the request ran.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -25,9 +25,9 @@
 /// Hash of a request. The same key with another fingerprint is refused.
 pub type Fingerprint = [u8; 32];
 
-/// A complete answer, kept for replay.
+/// A complete response, kept for replay.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct KeptResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers to send to the caller.
@@ -36,7 +36,7 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl KeptResponse {
     fn size(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -51,10 +51,10 @@
     Run,
     /// Another request with this key is running; wait until it concludes.
     Wait,
-    /// The request has run; replay this answer.
-    Replay(Answer),
-    /// The request has run, but its answer is no longer kept.
-    AnswerDropped,
+    /// The request has run; replay this response.
+    Replay(KeptResponse),
+    /// The request has run, but its response is no longer kept.
+    ResponseDropped,
     /// The request may have run.
     Unknown,
     /// The key was used with a different request.
@@ -66,8 +66,8 @@
 /// How a request with an idempotency key ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Conclusion {
-    /// The request ran. The answer is present if it is small enough to keep.
-    Answered(Option<Answer>),
+    /// The request ran. The response is present if it is small enough to keep.
+    Answered(Option<KeptResponse>),
     /// The request certainly did not run; the key may be used again.
     NotRun,
     /// The request may have run.
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 enum State {
     Running,
-    Answered(Option<Answer>),
+    Answered(Option<KeptResponse>),
     Unknown,
 }
 
@@ -93,8 +93,8 @@
 pub struct LedgerLimits {
     /// Maximum number of entries.
     pub max_entries: usize,
-    /// Maximum total size of the kept answers, in bytes.
-    pub max_answer_bytes: usize,
+    /// Maximum total size of the kept responses, in bytes.
+    pub max_response_bytes: usize,
 }
 
 /// The ledger of one box.
@@ -103,8 +103,8 @@
     limits: LedgerLimits,
     entries: HashMap<Key, Entry>,
     by_expiry: BTreeSet<(Instant, Key)>,
-    answers_by_expiry: BTreeSet<(Instant, Key)>,
-    answer_bytes: usize,
+    responses_by_expiry: BTreeSet<(Instant, Key)>,
+    response_bytes: usize,
 }
 
 impl Ledger {
@@ -114,8 +114,8 @@
             limits,
             entries: HashMap::new(),
             by_expiry: BTreeSet::new(),
-            answers_by_expiry: BTreeSet::new(),
-            answer_bytes: 0,
+            responses_by_expiry: BTreeSet::new(),
+            response_bytes: 0,
         }
     }
 
@@ -129,9 +129,9 @@
         self.entries.is_empty()
     }
 
-    /// Returns the total size of the kept answers in bytes.
+    /// Returns the total size of the kept responses in bytes.
     pub fn bytes(&self) -> usize {
-        self.answer_bytes
+        self.response_bytes
     }
 
     /// Returns whether the key has an entry.
@@ -159,7 +159,7 @@
         Admission::Run
     }
 
-    /// Records the end of a request that was told to run.
+    /// Records the end of a request that was admitted with [`Admission::Run`].
     pub fn conclude(&mut self, key: &Key, conclusion: Conclusion) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         match conclusion {
@@ -169,23 +169,23 @@
                 self.by_expiry.remove(&(expires_at, key.clone()));
             }
             Conclusion::Unknown => entry.state = State::Unknown,
-            Conclusion::Answered(answer) => {
-                self.answer_bytes += answer.as_ref().map_or(0, Answer::size);
-                if answer.is_some() {
-                    self.answers_by_expiry.insert((entry.expires_at, key.clone()));
+            Conclusion::Answered(response) => {
+                self.response_bytes += response.as_ref().map_or(0, KeptResponse::size);
+                if response.is_some() {
+                    self.responses_by_expiry.insert((entry.expires_at, key.clone()));
                 }
-                entry.state = State::Answered(answer);
-                self.evict_answers();
+                entry.state = State::Answered(response);
+                self.evict_responses();
             }
         }
     }
 
-    fn evict_answers(&mut self) {
-        while self.answer_bytes > self.limits.max_answer_bytes {
-            let Some((_, key)) = self.answers_by_expiry.pop_first() else { return };
+    fn evict_responses(&mut self) {
+        while self.response_bytes > self.limits.max_response_bytes {
+            let Some((_, key)) = self.responses_by_expiry.pop_first() else { return };
             let Some(entry) = self.entries.get_mut(&key) else { continue };
-            if let State::Answered(answer) = &mut entry.state {
-                self.answer_bytes -= answer.take().map_or(0, |answer| answer.size());
+            if let State::Answered(response) = &mut entry.state {
+                self.response_bytes -= response.take().map_or(0, |response| response.size());
             }
         }
     }
@@ -200,9 +200,9 @@
             let Some((expires_at, key)) = self.by_expiry.pop_first() else { break };
             match self.entries.get(&key).map(|entry| &entry.state) {
                 Some(State::Running) => running.push((expires_at, key)),
-                Some(State::Answered(answer)) => {
-                    self.answer_bytes -= answer.as_ref().map_or(0, Answer::size);
-                    self.answers_by_expiry.remove(&(expires_at, key.clone()));
+                Some(State::Answered(response)) => {
+                    self.response_bytes -= response.as_ref().map_or(0, KeptResponse::size);
+                    self.responses_by_expiry.remove(&(expires_at, key.clone()));
                     self.entries.remove(&key);
                 }
                 _ => {
@@ -220,8 +220,8 @@
     }
     match &entry.state {
         State::Running => Admission::Wait,
-        State::Answered(Some(answer)) => Admission::Replay(answer.clone()),
-        State::Answered(None) => Admission::AnswerDropped,
+        State::Answered(Some(response)) => Admission::Replay(response.clone()),
+        State::Answered(None) => Admission::ResponseDropped,
         State::Unknown => Admission::Unknown,
     }
 }
--- a/lib/src/coordination/lending.rs
+++ b/lib/src/coordination/lending.rs
@@ -14,8 +14,8 @@
 use super::invariant::Invariant;
 use crate::protocol::RegionId;
 
-/// Lifetime of a credit.
-pub const CREDIT_LIFETIME: Duration = Duration::from_secs(3);
+/// Time to live of a credit.
+pub const CREDIT_TTL: Duration = Duration::from_secs(3);
 
 /// Slots of one pool that this box has lent.
 #[derive(Clone, Debug, Default)]
@@ -36,7 +36,7 @@
         let outstanding = self.outstanding(now);
         let slots = wanted.min(spare.saturating_sub(outstanding));
         if slots > 0 {
-            self.credits.push((now + CREDIT_LIFETIME, slots));
+            self.credits.push((now + CREDIT_TTL, slots));
             invariant::check(Invariant::LentWithinSpare, outstanding + slots <= spare, || {
                 format!("outstanding={outstanding} slots={slots} spare={spare}")
             });
@@ -53,10 +53,10 @@
 
 impl Borrower {
     /// Adds a credit for `slots` slots of `region`.
-    pub fn receive(&mut self, region: RegionId, slots: u32, lifetime: Duration, now: Instant) {
+    pub fn receive(&mut self, region: RegionId, slots: u32, ttl: Duration, now: Instant) {
         let credits = self.credits.entry(region).or_default();
         credits.retain(|(expires_at, _)| now < *expires_at);
-        credits.push((now + lifetime.min(CREDIT_LIFETIME), slots));
+        credits.push((now + ttl.min(CREDIT_TTL), slots));
     }
 
     /// Returns the number of slots of `region` that may be used now.
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -10,7 +10,7 @@
 use super::quarantine::wire;
 use super::quota::BoxUsage;
 use super::quota::RegionUsage;
-use super::throttle::messages::ThrottleReport;
+use super::throttle::wire::ThrottleReport;
 use super::unlisted::NeighborRecord;
 use prost::Message;
 
@@ -78,13 +78,13 @@
     /// Port at which the sender can be asked for that state.
     #[prost(uint32, tag = "16")]
     pub handover_port: u32,
-    /// Hashes of servers that answered a probe of the sender; sent only to boxes of its region.
+    /// Hashes of servers that responded to a probe of the sender; sent only to boxes of its region.
     #[prost(fixed64, repeated, tag = "17")]
     pub asked: Vec<u64>,
     /// Remaining cold time of these servers, in their order, milliseconds; 0 if they are not cold.
     #[prost(uint32, repeated, tag = "18")]
     pub cold_ms: Vec<u32>,
-    /// Age of these answers, in their order, milliseconds.
+    /// Age of these responses, in their order, milliseconds.
     #[prost(uint32, repeated, tag = "19")]
     pub asked_ms: Vec<u32>,
     /// Boxes that send datagrams though the store does not list them.
@@ -157,7 +157,7 @@
 struct Sender {
     incarnation: u64,
     number: u64,
-    heard_at: Instant,
+    received_at: Instant,
     loads: Vec<(u64, Load)>,
 }
 
@@ -191,13 +191,13 @@
             sum.prefill_tokens = sum.prefill_tokens.saturating_add(load.prefill_tokens);
         }
         let BoxReport { incarnation, number, .. } = *report;
-        let sender = Sender { incarnation, number, heard_at: now, loads };
+        let sender = Sender { incarnation, number, received_at: now, loads };
         self.senders.insert(report.sender, sender);
     }
 
     /// Drops expired reports.
     pub fn expire(&mut self, now: Instant) {
-        let is_expired = |sender: &Sender| now >= sender.heard_at + REPORT_TTL;
+        let is_expired = |sender: &Sender| now >= sender.received_at + REPORT_TTL;
         let expired: Vec<u64> = self
             .senders
             .iter()
--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -1,7 +1,7 @@
 //! Membership of boxes and detection of failed ones, by gossip.
 //!
 //! Each period every box calls a few random others, so that a box that fails is soon called by some
-//! other box. A caller that gets no answer twice in a row marks the member as dead: it spreads a
+//! other box. A caller that gets no response twice in a row marks the member as dead: it spreads a
 //! record with [`Phase::Dead`] and a heartbeat counter just above the last known one, like any
 //! other change. Only the member itself advances its counter, so a record with a higher counter
 //! refutes the death. A box that learns of its own death sends such a record. A box whose calls
@@ -46,7 +46,7 @@
     pub dead_after: Duration,
     /// Added to the timeout for each box of the region.
     pub dead_after_per_box: Duration,
-    /// Number of calls in a row without an answer after which a member is dead.
+    /// Number of calls in a row without a response after which a member is dead.
     pub failures: u32,
     /// Time without an advance of its counter after which a member is forgotten.
     pub forget_after: Duration,
--- a/lib/src/coordination/mod.rs
+++ b/lib/src/coordination/mod.rs
@@ -5,7 +5,6 @@
 //! virtual time under property tests, and inside other programs.
 
 pub mod attempt;
-pub mod backoff;
 pub mod candidate;
 pub mod departures;
 pub mod drain;
@@ -35,6 +34,7 @@
 pub mod rate_limiter;
 pub mod regions;
 pub mod rendezvous;
+pub mod rest_period;
 pub mod retries;
 pub mod retry_spread;
 pub mod rollout;
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -7,8 +7,8 @@
 //! that server is much busier than others.
 
 mod blocked;
-mod fullness;
 mod status;
+mod utilization;
 
 pub use self::blocked::Blocked;
 pub use self::status::ProbeTarget;
@@ -21,7 +21,6 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use super::backoff::Backoffs;
 use super::candidate::Candidate;
 use super::candidate::Outcome;
 use super::candidate::ServerState;
@@ -29,6 +28,7 @@
 use super::loads::Load;
 use super::loads::Loads;
 use super::rendezvous;
+use super::rest_period::RestPeriods;
 use super::retry_spread::RetrySpread;
 use super::shared_prefix::SharedPrefix;
 use super::throttle::Throttles;
@@ -141,9 +141,9 @@
     /// When servers were removed. A server that returns may have received its cold share just
     /// before: entries expire and return while the store is away.
     removed_at: BTreeMap<ServerId, Instant>,
-    /// Servers that asked this box to back off. They are kept while the servers' entries expire and
-    /// return.
-    backoffs: Backoffs,
+    /// Rest periods that servers requested from this box. They are kept while the servers' entries
+    /// expire and return.
+    rest_periods: RestPeriods,
     retry_spread: RetrySpread,
 }
 
@@ -158,7 +158,7 @@
             cold_rate: 0.0,
             started_at,
             removed_at: BTreeMap::new(),
-            backoffs: Backoffs::default(),
+            rest_periods: RestPeriods::default(),
             retry_spread: RetrySpread::default(),
         }
     }
@@ -249,7 +249,8 @@
             if !usable || !is_compared(candidate.hash) {
                 continue;
             }
-            if !self.backoffs.admits(candidate.incarnation, candidate.in_flight, selection.now) {
+            if !self.rest_periods.admits(candidate.incarnation, candidate.in_flight, selection.now)
+            {
                 continue;
             }
             let load = candidate.load(request.loads, selection.unreported_boxes);
@@ -305,7 +306,7 @@
         }
     }
 
-    /// Records that the first byte or event of the answer has arrived.
+    /// Records that the first byte or event of the response has arrived.
     pub fn first_byte(&mut self, place: &mut Place) {
         if !std::mem::take(&mut place.awaiting_first_byte) {
             return;
@@ -341,7 +342,7 @@
     fn sample(&self, selection: Selection, rng: &mut impl Rng) -> Option<Vec<u64>> {
         let accepts_requests = |candidate: &&Candidate| {
             candidate.is_usable()
-                && self.backoffs.until(candidate.incarnation, selection.now).is_none()
+                && self.rest_periods.until(candidate.incarnation, selection.now).is_none()
         };
         let usable: Vec<u64> = self
             .servers
--- a/lib/src/coordination/placement/blocked.rs
+++ b/lib/src/coordination/placement/blocked.rs
@@ -18,9 +18,9 @@
     Throttled,
     /// Only servers that failed recently have capacity.
     Failing,
-    /// All servers asked this box to back off.
-    BackingOff {
-        /// When the first back-off ends.
+    /// All servers are in a rest period that they requested from this box.
+    Resting {
+        /// When the first rest period ends.
         until: Instant,
     },
     /// All remaining servers are leaving.
@@ -37,9 +37,9 @@
         let mut blocked = self.unusable(selection.now);
         for candidate in self.servers.values_mut() {
             let is_tried = request.tried.contains(&candidate.state.server.id);
-            let is_backing_off =
-                self.backoffs.until(candidate.incarnation, selection.now).is_some();
-            if !candidate.is_usable() || is_tried || is_backing_off {
+            let is_resting =
+                self.rest_periods.until(candidate.incarnation, selection.now).is_some();
+            if !candidate.is_usable() || is_tried || is_resting {
                 continue;
             }
             let load = candidate.load(request.loads, selection.unreported_boxes);
@@ -64,10 +64,10 @@
             let any_leaving = self.servers.values().any(Candidate::is_leaving);
             return if any_leaving { Blocked::Leaving } else { Blocked::NoServer };
         }
-        // A server that is not backing off has already received the request.
-        let backoff_ends: Option<Vec<Instant>> =
-            usable.map(|candidate| self.backoffs.until(candidate.incarnation, now)).collect();
-        let first_end = backoff_ends.and_then(|backoff_ends| backoff_ends.into_iter().min());
-        first_end.map_or(Blocked::NoServer, |until| Blocked::BackingOff { until })
+        // A server that is not resting has already received the request.
+        let rest_ends: Option<Vec<Instant>> =
+            usable.map(|candidate| self.rest_periods.until(candidate.incarnation, now)).collect();
+        let first_end = rest_ends.and_then(|rest_ends| rest_ends.into_iter().min());
+        first_end.map_or(Blocked::NoServer, |until| Blocked::Resting { until })
     }
 }
--- a/lib/src/coordination/placement/status.rs
+++ b/lib/src/coordination/placement/status.rs
@@ -1,4 +1,4 @@
-//! State that servers report about themselves: cold, leaving, backing off, or replaced by another
+//! State that servers report about themselves: cold, leaving, resting, or replaced by another
 //! instance.
 
 use std::net::SocketAddr;
@@ -31,28 +31,30 @@
     /// changes in the store after the choice count until the request is sent.
     pub fn still_admits(&self, place: &Place, now: Instant) -> bool {
         let Some(candidate) = self.servers.get(&place.server) else { return false };
-        let is_backing_off = self.backoffs.until(place.incarnation, now).is_some();
-        candidate.incarnation == place.incarnation && candidate.is_usable() && !is_backing_off
+        let is_resting = self.rest_periods.until(place.incarnation, now).is_some();
+        candidate.incarnation == place.incarnation && candidate.is_usable() && !is_resting
     }
 
-    /// Records that a server asks this box to back off. Returns until when it applies.
-    pub fn record_backoff(
+    /// Records the rest period that a server requested from this box. Returns when it ends.
+    pub fn record_rest_period(
         &mut self,
         server: u64,
         duration: Duration,
         now: Instant,
     ) -> Option<Instant> {
-        self.backoffs.record(server, duration, now);
-        self.backoffs.until(server, now)
+        self.rest_periods.record(server, duration, now);
+        self.rest_periods.until(server, now)
     }
 
-    /// Number of servers that are backing off.
-    pub fn backing_off(&self, now: Instant) -> usize {
+    /// Number of servers that are resting.
+    pub fn resting(&self, now: Instant) -> usize {
         let incarnations = self.servers.values().map(|candidate| candidate.incarnation);
-        incarnations.filter(|incarnation| self.backoffs.until(*incarnation, now).is_some()).count()
+        incarnations
+            .filter(|incarnation| self.rest_periods.until(*incarnation, now).is_some())
+            .count()
     }
 
-    /// Retry delay of the next caller that finds all servers backing off until `until`.
+    /// Retry delay of the next caller that finds all servers resting until `until`.
     pub fn retry_after(&mut self, until: Instant, now: Instant) -> Duration {
         self.retry_spread.retry_after(until, now)
     }
@@ -68,7 +70,7 @@
     /// if that is 0. Returns whether the server has newly turned cold.
     pub fn record_cold_report(&mut self, server: &str, cold_left: Duration, now: Instant) -> bool {
         let Some(candidate) = self.servers.get_mut(server) else { return false };
-        let turned_cold = candidate.record_probe_answer(cold_left, now);
+        let turned_cold = candidate.record_probe_response(cold_left, now);
         if turned_cold {
             let failure_domain = candidate.state.server.failure_domain.clone();
             self.distrust_warm_reports(&failure_domain, now);
@@ -76,7 +78,7 @@
         turned_cold
     }
 
-    /// Records a report that a server made to another box at `at`; `life` identifies its
+    /// Records a report that a server made to another box at `at`; `incarnation` identifies its
     /// incarnation.
     pub fn record_peer_cold_report(&mut self, incarnation: u64, cold_left: Duration, at: Instant) {
         let reported =
@@ -118,11 +120,11 @@
         // All boxes are assumed to use a server equally.
         let (rate, sharers) = (self.cold_rate, self.sharers.max(1) as f64);
         let usable = self.servers.iter_mut().filter(|(_, candidate)| candidate.is_usable());
-        // A server that is backing off gets nothing, so it does not matter whether it is cold.
-        let backoffs = &self.backoffs;
+        // A server that is resting gets nothing, so it does not matter whether it is cold.
+        let rest_periods = &self.rest_periods;
         let probed = usable.filter(move |(_, candidate)| {
             candidate.state.cold_share.is_some()
-                && backoffs.until(candidate.incarnation, now).is_none()
+                && rest_periods.until(candidate.incarnation, now).is_none()
         });
         probed.map(move |(server, candidate)| ProbeTarget {
             server,
--- a/lib/src/coordination/placement/fullness.rs
+++ b/lib/src/coordination/placement/utilization.rs
@@ -20,32 +20,35 @@
     }
 
     /// Utilization of the servers. A server with a rate limit counts with the slots that this rate
-    /// occupies; a server that is backing off does not count.
-    pub fn fullness(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Utilization {
+    /// occupies; a server that is resting does not count.
+    pub fn utilization(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Utilization {
         let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
-        let mut fullness = Utilization::default();
+        let mut utilization = Utilization::default();
         for candidate in self.servers.values() {
-            if candidate.is_usable() && self.backoffs.until(candidate.incarnation, now).is_none() {
+            if candidate.is_usable()
+                && self.rest_periods.until(candidate.incarnation, now).is_none()
+            {
                 let slots = f64::from(candidate.state.server.slots);
                 let used_slots = throttles
                     .rate(candidate.incarnation)
                     .map(|rate| rate * REQUEST_DURATION.as_secs_f64());
-                fullness.in_flight += f64::from(candidate.load(loads, unreported_boxes).in_flight);
-                fullness.slots += used_slots.unwrap_or(slots).min(slots);
+                utilization.in_flight +=
+                    f64::from(candidate.load(loads, unreported_boxes).in_flight);
+                utilization.slots += used_slots.unwrap_or(slots).min(slots);
             }
         }
-        fullness
+        utilization
     }
 
     /// Whether no server currently accepts anything by its own statement: it is leaving, backing
     /// off, or its rate limit is used up.
     pub fn is_closed(&mut self, loads: &Loads, throttles: &Throttles, now: Instant) -> bool {
         let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
-        let (mut backing_off, mut throttled, mut saturated) = (false, false, false);
+        let (mut resting, mut throttled, mut saturated) = (false, false, false);
         for candidate in self.servers.values_mut().filter(|candidate| candidate.is_usable()) {
             let load = candidate.load(loads, unreported_boxes);
-            if self.backoffs.until(candidate.incarnation, now).is_some() {
-                backing_off = true;
+            if self.rest_periods.until(candidate.incarnation, now).is_some() {
+                resting = true;
             } else if !candidate.is_healthy(now) || !candidate.has_room(load, false, now) {
                 saturated = true;
             } else if throttles.has_capacity(candidate.incarnation, now) {
@@ -56,6 +59,6 @@
         }
         let any_leaving = || self.servers.values().any(Candidate::is_leaving);
         // Servers that are only busy may have capacity by the time a request arrives.
-        throttled || (!saturated && (backing_off || any_leaving()))
+        throttled || (!saturated && (resting || any_leaving()))
     }
 }
--- a/lib/src/coordination/policy.rs
+++ b/lib/src/coordination/policy.rs
@@ -22,7 +22,7 @@
     pub own: u32,
     /// Number of requests the server runs concurrently.
     pub slots: f64,
-    /// Smoothed time to first byte; `None` before the first answer.
+    /// Smoothed time to first byte; `None` before the first response.
     pub first_byte: Option<Duration>,
 }
 
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -22,7 +22,7 @@
 use super::token_bucket::TokenBucket;
 use rand::Rng;
 
-use super::backoff::Backoffs;
+use super::rest_period::RestPeriods;
 use super::retry_spread::RetrySpread;
 use super::server::Server;
 pub use super::server::ServerSnapshot;
@@ -46,7 +46,7 @@
 const MAX_SAVED_RETRIES: f64 = 10.0;
 /// Time after which a caller is asked to retry if no server can run its request.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Minimum wait from which a request is sent to another region: its answer has to be expected
+/// Minimum wait from which a request is sent to another region: its response has to be expected
 /// earlier than the local one by this much.
 const MIN_WAIT_TO_BORROW: Duration = Duration::from_millis(100);
 
@@ -57,7 +57,7 @@
     pub id: RequestId,
     /// Priority of the request.
     pub priority: Priority,
-    /// When the answer is no longer useful.
+    /// When the response is no longer useful.
     pub deadline: Instant,
     /// Bytes that the request takes up in the queue.
     pub bytes: usize,
@@ -129,7 +129,7 @@
     service_time: Option<Duration>,
     retry_budget: TokenBucket,
     boxes: usize,
-    rests: Backoffs,
+    rest_periods: RestPeriods,
     returns: RetrySpread,
 }
 
@@ -157,7 +157,7 @@
             service_time: None,
             retry_budget: TokenBucket::new(0.0, MAX_SAVED_RETRIES, now),
             boxes: limits.boxes.max(1),
-            rests: Backoffs::default(),
+            rest_periods: RestPeriods::default(),
             returns: RetrySpread::default(),
         }
     }
@@ -186,8 +186,8 @@
     }
 
     /// Adds slots lent by another region.
-    pub fn add_credit(&mut self, region: RegionId, slots: u32, life: Duration, now: Instant) {
-        self.borrower.receive(region, slots, life, now);
+    pub fn add_credit(&mut self, region: RegionId, slots: u32, ttl: Duration, now: Instant) {
+        self.borrower.receive(region, slots, ttl, now);
     }
 
     /// Returns the estimated number of free slots in this region.
@@ -272,7 +272,7 @@
     /// server that rests until the request's deadline doesn't count.
     fn may_get_server(&self, arrival: &Arrival, now: Instant) -> bool {
         let available_in_time = |server: &Server| {
-            self.rests.until(server.hash, now).is_none_or(|until| until < arrival.deadline)
+            self.rest_periods.until(server.hash, now).is_none_or(|until| until < arrival.deadline)
         };
         let mut up = self
             .servers
@@ -296,7 +296,7 @@
     fn first_rest_end(&self, now: Instant) -> Option<Instant> {
         let up = self.servers.values().filter(|server| server.is_available());
         let ends: Option<Vec<Instant>> =
-            up.map(|server| self.rests.until(server.hash, now)).collect();
+            up.map(|server| self.rest_periods.until(server.hash, now)).collect();
         ends?.into_iter().min()
     }
 
@@ -325,8 +325,8 @@
         let mut candidates = Vec::with_capacity(self.servers.len());
         let (mut load, mut slots) = (0.0, 0.0);
         for (id, server) in &self.servers {
-            let rests = !self.rests.admits(server.hash, server.in_flight, now);
-            if !server.is_available() || server.health.is_ejected(now) || rests {
+            let rest_periods = !self.rest_periods.admits(server.hash, server.in_flight, now);
+            if !server.is_available() || server.health.is_ejected(now) || rest_periods {
                 continue;
             }
             let candidate = server.candidate(id, now);
@@ -387,7 +387,7 @@
         let Some(server) = self.servers.get_mut(id) else { return };
         match outcome {
             Outcome::Answered { first_byte, total } => {
-                server.record_answer(first_byte, now);
+                server.record_response(first_byte, now);
                 self.service_time = Some(smooth(self.service_time, total));
             }
             Outcome::Failed => {
@@ -397,7 +397,7 @@
             }
             // A server that asks for rest has not failed.
             Outcome::Rests(rest) => {
-                self.rests.record(server.hash, rest, now);
+                self.rest_periods.record(server.hash, rest, now);
                 log::info!("event=server_rests server={id} rest_ms={}", rest.as_millis());
             }
             Outcome::Cancelled => {}
--- a/lib/src/coordination/presence.rs
+++ b/lib/src/coordination/presence.rs
@@ -14,7 +14,7 @@
 use crate::protocol::fleet::BoxRecord;
 
 /// How long a leaving box may still be named to callers: it accepts requests for 2.5 s after its
-/// announcement, and callers cache the answer for one more second.
+/// announcement, and callers cache the response for one more second.
 const ACCEPTS_AFTER_LEAVING: Duration = Duration::from_millis(1500);
 
 /// How long a leaving announcement applies: the longest stop and a start. Incarnations follow the
@@ -22,9 +22,9 @@
 /// announcement expires.
 const LEAVING_TTL: Duration = Duration::from_secs(15);
 
-/// How long a box counts as heard after its latest datagram. Each box of the region gets five a
+/// How long a datagram from a box counts as recent. Each box of the region gets five a
 /// second; some have been lost by then.
-const HEARD_TTL: Duration = Duration::from_secs(2);
+const DATAGRAM_TTL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct Presence {
     announcements: HashMap<u64, Announcement>,
-    heard_at: HashMap<u64, Instant>,
+    received_at: HashMap<u64, Instant>,
 }
 
 /// Hash of a box's name, which identifies it in datagrams.
@@ -71,18 +71,18 @@
 
     /// Records that a datagram of a box has arrived.
     pub fn record_datagram(&mut self, sender: u64, now: Instant) {
-        self.heard_at.insert(sender, now);
+        self.received_at.insert(sender, now);
     }
 
     /// Whether a datagram of a box has arrived recently.
-    pub fn was_heard_recently(&self, name: &str, now: Instant) -> bool {
-        let at = self.heard_at.get(&box_hash(name));
-        at.is_some_and(|at| now < *at + HEARD_TTL)
+    pub fn has_recent_datagram(&self, name: &str, now: Instant) -> bool {
+        let at = self.received_at.get(&box_hash(name));
+        at.is_some_and(|at| now < *at + DATAGRAM_TTL)
     }
 
     /// Drops expired announcements.
     pub fn expire(&mut self, now: Instant) {
-        self.heard_at.retain(|_, at| now < *at + HEARD_TTL);
+        self.received_at.retain(|_, at| now < *at + DATAGRAM_TTL);
         let is_valid = |announcement: &Announcement| {
             announcement.leaving_since.is_none_or(|since| now < since + LEAVING_TTL)
         };
--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -69,8 +69,8 @@
 /// How long each datagram repeats a new crash or verdict: five or more reports, of which some are
 /// lost.
 const NEWS_DURATION: Duration = Duration::from_millis(1200);
-/// Maximum number of crashes in a datagram, some 35 bytes each: a box may lose 60 answers with one
-/// server.
+/// Maximum number of crashes in a datagram, some 35 bytes each: a box may lose 60 responses with
+/// one server.
 const MAX_CRASHES_PER_REPORT: usize = 128;
 /// Maximum number of new verdicts in a datagram.
 const MAX_NEW_VERDICTS_PER_REPORT: usize = 32;
--- a/lib/src/coordination/quarantine/evidence.rs
+++ b/lib/src/coordination/quarantine/evidence.rs
@@ -27,7 +27,7 @@
     pub caller: CallerHash,
     /// When the request was sent to the server.
     pub sent_at: Instant,
-    /// When the answer broke off.
+    /// When the response broke off.
     pub crashed_at: Instant,
     /// Whether this box observed the crash.
     pub observed_here: bool,
--- a/lib/src/coordination/quarantine/wire.rs
+++ b/lib/src/coordination/quarantine/wire.rs
@@ -16,7 +16,7 @@
     /// Time since the request was sent to the server, milliseconds.
     #[prost(uint32, tag = "5")]
     pub sent_ms: u32,
-    /// Time since its answer broke off, milliseconds.
+    /// Time since its response broke off, milliseconds.
     #[prost(uint32, tag = "4")]
     pub ended_ms: u32,
 }
--- a/lib/src/coordination/queue.rs
+++ b/lib/src/coordination/queue.rs
@@ -23,7 +23,7 @@
     pub id: RequestId,
     /// Priority of the request.
     pub priority: Priority,
-    /// When the answer is no longer useful.
+    /// When the response is no longer useful.
     pub deadline: Instant,
     /// Size of the request in bytes.
     pub bytes: usize,
--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -54,7 +54,7 @@
 const USAGE_COMPLETE_AFTER: Duration = Duration::from_millis(600);
 /// Age at which the reported admission rate of a region is ignored: the region admits nothing now,
 /// or is about to count as unreachable.
-const REGION_USAGE_LIFETIME: Duration = Duration::from_secs(2);
+const REGION_USAGE_TTL: Duration = Duration::from_secs(2);
 /// How often an unchanged counter is reported again, because some datagrams are lost.
 const USAGE_REPEATS: u32 = 1;
 /// Maximum number of teams in one report, at 25 bytes each, so that the report of 480 teams fits in
@@ -250,7 +250,7 @@
             account.refill(now);
             let reachable = self.regions.values().filter(|source| !source.is_unreachable(now));
             let usages = reachable.filter_map(|source| source.usage_by_team.get(team));
-            let recent = usages.filter(|usage| now < usage.at + REGION_USAGE_LIFETIME);
+            let recent = usages.filter(|usage| now < usage.at + REGION_USAGE_TTL);
             account.other_regions_admitted = recent.map(|usage| usage.admitted).sum();
         }
     }
--- a/lib/src/coordination/quota/window.rs
+++ b/lib/src/coordination/quota/window.rs
@@ -37,9 +37,9 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        let lifetime = self.length + self.slice();
+        let ttl = self.length + self.slice();
         while let Some((at, units)) = self.slices.front().copied() {
-            if now < at + lifetime {
+            if now < at + ttl {
                 break;
             }
             self.sum -= units;
@@ -66,14 +66,14 @@
 
     /// Returns the time until `units` units have left the window.
     pub fn until_gone(&self, units: f64, now: Instant) -> Duration {
-        let lifetime = self.length + self.slice();
+        let ttl = self.length + self.slice();
         let mut gone = 0.0;
         for (at, in_slice) in &self.slices {
             gone += in_slice;
             if gone >= units {
-                return (*at + lifetime).saturating_duration_since(now);
+                return (*at + ttl).saturating_duration_since(now);
             }
         }
-        lifetime
+        ttl
     }
 }
--- a/lib/src/coordination/regions.rs
+++ b/lib/src/coordination/regions.rs
@@ -23,7 +23,7 @@
 /// Maximum share of a box's requests that is sent to other regions.
 const MAX_REMOTE_SHARE: f64 = 0.6;
 /// Age at which a report is ignored: several reports have been lost by then.
-const REPORT_LIFETIME: Duration = Duration::from_secs(2);
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Requests and slots of the servers of a service in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -69,8 +69,7 @@
     /// Returns whether a service may have room in another region, according to the reports.
     /// Requests that would be refused there after a network latency of 110 ms are not sent.
     pub fn may_have_room(&self, service: u64, region: &str, now: Instant) -> bool {
-        let reported =
-            self.closed_services.get(region).filter(|(_, at)| now < *at + REPORT_LIFETIME);
+        let reported = self.closed_services.get(region).filter(|(_, at)| now < *at + REPORT_TTL);
         reported.is_none_or(|(services, _)| !services.contains(&service))
     }
 
@@ -87,7 +86,7 @@
             return None;
         }
         let fresh = self.reported.iter().filter(|((name, region), (_, at))| {
-            *name == service && now < *at + REPORT_LIFETIME && allowed(region)
+            *name == service && now < *at + REPORT_TTL && allowed(region)
         });
         let (region, other) = fresh
             .map(|((_, region), (utilization, _))| (region, utilization))
--- a/lib/src/coordination/backoff.rs
+++ b/lib/src/coordination/rest_period.rs
@@ -1,8 +1,8 @@
-//! Servers that refused a request and asked the box to back off.
+//! Rest periods: times in which a server that refused a request asked this box to send it none.
 //!
-//! A back-off applies only to the box whose request was refused. Nothing is sent until it ends;
+//! A rest period applies only to the box whose request was refused. Nothing is sent until it ends;
 //! then a few requests show whether the server accepts any again, and the number grows quickly. A
-//! server that is backing off counts as neither dead nor failing.
+//! server that is resting counts as neither dead nor failing.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,33 +10,34 @@
 
 use super::interrupted::ServerIncarnation;
 
-/// Longest back-off; a server that needs more asks again when it gets the next request.
-const MAX_BACKOFF: Duration = Duration::from_secs(3600);
-/// Requests in flight allowed at the end of a back-off. With only one, a lost answer would leave
-/// the server unused for longer.
+/// Maximum length of a rest period; a server that needs more asks again when it gets the next
+/// request.
+const MAX_REST_PERIOD: Duration = Duration::from_secs(3600);
+/// Requests in flight allowed at the end of a rest period. With only one, a lost response would
+/// leave the server unused for longer.
 const INITIAL_REQUESTS: u32 = 2;
-/// Time in which that number doubles, unless the server asks for another back-off: an engine with
-/// 64 slots is in full use after a second.
+/// Time in which that number doubles, unless the server asks for another rest period: an engine
+/// with 64 slots is in full use after a second.
 const DOUBLING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after the end of a back-off from which the number of requests is unlimited.
+/// Time after the end of a rest period from which the number of requests is unlimited.
 const RAMP_UP: Duration = Duration::from_millis(1500);
 
-/// Back-offs that servers asked this box for, by server incarnation.
+/// Rest periods that servers requested from this box, by server incarnation.
 #[derive(Debug, Default)]
-pub struct Backoffs {
+pub struct RestPeriods {
     until: HashMap<ServerIncarnation, Instant>,
 }
 
-impl Backoffs {
-    /// Records a back-off. Of several ones, the one that ends last applies.
+impl RestPeriods {
+    /// Records a rest period. If one is already recorded, the one that ends last applies.
     pub fn record(&mut self, server: ServerIncarnation, duration: Duration, now: Instant) {
         self.until.retain(|_, until| now < *until + RAMP_UP);
-        let until = now + duration.min(MAX_BACKOFF);
+        let until = now + duration.min(MAX_REST_PERIOD);
         let existing = self.until.entry(server).or_insert(until);
         *existing = until.max(*existing);
     }
 
-    /// When a server's back-off ends, if it has not yet.
+    /// When a server's rest period ends, if it has not yet.
     pub fn until(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
         self.until.get(&server).copied().filter(|until| now < *until)
     }
--- a/lib/src/coordination/retry_spread.rs
+++ b/lib/src/coordination/retry_spread.rs
@@ -16,7 +16,7 @@
 /// are.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// Callers that were told to retry after the same moment.
+/// Callers whose retry delay ends after the same moment.
 #[derive(Debug, Default)]
 pub struct RetrySpread {
     available_at: Option<Instant>,
--- a/lib/src/coordination/rollout.rs
+++ b/lib/src/coordination/rollout.rs
@@ -1,7 +1,7 @@
 //! The configuration version in force on a box.
 //!
 //! The version only increases. A box that starts queries the store and every peer of its region
-//! that it can find, and becomes ready with the newest of the answers that arrive in time. If the
+//! that it can find, and becomes ready with the newest of the responses that arrive in time. If the
 //! store is unavailable, the peers are enough.
 
 use std::time::Duration;
@@ -35,7 +35,7 @@
 
 impl Rollout {
     /// Creates the state of a box without a configuration. Once it has one, it waits for slow
-    /// answers until `wait` has passed since `now`.
+    /// responses until `wait` has passed since `now`.
     pub fn new(now: Instant, wait: Duration) -> Rollout {
         Rollout {
             version: 0,
--- a/lib/src/coordination/server.rs
+++ b/lib/src/coordination/server.rs
@@ -37,7 +37,7 @@
     other_load_at: Option<Instant>,
     pub(super) health: Health,
     first_byte: Option<Duration>,
-    /// Hash of the server's id, for the choice of home servers and for back-offs.
+    /// Hash of the server's id, for the choice of home servers and for rest periods.
     pub(super) hash: u64,
 }
 
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Records an answer.
-    pub(super) fn record_answer(&mut self, first_byte: Duration, now: Instant) {
+    /// Records a response.
+    pub(super) fn record_response(&mut self, first_byte: Duration, now: Instant) {
         self.health.record_success(now);
         self.first_byte = Some(smooth(self.first_byte, first_byte));
     }
--- a/lib/src/coordination/throttle.rs
+++ b/lib/src/coordination/throttle.rs
@@ -1,7 +1,7 @@
 //! Limits for backend servers that state how many requests per second they accept from all boxes
 //! together.
 //!
-//! An overloaded server states the rate in its answers for as long as it applies. Each box of the
+//! An overloaded server states the rate in its responses for as long as it applies. Each box of the
 //! region keeps an account of the requests that remain under that rate. The box subtracts its own
 //! requests at once, and the requests of other boxes when they report them, some tenths of a second
 //! later. Until then all boxes could send at the same time: with a hundred boxes, a rate of three
@@ -25,8 +25,8 @@
 mod account;
 mod demand;
 mod exchange;
-pub mod messages;
 mod region;
+pub mod wire;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -44,16 +44,16 @@
 use self::region::PeerTotals;
 use super::rendezvous;
 
-/// Identifies one incarnation of a server.
-pub type ServerLife = u64;
-/// Identifies a service.
+/// Hash that identifies one incarnation of a server, as in [`super::interrupted`].
+pub type ServerIncarnation = u64;
+/// Hash that identifies a service.
 pub type ServiceHash = u64;
 
 /// Time between the reports of a box.
 const REPORT_PERIOD: Duration = Duration::from_millis(200);
 /// Time after which an unconfirmed rate expires. A server that gets requests confirms its rate far
 /// more often.
-const RATE_LIFETIME: Duration = Duration::from_secs(600);
+const RATE_TTL: Duration = Duration::from_secs(600);
 /// Time without a report after which a box counts as unreachable, if each report is sent to all
 /// boxes: some reports have been lost by then.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(1500);
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoredRate {
     /// The incarnation of the server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// The service of the server.
     pub service: ServiceHash,
     /// Requests per second; `None` if the server no longer states a rate.
@@ -93,7 +93,7 @@
 pub struct Throttles {
     /// Number of reports after which each box of the region has received one.
     rounds: u32,
-    servers: HashMap<ServerLife, Account>,
+    servers: HashMap<ServerIncarnation, Account>,
     services: HashMap<ServiceHash, Demand>,
     boxes: HashMap<u64, Peer>,
     /// Number of reports composed. Unchanged data is reported in rotation.
@@ -129,11 +129,11 @@
         UNREACHABLE_AFTER.max(self.propagation_time() * UNREACHABLE_ROUNDS)
     }
 
-    /// Records the rate in a server's answer to this box, or that the answer states none. Returns
-    /// whether the other boxes must be told at once.
+    /// Records the rate in a server's response to this box, or that the response states none.
+    /// Returns whether to notify the other boxes at once.
     pub fn record_rate(
         &mut self,
-        server: ServerLife,
+        server: ServerIncarnation,
         service: ServiceHash,
         rate: Option<f64>,
         now: Instant,
@@ -143,7 +143,7 @@
 
     fn update_rate(
         &mut self,
-        server: ServerLife,
+        server: ServerIncarnation,
         service: ServiceHash,
         stated: StatedRate,
         now: Instant,
@@ -175,7 +175,7 @@
     }
 
     /// Returns the rate that a server states, if any.
-    pub fn rate(&self, server: ServerLife) -> Option<f64> {
+    pub fn rate(&self, server: ServerIncarnation) -> Option<f64> {
         self.servers.get(&server)?.stated.rate
     }
 
@@ -196,7 +196,7 @@
 
     /// Returns whether a request may be sent to a server now. `luck` is drawn evenly from 0 to 1
     /// for each request and server.
-    pub fn admits(&self, server: ServerLife, luck: f64, now: Instant) -> bool {
+    pub fn admits(&self, server: ServerIncarnation, luck: f64, now: Instant) -> bool {
         let Some(account) = self.servers.get(&server) else { return true };
         let remaining = account.remaining(now, self.propagation_time());
         let demand = self.services.get(&account.service);
@@ -205,13 +205,13 @@
     }
 
     /// Returns whether a whole request remains for a server, or the server states no rate.
-    pub fn has_capacity(&self, server: ServerLife, now: Instant) -> bool {
+    pub fn has_capacity(&self, server: ServerIncarnation, now: Instant) -> bool {
         let account = self.servers.get(&server);
         account.is_none_or(|account| account.remaining(now, self.propagation_time()) >= 1.0)
     }
 
     /// Records that a request is sent to a server.
-    pub fn record_sent(&mut self, server: ServerLife, now: Instant) {
+    pub fn record_sent(&mut self, server: ServerIncarnation, now: Instant) {
         let (propagation_time, rounds) = (self.propagation_time(), self.rounds);
         let Some(account) = self.servers.get_mut(&server) else { return };
         account.charge(1.0, now, propagation_time);
@@ -228,7 +228,7 @@
     pub fn retry_after(
         &mut self,
         service: ServiceHash,
-        servers: impl Iterator<Item = ServerLife>,
+        servers: impl Iterator<Item = ServerIncarnation>,
         now: Instant,
     ) -> Duration {
         let rates = servers.filter_map(|server| self.servers.get(&server)?.rate());
@@ -278,7 +278,7 @@
         let servers = &mut self.servers;
         let mut expired = HashSet::new();
         servers.retain(|server, account| {
-            let keep = now < account.stated.at + RATE_LIFETIME;
+            let keep = now < account.stated.at + RATE_TTL;
             keep || !expired.insert(*server)
         });
         if expired.is_empty() {
@@ -314,13 +314,13 @@
     /// the store contains. The boxes write one after the other, in the order of their rank for the
     /// server, until the store contains the rate.
     pub fn rates_to_write(&self, own: u64, now: Instant) -> Vec<StoredRate> {
-        let is_due = |server: ServerLife, account: &Account| {
+        let is_due = |server: ServerIncarnation, account: &Account| {
             let rank = self.rank(own, server);
             let delay = WRITE_INTERVAL * (rank as u32 + 1);
             rank < MAX_WRITERS && account.unstored_since.is_some_and(|since| now >= since + delay)
         };
         let due = self.servers.iter().filter(|(server, account)| is_due(**server, account));
-        let stored_rate = |(server, account): (&ServerLife, &Account)| StoredRate {
+        let stored_rate = |(server, account): (&ServerIncarnation, &Account)| StoredRate {
             server: *server,
             service: account.service,
             rate: account.stated.rate,
@@ -329,7 +329,7 @@
     }
 
     /// Returns the number of boxes that come before this one when one box has to act for a server.
-    fn rank(&self, own: u64, server: ServerLife) -> usize {
+    fn rank(&self, own: u64, server: ServerIncarnation) -> usize {
         let own = rendezvous::mix(own, server);
         self.boxes.keys().filter(|other| rendezvous::mix(**other, server) > own).count()
     }
--- a/lib/src/coordination/throttle/account.rs
+++ b/lib/src/coordination/throttle/account.rs
@@ -16,7 +16,7 @@
 /// seconds, the server then got 0.81 of its rate for 16 s.
 const MAX_DEBT_SECONDS: f64 = 2.0;
 /// Factor up to which the rate in the store may differ from the stated rate without being
-/// rewritten. Boxes that start get the exact rate with their first answers.
+/// rewritten. Boxes that start get the exact rate with their first responses.
 const STORED_RATE_TOLERANCE: f64 = 1.5;
 /// Relative decrease of a rate from which it is reported at once. Smaller changes wait for the next
 /// report.
@@ -38,7 +38,7 @@
     Unchanged,
     /// A small difference: the next report is soon enough.
     Minor,
-    /// A large difference: the other boxes must be told at once.
+    /// A large difference: the other boxes are notified at once.
     Major,
 }
 
--- a/lib/src/coordination/throttle/exchange.rs
+++ b/lib/src/coordination/throttle/exchange.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::RATE_LIFETIME;
-use super::ServerLife;
+use super::RATE_TTL;
+use super::ServerIncarnation;
 use super::ServiceHash;
 use super::Throttles;
 use super::account::Account;
 use super::account::RateChange;
 use super::account::StatedRate;
 use super::demand::DemandRate;
-use super::messages;
-use super::messages::SentCount;
-use super::messages::ServerRate;
-use super::messages::ThrottleReport;
 use super::region::Peer;
+use super::wire;
+use super::wire::SentCount;
+use super::wire::ServerRate;
+use super::wire::ThrottleReport;
 use crate::coordination::quota::ReportId;
 
 /// Number of first reports of a box in which all requests that it has sent count as new to a box
@@ -39,7 +39,7 @@
     /// Composes the next report to the other boxes of the region.
     pub fn next_report(&mut self, now: Instant) -> ThrottleReport {
         let mut report = ThrottleReport::default();
-        let mut servers: Vec<ServerLife> = self.servers.keys().copied().collect();
+        let mut servers: Vec<ServerIncarnation> = self.servers.keys().copied().collect();
         servers.sort_unstable();
         for server in &servers {
             let Some(account) = self.servers.get_mut(server) else { continue };
@@ -69,7 +69,7 @@
         let service_demand = |service: &ServiceHash| {
             let own =
                 self.services.get(service).map_or(DemandRate::default(), |demand| demand.own(now));
-            messages::ServiceDemand {
+            wire::ServiceDemand {
                 service: *service,
                 per_minute: (own.recent * 60.0).ceil() as u32,
                 usual_per_minute: (own.usual * 60.0).ceil() as u32,
@@ -118,7 +118,7 @@
             peer.counts.clear();
         }
         (peer.incarnation, peer.number, peer.last_report_at) = (incarnation, number, now);
-        let demand_rate = |reported: &messages::ServiceDemand| DemandRate {
+        let demand_rate = |reported: &wire::ServiceDemand| DemandRate {
             recent: f64::from(reported.per_minute) / 60.0,
             usual: f64::from(reported.usual_per_minute) / 60.0,
         };
@@ -147,7 +147,7 @@
 
     fn merge_rate(&mut self, reported: &ServerRate, now: Instant) {
         let age = Duration::from_millis(u64::from(reported.said_ms));
-        let Some(at) = now.checked_sub(age).filter(|_| age < RATE_LIFETIME) else { return };
+        let Some(at) = now.checked_sub(age).filter(|_| age < RATE_TTL) else { return };
         let rate = reported.rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
         let current = self.servers.get(&reported.server).map(|account| account.stated);
         if current
@@ -176,7 +176,7 @@
     }
 }
 
-fn server_rate(server: ServerLife, account: &Account, now: Instant) -> ServerRate {
+fn server_rate(server: ServerIncarnation, account: &Account, now: Instant) -> ServerRate {
     let said_ms = now.saturating_duration_since(account.stated.at).as_millis();
     ServerRate {
         server,
--- a/lib/src/coordination/throttle/region.rs
+++ b/lib/src/coordination/throttle/region.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::ServerLife;
+use super::ServerIncarnation;
 use super::ServiceHash;
 use super::demand::DemandRate;
 
@@ -21,7 +21,7 @@
     /// When the last report arrived.
     pub last_report_at: Instant,
     /// Number of requests that the box has sent, by server.
-    pub counts: HashMap<ServerLife, u64>,
+    pub counts: HashMap<ServerIncarnation, u64>,
     /// Demand on the box, by service.
     pub demands: HashMap<ServiceHash, DemandRate>,
 }
--- a/lib/src/coordination/throttle/messages.rs
+++ b/lib/src/coordination/throttle/wire.rs
@@ -1,6 +1,6 @@
 //! Messages between the boxes of a region about servers that state a rate.
 
-use super::ServerLife;
+use super::ServerIncarnation;
 use super::ServiceHash;
 
 /// The rate that a server stated last.
@@ -8,7 +8,7 @@
 pub struct ServerRate {
     /// The incarnation of the server.
     #[prost(fixed64, tag = "1")]
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// The service of the server.
     #[prost(fixed64, tag = "2")]
     pub service: ServiceHash,
@@ -26,7 +26,7 @@
 pub struct SentCount {
     /// The incarnation of the server.
     #[prost(fixed64, tag = "1")]
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Number of requests. It only increases within an incarnation of the sender.
     #[prost(uint64, tag = "2")]
     pub sent: u64,
--- a/lib/src/coordination/ticket.rs
+++ b/lib/src/coordination/ticket.rs
@@ -2,8 +2,8 @@
 //!
 //! A ticket names the box that issued it and the incarnation of that box. Only that incarnation
 //! runs the request, and it remembers in memory that it did. Once the incarnation is gone, no box
-//! runs the request: the answer is "unknown", never a second run. A ticket has a lifetime, measured
-//! on the owner's clock, after which the owner may forget it.
+//! runs the request: the response is "unknown", never a second run. A ticket has a time to live,
+//! measured on the owner's clock, after which the owner may forget it.
 
 use std::fmt;
 use std::time::Duration;
--- a/lib/src/coordination/unlisted.rs
+++ b/lib/src/coordination/unlisted.rs
@@ -1,9 +1,9 @@
 //! Boxes that send datagrams though the copy of the store's state does not list them.
 //!
-//! A box that loses the store before its record is written appears in no box's state. Nobody sends
+//! A box that loses the store before its record is written appears in no box's state. No box sends
 //! it anything, and two such boxes in a region would each use a limit in full. A box that receives
-//! datagrams from an unlisted box answers it and names it in its own datagrams, so that unlisted
-//! boxes learn of each other.
+//! datagrams from an unlisted box replies to it and names that box in its own datagrams, so that
+//! unlisted boxes learn of each other.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -13,8 +13,8 @@
 
 use crate::protocol::RegionId;
 
-/// How long a box is kept after any box has last heard it: fifty datagrams, some of which go to
-/// randomly chosen boxes of other regions.
+/// How long a box is kept after any box last received a datagram from it: fifty datagrams, some of
+/// which go to randomly chosen boxes of other regions.
 const NEIGHBOR_TTL: Duration = Duration::from_secs(10);
 /// Time after which a box that is still unlisted is named. When a whole fleet starts, the store
 /// lists all of it by then, and none need be named.
@@ -45,86 +45,88 @@
     /// Address for datagrams.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Time since any box last heard it, milliseconds.
+    /// Time since any box last received a datagram from it, milliseconds.
     #[prost(uint32, tag = "4")]
     pub heard_ms: u32,
 }
 
 #[derive(Debug)]
-struct HeardNeighbor {
+struct NeighborEntry {
     neighbor: Neighbor,
-    /// When the box was first heard.
-    first_heard_at: Instant,
-    /// When the box was last heard.
-    last_heard_at: Instant,
+    /// When a datagram from the box was first received.
+    first_received_at: Instant,
+    /// When a datagram from the box was last received.
+    last_received_at: Instant,
 }
 
-/// Boxes that are heard and not listed by the store.
+/// Boxes whose datagrams are received though the store does not list them.
 #[derive(Debug, Default)]
 pub struct Unlisted {
     listed: HashSet<u64>,
-    heard: HashMap<u64, HeardNeighbor>,
+    neighbors: HashMap<u64, NeighborEntry>,
 }
 
 impl Unlisted {
     /// Sets the boxes that the store lists, this box included.
     pub fn set_listed(&mut self, listed: HashSet<u64>) {
-        self.heard.retain(|hash, _| !listed.contains(hash));
+        self.neighbors.retain(|hash, _| !listed.contains(hash));
         self.listed = listed;
     }
 
-    /// Records that a box was heard at that time, by this box or by one that named it.
-    pub fn record(&mut self, neighbor: Neighbor, last_heard_at: Instant) {
+    /// Records a datagram from `neighbor` that was received at `last_received_at`, by this box or
+    /// by a box that named it.
+    pub fn record(&mut self, neighbor: Neighbor, last_received_at: Instant) {
         if self.listed.contains(&neighbor.box_hash) {
             return;
         }
-        let previous = self.heard.get(&neighbor.box_hash);
-        let first_heard_at = previous.map_or(last_heard_at, |previous| previous.first_heard_at);
-        if previous.is_none_or(|previous| previous.last_heard_at < last_heard_at) {
-            self.heard.insert(
+        let previous = self.neighbors.get(&neighbor.box_hash);
+        let first_received_at =
+            previous.map_or(last_received_at, |previous| previous.first_received_at);
+        if previous.is_none_or(|previous| previous.last_received_at < last_received_at) {
+            self.neighbors.insert(
                 neighbor.box_hash,
-                HeardNeighbor { neighbor, first_heard_at, last_heard_at },
+                NeighborEntry { neighbor, first_received_at, last_received_at },
             );
         }
     }
 
-    /// Drops boxes that have not been heard recently.
+    /// Drops boxes without a recent datagram.
     pub fn expire(&mut self, now: Instant) {
-        self.heard.retain(|_, heard| now < heard.last_heard_at + NEIGHBOR_TTL);
+        self.neighbors.retain(|_, entry| now < entry.last_received_at + NEIGHBOR_TTL);
     }
 
     /// The unlisted boxes.
     pub fn neighbors(&self) -> impl Iterator<Item = &Neighbor> {
-        self.heard.values().map(|heard| &heard.neighbor)
+        self.neighbors.values().map(|entry| &entry.neighbor)
     }
 
-    /// Addresses of boxes of other regions that were heard after `since` and have been unlisted for
-    /// a while; this box answers them.
-    pub fn remote_heard_after(
+    /// Addresses of boxes of other regions whose datagrams arrived after `since` and that have been
+    /// unlisted for a while; this box replies to them.
+    pub fn remote_received_after(
         &self,
         since: Instant,
         region: &str,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        let heard = self.heard.values().filter(|heard| heard.last_heard_at > since);
-        let unlisted = heard.filter(|heard| now >= heard.first_heard_at + LISTING_GRACE);
-        let remote = unlisted.filter(|heard| heard.neighbor.region != region);
-        remote.map(|heard| heard.neighbor.address).collect()
+        let recent = self.neighbors.values().filter(|entry| entry.last_received_at > since);
+        let unlisted = recent.filter(|entry| now >= entry.first_received_at + LISTING_GRACE);
+        let remote = unlisted.filter(|entry| entry.neighbor.region != region);
+        remote.map(|entry| entry.neighbor.address).collect()
     }
 
     /// The boxes to name in a datagram, latest first. Each has an age, so that boxes which name a
     /// box to each other do not keep it forever.
     pub fn neighbor_records(&self, now: Instant) -> Vec<NeighborRecord> {
         let unlisted =
-            self.heard.values().filter(|heard| now >= heard.first_heard_at + LISTING_GRACE);
-        let mut newest: Vec<&HeardNeighbor> = unlisted.collect();
-        newest.sort_by_key(|heard| std::cmp::Reverse(heard.last_heard_at));
+            self.neighbors.values().filter(|entry| now >= entry.first_received_at + LISTING_GRACE);
+        let mut newest: Vec<&NeighborEntry> = unlisted.collect();
+        newest.sort_by_key(|entry| std::cmp::Reverse(entry.last_received_at));
         let records = newest.into_iter().take(MAX_NAMED).map(
-            |HeardNeighbor { neighbor, last_heard_at, .. }| NeighborRecord {
+            |NeighborEntry { neighbor, last_received_at, .. }| NeighborRecord {
                 box_hash: neighbor.box_hash,
                 region: neighbor.region.clone(),
                 address: neighbor.address.to_string(),
-                heard_ms: now.saturating_duration_since(*last_heard_at).as_millis() as u32,
+                heard_ms: now.saturating_duration_since(*last_received_at).as_millis() as u32,
             },
         );
         records.collect()
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -165,7 +165,7 @@
             let lender = self.lenders.entry(id.clone()).or_default();
             let slots = lender.lend(share, share.div_ceil(2), now);
             if slots > 0 {
-                let ttl = crate::coordination::lending::CREDIT_LIFETIME;
+                let ttl = crate::coordination::lending::CREDIT_TTL;
                 credits.push(Credit { pool: id.clone(), slots, ttl });
             }
         }
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -33,8 +33,8 @@
 use super::shared::SharedState;
 use super::shared::lock;
 use crate::coordination::ledger::Admission;
-use crate::coordination::ledger::Answer as KeptResponse;
 use crate::coordination::ledger::Conclusion;
+use crate::coordination::ledger::KeptResponse;
 use crate::coordination::ledger::Key;
 use crate::coordination::ledger::Ledger;
 use crate::coordination::ledger::LedgerLimits;
@@ -54,7 +54,7 @@
 
 /// Bounds of the ledger.
 pub const LEDGER_BOUNDS: LedgerLimits =
-    LedgerLimits { max_entries: 100_000, max_answer_bytes: 64 << 20 };
+    LedgerLimits { max_entries: 100_000, max_response_bytes: 64 << 20 };
 /// Maximum size of a response that is kept for replay.
 const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
 /// Time to live of a claim in the store.
@@ -192,7 +192,7 @@
             shared.counters.increment(Counter::Replayed);
             Ok(replay(shared, kept))
         }
-        Admission::AnswerDropped => {
+        Admission::ResponseDropped => {
             let message = "the request ran; its answer is no longer kept";
             Err(Failure::new(ErrorKind::AlreadyRan, message))
         }
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -36,13 +36,13 @@
 use crate::transport::backend::PooledBody;
 use crate::transport::timer;
 
-/// Maximum size in bytes of an answer that is buffered before it is forwarded.
+/// Maximum size in bytes of a response that is buffered before it is forwarded.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 /// Safety margin subtracted from the announced idle time of a connection, for the time that
 /// requests take to the server.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// An answer to forward to the caller.
+/// A response to forward to the caller.
 pub struct Reply<A: Adapter> {
     /// The HTTP status.
     pub status: StatusCode,
@@ -52,7 +52,7 @@
     pub payload: Payload<A>,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Payload<A: Adapter> {
     /// A complete body.
     Whole(Bytes),
@@ -62,7 +62,7 @@
 
 /// The outcome of one send.
 pub enum SendOutcome<A: Adapter> {
-    /// There is an answer.
+    /// There is a response.
     Answered(Reply<A>),
     /// The request was not sent, so it did not run.
     Unsent(Failure),
@@ -84,7 +84,7 @@
     let request = job.for_server(&shared.adapter, &reservation.place.server, last_event);
     shared.counters.increment(Counter::Attempts);
     // A request that may run only once uses a new connection. On a reused one, remains of an
-    // earlier answer could be taken for its answer.
+    // earlier response could be taken for its response.
     let new_connection = !job.route.repeatable();
     let address = reservation.place.address;
     let server = reservation.place.server.clone();
@@ -124,7 +124,7 @@
     }
 }
 
-/// A send that got no answer.
+/// A send that got no response.
 struct NoResponse {
     event: AttemptEvent,
     message: String,
@@ -180,7 +180,7 @@
     response.headers().get(SENDS_HEADER).is_none_or(|sends| sends != "0")
 }
 
-/// The failure that another box answered with. `None` if it forwards a server's answer.
+/// The failure that another box answered with. `None` if it forwards a server's response.
 fn peer_failure(response: &Response<PooledBody>) -> Option<Failure> {
     let ran = response
         .headers()
@@ -201,7 +201,7 @@
     })
 }
 
-/// Reads an answer as far as needed to decide the outcome.
+/// Reads a response as far as needed to decide the outcome.
 async fn receive<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
@@ -209,12 +209,12 @@
     mut reservation: Option<Reservation<A>>,
 ) -> SendOutcome<A> {
     let (head, mut exchange) = response.into_parts();
-    let verdict = shared.adapter.parse_response(head.status, &head.headers);
+    let metadata = shared.adapter.parse_response(head.status, &head.headers);
     let maybe_ran = |reservation: &mut Option<Reservation<A>>, event, kind, message: &str| {
         feedback::record_end(shared, job, reservation, event);
         SendOutcome::MaybeRan(Failure::new(kind, message).with_executed(Executed::Unknown))
     };
-    if verdict.id.as_deref() != Some(job.ask.id.as_str()) {
+    if metadata.id.as_deref() != Some(job.metadata.id.as_str()) {
         let message = "the answer is that of another request";
         return maybe_ran(
             &mut reservation,
@@ -223,14 +223,14 @@
             message,
         );
     }
-    let event = head_event(&verdict);
+    let event = head_event(&metadata);
     if let Some(reservation) =
-        reservation.as_ref().filter(|_| verdict.server_status.reports_anything())
+        reservation.as_ref().filter(|_| metadata.server_status.reports_anything())
     {
         decision_log::server_said(
             job,
             &reservation.place.server,
-            &verdict.server_status,
+            &metadata.server_status,
             head.status,
         );
     }
@@ -238,7 +238,7 @@
         shared,
         job,
         &mut reservation,
-        &AttemptReport::head(event, verdict.server_status),
+        &AttemptReport::head(event, metadata.server_status),
     );
     match event {
         AttemptEvent::Replaced => {
@@ -246,9 +246,9 @@
             return SendOutcome::Refused(Failure::new(ErrorKind::NoServer, message));
         }
         AttemptEvent::Refused => {
-            exchange.release_for(idle_time(verdict.keep_alive));
+            exchange.release_for(idle_time(metadata.keep_alive));
             let failure = Failure::new(ErrorKind::QueueFull, "the backend server refused");
-            let rests = verdict.server_status.rest.is_some_and(|rest| !rest.is_zero());
+            let rests = metadata.server_status.rest.is_some_and(|rest| !rest.is_zero());
             return if rests {
                 SendOutcome::RefusedWithRest(failure)
             } else {
@@ -263,7 +263,7 @@
         }
         _ => {}
     }
-    let idle = idle_time(verdict.keep_alive);
+    let idle = idle_time(metadata.keep_alive);
     let headers = forwarded_headers(&head.headers);
     if head.status.is_success() && is_event_stream(&head.headers) {
         let stream = Stream::new(exchange, reservation, idle);
@@ -291,20 +291,20 @@
     }
 }
 
-/// The event that the head of an answer stands for.
-fn head_event(verdict: &ResponseMetadata) -> AttemptEvent {
-    if verdict.instance_mismatch {
+/// The event that the head of a response stands for.
+fn head_event(metadata: &ResponseMetadata) -> AttemptEvent {
+    if metadata.instance_mismatch {
         AttemptEvent::Replaced
-    } else if verdict.not_run {
+    } else if metadata.not_run {
         AttemptEvent::Refused
-    } else if verdict.has_seal {
+    } else if metadata.has_seal {
         AttemptEvent::HeadReceived
     } else {
         AttemptEvent::Invalid
     }
 }
 
-/// The event that a complete answer stands for.
+/// The event that a complete response stands for.
 fn body_event(status: StatusCode) -> AttemptEvent {
     if status.is_success() {
         AttemptEvent::Answered
--- a/lib/src/gateway/gossip.rs
+++ b/lib/src/gateway/box_reports.rs
@@ -1,6 +1,6 @@
 //! Exchanges reports with the other boxes by datagrams. A report contains the load that the sender
 //! puts on servers, the version of its state from the store and, during a store outage, what
-//! servers answered to probes.
+//! servers responded to probes.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 /// Maximum size of a datagram in bytes: some hundred servers.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// Sends and receives reports until told to stop.
+/// Sends and receives reports until shutdown.
 pub async fn exchange_reports<A: Adapter>(
     shared: Arc<Shared<A>>,
     socket: UdpSocket,
@@ -112,7 +112,7 @@
                 apply_quarantine(shared, &report, now);
                 if report.region == shared.settings.region {
                     lock(&shared.loads).receive(&report, now);
-                    apply_cold_answers(shared, &report, now);
+                    apply_cold_reports(shared, &report, now);
                     feedback::receive_leaving(shared, &report.leaving_servers, now);
                     apply_quota_counts(shared, &report, now);
                     apply_rates(shared, socket, &report, from, now);
@@ -167,9 +167,9 @@
     }
 }
 
-/// Records that a box was heard from, and the unlisted boxes that it has heard from. Two boxes that
-/// each took themselves for the only one of their region sent 28 requests in a second to a cold
-/// server where 17 are allowed.
+/// Records a datagram from a box, and the unlisted boxes that have sent datagrams to it. Two boxes
+/// that each took themselves for the only one of their region sent 28 requests in a second to a
+/// cold server where 17 are allowed.
 fn apply_unlisted_boxes<A: Adapter>(
     shared: &Shared<A>,
     report: &BoxReport,
@@ -203,9 +203,9 @@
     report.verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, now));
 }
 
-fn apply_cold_answers<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
-    let answers = report.cold_ms.iter().zip(&report.asked_ms);
-    for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(answers) {
+fn apply_cold_reports<A: Adapter>(shared: &Shared<A>, report: &BoxReport, now: Instant) {
+    let reports = report.cold_ms.iter().zip(&report.asked_ms);
+    for (server, (cold_ms, asked_ms)) in report.asked.iter().zip(reports) {
         let cold_left = Duration::from_millis(u64::from(*cold_ms));
         let Some(at) = now.checked_sub(Duration::from_millis(u64::from(*asked_ms))) else {
             continue;
@@ -240,7 +240,7 @@
     if !is_new_sender || (throttles.is_empty() && leaving_servers.is_empty()) {
         return;
     }
-    let mut answer = BoxReport {
+    let mut reply = BoxReport {
         number: REPLY_NUMBER,
         sender: presence::box_hash(&shared.settings.name),
         incarnation: shared.incarnation,
@@ -250,7 +250,7 @@
         ..BoxReport::default()
     };
     drop(throttles);
-    send(socket, &encode(&mut answer), std::iter::once(&from));
+    send(socket, &encode(&mut reply), std::iter::once(&from));
 }
 
 fn apply_region_load<A: Adapter>(shared: &Shared<A>, report: BoxReport, now: Instant) {
@@ -259,8 +259,9 @@
     regions.record_closed_services(report.region.clone(), report.closed.clone(), now);
     let loads = report.region_in_flight.iter().zip(&report.region_slots);
     for (service, (in_flight, slots)) in report.services.iter().zip(loads) {
-        let fullness = Utilization { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
-        regions.record_utilization(*service, report.region.clone(), fullness, now);
+        let utilization =
+            Utilization { in_flight: f64::from(*in_flight), slots: f64::from(*slots) };
+        regions.record_utilization(*service, report.region.clone(), utilization, now);
     }
 }
 
@@ -322,14 +323,14 @@
         send(socket, &datagram, remote_boxes.iter().choose(&mut rand::rng()).into_iter());
     }
     // Unlisted boxes of other regions learn from this report about each other, and whom to query
-    // for a newer state. They get no reports for a long time while they are not heard from. So this
-    // report doesn't confirm the age of their state, and they probe servers to learn whether these
-    // are cold.
+    // for a newer state. They get no reports for a long time while their datagrams do not arrive.
+    // So this report doesn't confirm the age of their state, and they probe servers to learn
+    // whether these are cold.
     report.state_age_ms = None;
     let now = clock::now();
     let since = now.checked_sub(REPORT_INTERVAL).unwrap_or(now);
     let remote_unlisted =
-        lock(&shared.unlisted).remote_heard_after(since, &shared.settings.region, now);
+        lock(&shared.unlisted).remote_received_after(since, &shared.settings.region, now);
     send(socket, &encode(&mut report), remote_unlisted.iter().take(MAX_RECIPIENTS));
 }
 
@@ -369,7 +370,7 @@
         let region_boxes = boxes.filter(|other| other.region == shared.settings.region);
         // A box that leaves no longer sends once it is silent.
         let is_sending = |other: &&BoxRecord| {
-            presence.serves(other) || presence.was_heard_recently(&other.name, now)
+            presence.serves(other) || presence.has_recent_datagram(&other.name, now)
         };
         others.extend(region_boxes.filter(is_sending).map(|other| presence::box_hash(&other.name)));
     }
@@ -411,13 +412,13 @@
     let now = clock::now();
     for (name, service) in lock(&shared.services).iter_mut() {
         let (loads, throttles) = (lock(&shared.loads), lock(&shared.throttles));
-        let fullness = service.placement.fullness(&loads, &throttles, now);
+        let utilization = service.placement.utilization(&loads, &throttles, now);
         if service.placement.is_closed(&loads, &throttles, now) {
             report.closed.push(rendezvous::weight(name, ""));
         }
         report.services.push(rendezvous::weight(name, ""));
-        report.region_in_flight.push(fullness.in_flight as u32);
-        report.region_slots.push(fullness.slots as u32);
+        report.region_in_flight.push(utilization.in_flight as u32);
+        report.region_slots.push(utilization.slots as u32);
     }
 }
 
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -57,7 +57,7 @@
     /// Since when the entry is missing from the store, while it may still be written again.
     missing_since: Option<Instant>,
     /// The incarnation of the server that the entry is about.
-    life: ServerIncarnation,
+    incarnation: ServerIncarnation,
     /// Whether the server said itself that it leaves.
     said_leaving: bool,
     /// When this box saw the entry change; `None` if it has seen only one version of it.
@@ -82,8 +82,9 @@
     evacuated: BTreeMap<FailureDomainId, Evacuation>,
     boxes: BTreeMap<BoxId, BoxRecord>,
     expired_boxes: BTreeMap<BoxId, (BoxRecord, Instant)>,
-    /// Boxes of this region that were heard from, by their hashes in datagrams.
-    heard: BTreeMap<u64, Instant>,
+    /// Boxes of this region that sent datagrams to this one: hash of the name, time of the last
+    /// one.
+    senders: BTreeMap<u64, Instant>,
     /// Region and name of each box that was ever started.
     roster: BTreeSet<(RegionId, BoxId)>,
     /// Region of each known failure domain.
@@ -163,7 +164,7 @@
     /// in between has seen nothing else.
     fn apply_server(&mut self, server: Server, revision: Revision, now: Instant) -> bool {
         let before = self.servers.get_mut(&server.id);
-        let previous_life = before.as_ref().map(|entry| entry.life);
+        let previous_incarnation = before.as_ref().map(|entry| entry.incarnation);
         if let Some(entry) = &before
             && server.started_at < entry.server.started_at
         {
@@ -176,12 +177,12 @@
         {
             return entry.missing_since.take().is_some();
         }
-        let life = candidate::incarnation_hash(&server);
-        let mut changed_at = (previous_life == Some(life)).then_some(now);
+        let incarnation = candidate::incarnation_hash(&server);
+        let mut changed_at = (previous_incarnation == Some(incarnation)).then_some(now);
         let mut cold_until = (!server.cold_left.is_zero()).then(|| now + server.cold_left);
         if let Some(before) = self.servers.get(&server.id)
             && self.restored.is_settling(now)
-            && before.life == life
+            && before.incarnation == incarnation
         {
             // The entry comes from the older copy of the store, and is older than what it replaces.
             changed_at = before.changed_at;
@@ -201,7 +202,7 @@
         );
         let id = server.id.clone();
         let entry = Entry {
-            life,
+            incarnation,
             server: Arc::new(server),
             revision,
             cold_until,
@@ -322,7 +323,7 @@
 
     /// Removes entries that have been missing for long enough. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let before = self.servers.len() + self.expired_boxes.len() + self.heard.len();
+        let before = self.servers.len() + self.expired_boxes.len() + self.senders.len();
         self.servers.retain(|id, entry| {
             let retained = entry.missing_since.is_none_or(|since| now < since + ROLLBACK_GRACE);
             if !retained {
@@ -333,50 +334,57 @@
             retained
         });
         self.expired_boxes.retain(|_, (_, since)| now < *since + EXPIRED_BOX_RETENTION);
-        self.heard.retain(|_, at| now < *at + EXPIRED_BOX_RETENTION);
-        let dropped = self.servers.len() + self.expired_boxes.len() + self.heard.len() != before;
+        self.senders.retain(|_, at| now < *at + EXPIRED_BOX_RETENTION);
+        let dropped = self.servers.len() + self.expired_boxes.len() + self.senders.len() != before;
         self.settle(now) || dropped
     }
 
-    /// Other boxes whose records have been gone from the store only for seconds, or that are still
-    /// heard from.
+    /// Other boxes whose records have been gone from the store only for seconds, or whose datagrams
+    /// still arrive.
     pub fn other_expired_boxes(&self, own_record: &BoxRecord) -> Vec<BoxRecord> {
         let records = self.expired_boxes.values().map(|(record, _)| record);
         records.filter(|record| record.name != own_record.name).cloned().collect()
     }
 
-    /// Keeps expired boxes that are still heard from. They send to servers like any other box, and
-    /// depend more on the reports of others than those do. With a lease of 4 s and shares that grow
-    /// 30 s after it ends, two boxes of four that lose the store for that long would send 20
+    /// Keeps expired boxes whose datagrams still arrive. They send to servers like any other box,
+    /// and depend more on the reports of others than those do. With a lease of 4 s and shares that
+    /// grow 30 s after it ends, two boxes of four that lose the store for that long would send 20
     /// requests in a second where 17 are allowed (calculated, not run).
-    pub fn refresh_expired_boxes(&mut self, is_heard: impl Fn(&str) -> bool, now: Instant) {
+    pub fn refresh_expired_boxes(
+        &mut self,
+        has_recent_datagram: impl Fn(&str) -> bool,
+        now: Instant,
+    ) {
         for (name, (_, since)) in &mut self.expired_boxes {
-            if is_heard(name) {
+            if has_recent_datagram(name) {
                 *since = now;
             }
         }
     }
 
-    /// Records the boxes of this region that were heard from. A box that started during a store
-    /// outage may know them by nothing else, and would take all of a bound for itself: two such
-    /// boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns whether
-    /// any of them is new.
-    pub fn note_heard_boxes(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
-        let known = self.heard.len();
-        self.heard.extend(senders.map(|sender| (sender, now)));
-        self.heard.len() != known
+    /// Records the boxes of this region that sent datagrams to this one. A box that started during
+    /// a store outage may know them by nothing else, and would take all of a bound for itself: two
+    /// such boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns
+    /// whether any of them is new.
+    pub fn record_senders(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
+        let known = self.senders.len();
+        self.senders.extend(senders.map(|sender| (sender, now)));
+        self.senders.len() != known
     }
 
     /// The store's entry about an incarnation of a server.
-    pub fn departure_entry(&self, life: ServerIncarnation) -> Option<departures::StoreEntry> {
-        let entry = self.servers.values().find(|entry| entry.life == life)?;
+    pub fn departure_entry(
+        &self,
+        incarnation: ServerIncarnation,
+    ) -> Option<departures::StoreEntry> {
+        let entry = self.servers.values().find(|entry| entry.incarnation == incarnation)?;
         Some(departures::StoreEntry { leaving: entry.server.leaving, changed_at: entry.changed_at })
     }
 
     /// Updates which servers said themselves that they leave.
     pub fn set_leaving(&mut self, leaves: impl Fn(ServerIncarnation) -> bool) {
         for entry in self.servers.values_mut() {
-            entry.said_leaving = leaves(entry.life);
+            entry.said_leaving = leaves(entry.incarnation);
         }
     }
 
@@ -433,7 +441,7 @@
             names.extend(roster_entries.map(|(_, name)| name.as_str()));
         }
         let named_hashes = names.into_iter().map(presence::box_hash);
-        named_hashes.chain(self.heard.keys().copied()).collect()
+        named_hashes.chain(self.senders.keys().copied()).collect()
     }
 
     /// The servers of this region by service.
--- a/lib/src/gateway/cluster_state/settling.rs
+++ b/lib/src/gateway/cluster_state/settling.rs
@@ -41,8 +41,8 @@
             Fact::Routing(_) => false,
             Fact::Server(server) => match self.servers.get(&server.id) {
                 Some(entry) => {
-                    let same_life = entry.life == candidate::incarnation_hash(server);
-                    same_life && entry.server.leaving && !server.leaving
+                    let same_incarnation = entry.incarnation == candidate::incarnation_hash(server);
+                    same_incarnation && entry.server.leaving && !server.leaving
                 }
                 None => self.restored.was_removed(subject, revision),
             },
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -3,7 +3,7 @@
 //!
 //! The store may be unavailable for any length of time. The last known state stays in force
 //! meanwhile, is updated from boxes that have a newer one, and is read again once the store
-//! answers.
+//! responses.
 
 mod peer_sync;
 mod store_sync;
@@ -59,7 +59,7 @@
 /// it for a while. After that, connections are refused and callers go to another box at once.
 const STOP_GRACE: Duration = Duration::from_millis(2500);
 
-/// Maximum time at shutdown to flush answers that are already written.
+/// Maximum time at shutdown to flush responses that are already written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// State of the control thread.
@@ -272,8 +272,8 @@
     fn tick(&mut self) -> bool {
         let now = clock::now();
         let startup_over = self.just_started && now >= self.started_at + STARTUP_PERIOD;
-        let found_box = self.update_heard_boxes(now);
-        let store_entry = |life| self.cluster_state.departure_entry(life);
+        let found_box = self.update_senders(now);
+        let store_entry = |incarnation| self.cluster_state.departure_entry(incarnation);
         let departures_changed = lock(&self.shared.departures).tick(store_entry, now);
         if self.cluster_state.expire(now) || startup_over || found_box || departures_changed {
             self.just_started &= !startup_over;
@@ -298,17 +298,17 @@
 
     /// Counts boxes that send reports though the store doesn't list them, or no longer does.
     /// Returns whether one of them is new.
-    fn update_heard_boxes(&mut self, now: Instant) -> bool {
+    fn update_senders(&mut self, now: Instant) -> bool {
         let unlisted = lock(&self.shared.unlisted);
         let unlisted_in_region =
             unlisted.neighbors().filter(|other| other.region == self.own_record.region);
         let unlisted_in_region = unlisted_in_region.map(|other| other.box_hash);
         let found_box = self
             .cluster_state
-            .note_heard_boxes(lock(&self.shared.loads).senders().chain(unlisted_in_region), now);
+            .record_senders(lock(&self.shared.loads).senders().chain(unlisted_in_region), now);
         let presence = lock(&self.shared.presence);
         self.cluster_state
-            .refresh_expired_boxes(|name| presence.was_heard_recently(name, now), now);
+            .refresh_expired_boxes(|name| presence.has_recent_datagram(name, now), now);
         found_box
     }
 
@@ -325,7 +325,7 @@
         let fleet_size = self.cluster_state.fleet_size(&context);
         let now = clock::now();
         let departures = lock(&self.shared.departures);
-        self.cluster_state.set_leaving(|life| departures.is_leaving(life));
+        self.cluster_state.set_leaving(|incarnation| departures.is_leaving(incarnation));
         drop(departures);
         let mut local_servers = self.cluster_state.local_servers(&context);
         if let Some(routing) = &self.cluster_state.routing {
@@ -341,7 +341,7 @@
                 // Locked while `services` is locked, so a report that arrives meanwhile is applied
                 // after this.
                 let departures = lock(&self.shared.departures);
-                state.placement.set_leaving(|life| departures.is_leaving(life));
+                state.placement.set_leaving(|incarnation| departures.is_leaving(incarnation));
             }
         }
         let (boxes, expired_boxes) = (
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -58,17 +58,17 @@
 /// A series of calls that reads the complete contents of the store.
 type FullReadCall = Pin<Box<dyn Future<Output = Result<FullState, PlatformError>>>>;
 
-/// An answer from the store.
-enum StoreAnswer {
+/// A response from the store.
+enum SyncResponse {
     /// The changes since the known position.
     Incremental(ResponseWithEra),
     /// The complete contents.
     Full(FullState),
 }
 
-/// The effect of an answer on the known state.
+/// The effect of a response on the known state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum AnswerEffect {
+enum ResponseEffect {
     /// Nothing was new.
     Unchanged,
     /// Changes or the complete contents were applied.
@@ -208,8 +208,8 @@
                 unchanged => unchanged,
             };
             let tick = if watching { self.watch_gap().min(CHECK_INTERVAL) } else { CHECK_INTERVAL };
-            let answer = tokio::select! {
-                answer = pending.answer() => Some(answer),
+            let response = tokio::select! {
+                response = pending.response() => Some(response),
                 Some(event) = events.recv() => {
                     self.handle_event(event);
                     None
@@ -217,12 +217,12 @@
                 () = self.shared.peer_ahead.notified() => None,
                 () = timer::sleep(tick) => None,
             };
-            if let Some(answer) = answer {
-                let effect = self.apply_answer(answer);
-                last_change_at = (effect != AnswerEffect::Unchanged).then(clock::now);
+            if let Some(response) = response {
+                let effect = self.apply_response(response);
+                last_change_at = (effect != ResponseEffect::Unchanged).then(clock::now);
                 pending = match effect {
-                    AnswerEffect::Superseded => self.start_full_read(),
-                    AnswerEffect::Unchanged | AnswerEffect::Changed => PendingCall::Idle,
+                    ResponseEffect::Superseded => self.start_full_read(),
+                    ResponseEffect::Unchanged | ResponseEffect::Changed => PendingCall::Idle,
                 };
             }
             if self.tick() {
@@ -262,20 +262,20 @@
         PendingCall::FullRead(Box::pin(read_full_state(self.store.clone(), self.position().era)))
     }
 
-    /// Applies an answer of the store and returns its effect.
-    fn apply_answer(&mut self, answer: Result<StoreAnswer, PlatformError>) -> AnswerEffect {
+    /// Applies a response of the store and returns its effect.
+    fn apply_response(&mut self, response: Result<SyncResponse, PlatformError>) -> ResponseEffect {
         let known_position = self.position();
-        match answer {
-            Ok(StoreAnswer::Full(full_state)) => {
+        match response {
+            Ok(SyncResponse::Full(full_state)) => {
                 self.apply_full_state(full_state);
-                AnswerEffect::Changed
+                ResponseEffect::Changed
             }
-            Ok(StoreAnswer::Incremental(ResponseWithEra { era, .. }))
+            Ok(SyncResponse::Incremental(ResponseWithEra { era, .. }))
                 if era.is_some_and(|era| era != known_position.era) =>
             {
-                AnswerEffect::Superseded
+                ResponseEffect::Superseded
             }
-            Ok(StoreAnswer::Incremental(ResponseWithEra {
+            Ok(SyncResponse::Incremental(ResponseWithEra {
                 response: StoreResponse::Changes { changes, revision },
                 ..
             })) => {
@@ -285,19 +285,19 @@
                 lock(&self.shared.replica).advance_to(Position { revision, ..known_position });
                 self.mark_current();
                 if !has_changes {
-                    return AnswerEffect::Unchanged;
+                    return ResponseEffect::Unchanged;
                 }
                 self.publish();
                 self.shared.region_update.notify_one();
-                AnswerEffect::Changed
+                ResponseEffect::Changed
             }
-            Ok(StoreAnswer::Incremental(_)) | Err(PlatformError::HistoryCompacted) => {
+            Ok(SyncResponse::Incremental(_)) | Err(PlatformError::HistoryCompacted) => {
                 log::warn!("event=history_gone after={known_position}");
-                AnswerEffect::Superseded
+                ResponseEffect::Superseded
             }
             Err(error) => {
                 self.note_store_failure(&error);
-                AnswerEffect::Unchanged
+                ResponseEffect::Unchanged
             }
         }
     }
@@ -434,14 +434,14 @@
 }
 
 impl PendingCall {
-    /// Waits for the store's answer. Never returns if there is no call.
-    async fn answer(&mut self) -> Result<StoreAnswer, PlatformError> {
+    /// Waits for the store's response. Never returns if there is no call.
+    async fn response(&mut self) -> Result<SyncResponse, PlatformError> {
         match self {
             PendingCall::Idle => std::future::pending().await,
             PendingCall::Watch(call) | PendingCall::Poll(call) => {
-                call.await.map(StoreAnswer::Incremental)
+                call.await.map(SyncResponse::Incremental)
             }
-            PendingCall::FullRead(read_call) => read_call.await.map(StoreAnswer::Full),
+            PendingCall::FullRead(read_call) => read_call.await.map(SyncResponse::Full),
         }
     }
 }
--- a/lib/src/gateway/cross_region.rs
+++ b/lib/src/gateway/cross_region.rs
@@ -33,7 +33,7 @@
     /// The servers of this region are busy, and a share of the requests goes to another region.
     Overflow {
         /// Requests and slots of the servers of this region.
-        own_fullness: Utilization,
+        own_utilization: Utilization,
         /// Share of the requests that is forwarded.
         share: f64,
     },
@@ -45,11 +45,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ForwardReason::Home => f.write_str("home"),
-            ForwardReason::Overflow { own_fullness, share } => {
+            ForwardReason::Overflow { own_utilization, share } => {
                 write!(
                     f,
                     "overflow in_flight={} slots={} part={share:.2}",
-                    own_fullness.in_flight, own_fullness.slots
+                    own_utilization.in_flight, own_utilization.slots
                 )
             }
             ForwardReason::NoPlace => f.write_str("no_place"),
@@ -82,7 +82,7 @@
     job: &Job,
     history: &RequestHistory,
 ) -> Option<SocketAddr> {
-    let text = SharedPrefix::of(&job.ask.segments)?;
+    let text = SharedPrefix::of(&job.metadata.segments)?;
     if !is_first_send(job, history) || !text.crosses_regions() {
         return None;
     }
@@ -111,25 +111,26 @@
     history: &RequestHistory,
     now: Instant,
 ) -> Option<(SocketAddr, ForwardReason)> {
-    let has_home = SharedPrefix::of(&job.ask.segments).is_some_and(|text| text.crosses_regions());
+    let has_home =
+        SharedPrefix::of(&job.metadata.segments).is_some_and(|text| text.crosses_regions());
     if !is_first_send(job, history) || has_home {
         return None;
     }
-    let own_fullness = shared.with_service(&job.service, |service| {
-        service.placement.fullness(&lock(&shared.loads), &lock(&shared.throttles), now)
+    let own_utilization = shared.with_service(&job.service, |service| {
+        service.placement.utilization(&lock(&shared.loads), &lock(&shared.throttles), now)
     })?;
     let service_hash = rendezvous::weight(&job.service, "");
     let regions = lock(&shared.regions);
     let allowed = |region: &str| {
         job.is_allowed_in(region) && regions.may_have_room(service_hash, region, now)
     };
-    let (region, share) = regions.overflow_target(service_hash, own_fullness, allowed, now)?;
+    let (region, share) = regions.overflow_target(service_hash, own_utilization, allowed, now)?;
     if rand::rng().random::<f64>() >= share {
         return None;
     }
     let other =
         serving_boxes(shared, job, region).choose(&mut rand::rng()).map(|other| other.peers)?;
-    Some((other, ForwardReason::Overflow { own_fullness, share }))
+    Some((other, ForwardReason::Overflow { own_utilization, share }))
 }
 
 /// Chooses a random box of another region, weighted by the slots of its region.
--- a/lib/src/gateway/decision_log.rs
+++ b/lib/src/gateway/decision_log.rs
@@ -33,7 +33,7 @@
 
 /// Id of the shared text of the prompt; 0 if there is none.
 fn text_id(job: &Job) -> u64 {
-    SharedPrefix::of(&job.ask.segments).map_or(0, |text| text.id())
+    SharedPrefix::of(&job.metadata.segments).map_or(0, |text| text.id())
 }
 
 /// A request that crashed servers before is sent to a server.
@@ -43,7 +43,7 @@
         target: TARGET,
         "event=on_trial request={} content={} server={server} ends={ends} of_caller={of_caller} callers={callers} \
          width={width} beside={shares_server}",
-        job.ask.id,
+        job.metadata.id,
         job.fingerprint,
     );
 }
@@ -54,7 +54,7 @@
         target: TARGET,
         "event=placed request={} route={} team={} service={} server={} send={} in_flight={} others={} unread={:.0} \
          candidates={} at_home={} cold={} text={:x} content={} version={} boxes={} {state} left_ms={}",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         team(job),
         job.service,
@@ -79,7 +79,7 @@
     log::info!(
         target: TARGET,
         "event=passed_on request={} route={} service={} box={address} reason={reason} send={} text={:x} content={} version={} left_ms={}",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         job.service,
         history.arrivals() + 1,
@@ -90,12 +90,12 @@
     );
 }
 
-/// A send got no answer.
+/// A send got no response.
 pub fn attempt_failed(job: &Job, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
         "event=attempt_failed request={} route={} server={} sends={} maybe_ran={} content={} age_ms={} cause=\"{failure}\"",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         history.tried.last().map_or("-", String::as_str),
         history.arrivals(),
@@ -121,12 +121,12 @@
     );
 }
 
-/// The request ended with a server's answer.
+/// The request ended with a server's response.
 pub fn answered(job: &Job, history: &RequestHistory, status: u16) {
     log::info!(
         target: TARGET,
         "event=answered request={} route={} server={} status={status} sends={} age_ms={}",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         history.tried.last().map_or("-", String::as_str),
         history.arrivals(),
@@ -145,7 +145,7 @@
     log::info!(
         target: TARGET,
         "event=stream_broken request={} route={} server={} sends={} last_event={last_event_id:?} content={} age_ms={} cause=\"{cut}\"",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         server.unwrap_or("-"),
         history.arrivals(),
@@ -154,17 +154,18 @@
     );
 }
 
-/// The head of an answer contains information about the server that affects which requests it gets.
-pub fn server_said(job: &Job, server: &str, words: &ServerStatus, status: StatusCode) {
+/// The head of a response contains information about the server that affects which requests it
+/// gets.
+pub fn server_said(job: &Job, server: &str, server_status: &ServerStatus, status: StatusCode) {
     log::info!(
         target: TARGET,
         "event=server_said request={} route={} server={server} leaving={} rest_ms={} rate={} cold_ms={} status={} age_ms={}",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
-        words.leaving,
-        words.rest.map_or("-".to_owned(), |rest| rest.as_millis().to_string()),
-        words.rate.map_or("-".to_owned(), |rate| rate.to_string()),
-        words.cold_left.map_or("-".to_owned(), |left| left.as_millis().to_string()),
+        server_status.leaving,
+        server_status.rest.map_or("-".to_owned(), |rest| rest.as_millis().to_string()),
+        server_status.rate.map_or("-".to_owned(), |rate| rate.to_string()),
+        server_status.cold_left.map_or("-".to_owned(), |left| left.as_millis().to_string()),
         status.as_u16(),
         age_ms(job),
     );
@@ -177,7 +178,7 @@
 pub fn server_learned(server: &str, note: &Observation) {
     match note {
         Observation::Leaving => log::info!("event=server_leaves server={server} by=answer"),
-        Observation::RequestedBackoff(rest) => {
+        Observation::RequestedRestPeriod(rest) => {
             log::info!(target: TARGET, "event=server_rests server={server} rest_ms={}", rest.as_millis());
         }
         Observation::TurnedCold(left) => {
@@ -195,7 +196,7 @@
     }
 }
 
-/// A server that broke off answers no longer accepts connections, so it has crashed or exited while
+/// A server that broke off responses no longer accepts connections, so it has crashed while
 /// the listed requests ran.
 fn server_ended(server: &str, runs: &[InterruptedRequest]) {
     let request_names: Vec<String> =
@@ -219,7 +220,7 @@
     log::info!(
         target: TARGET,
         "event=stream_ended request={} route={} server={} whole={} sends={} first_ms={} pause_ms={} age_ms={}{cause}",
-        job.ask.id,
+        job.metadata.id,
         job.route.name,
         server.unwrap_or("-"),
         result.is_ok(),
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -24,16 +24,16 @@
 use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
-/// Maximum number of boxes in one answer.
+/// Maximum number of boxes in one response.
 const MAX_BOXES: usize = 64;
-/// How long callers cache an answer that contains only boxes of other regions. The boxes of their
+/// How long callers cache a response that contains only boxes of other regions. The boxes of their
 /// own region are back within seconds.
 const REMOTE_TTL: Duration = Duration::from_secs(1);
-/// Minimum number of boxes for an answer from a single failure domain. With fewer, the loss of one
+/// Minimum number of boxes for a response from a single failure domain. With fewer, the loss of one
 /// box would leave none.
 const MIN_DOMAIN_BOXES: usize = 2;
 
-/// Answers a request on the readiness port.
+/// Handles a request on the readiness port.
 pub async fn handle_readiness<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
@@ -46,19 +46,18 @@
     empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// Answers a request on the directory's port.
+/// Handles a request on the directory's port.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     own_record: Arc<BoxRecord>,
     request: Request<Incoming>,
 ) -> Response<NonRelayBody> {
-    let Some(question) = shared.adapter.parse_directory_query(request.method(), request.uri())
-    else {
+    let Some(query) = shared.adapter.parse_directory_query(request.method(), request.uri()) else {
         return empty_response(StatusCode::NOT_FOUND);
     };
     let (addresses, is_near) = {
         let presence = lock(&shared.presence);
-        addresses(&shared.snapshot.load(), &presence, &own_record, &question, clock::now())
+        addresses(&shared.snapshot.load(), &presence, &own_record, &query, clock::now())
     };
     let ttl = if is_near { shared.settings.directory_ttl } else { REMOTE_TTL };
     let body = shared.adapter.directory_body(&addresses, ttl);
@@ -81,7 +80,7 @@
     snapshot: &Snapshot,
     presence: &Presence,
     own_record: &BoxRecord,
-    question: &DirectoryQuery,
+    query: &DirectoryQuery,
     now: Instant,
 ) -> (Vec<SocketAddr>, bool) {
     let boxes = snapshot.boxes.iter();
@@ -95,17 +94,17 @@
         Stage::Closing | Stage::Done | Stage::Cut => {}
     }
     let in_domain =
-        caller_addresses(&serving, |record| record.failure_domain == question.failure_domain);
+        caller_addresses(&serving, |record| record.failure_domain == query.failure_domain);
     if in_domain.len() >= MIN_DOMAIN_BOXES {
         return (in_domain, true);
     }
-    let in_region = caller_addresses(&serving, |record| record.region == question.region);
+    let in_region = caller_addresses(&serving, |record| record.region == query.region);
     if !in_region.is_empty() {
         return (in_region, true);
     }
     let runnable_routes = |record: &BoxRecord| {
         let routing = snapshot.routing.as_ref();
-        routing.map_or(0, |routing| routing.count_routes(&question.host, &record.region))
+        routing.map_or(0, |routing| routing.count_routes(&query.host, &record.region))
     };
     let most = serving.iter().chain(&accepting).map(|record| runnable_routes(record)).max();
     let best_served = caller_addresses(&serving, |record| Some(runnable_routes(record)) == most);
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -1,8 +1,8 @@
 //! Dispatches a request: chooses a server or a box of another region, sends the request, and sends
 //! it again where that is allowed.
 //!
-//! The answer to the caller depends on what was sent. A failure says "not run" only if nothing was
-//! sent, or if every receiver said so.
+//! The response to the caller depends on what was sent. A failure says "not run" only if nothing
+//! was sent, or if every receiver said so.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,13 +52,13 @@
     Peer(std::net::SocketAddr, ForwardReason),
 }
 
-/// Dispatches a request until there is an answer or a failure.
+/// Dispatches a request until there is a response or a failure.
 pub async fn dispatch<A: Adapter>(
     shared: &Arc<Shared<A>>,
     job: &Job,
     history: &mut RequestHistory,
 ) -> Result<Reply<A>, Failure> {
-    let after_event = job.ask.last_event;
+    let after_event = job.metadata.last_event;
     count_first_send(shared, job);
     // A server error, kept while another server is tried.
     let mut failed_reply: Option<Reply<A>> = None;
@@ -102,7 +102,7 @@
     None
 }
 
-/// Why a send led to no answer.
+/// Why a send led to no response.
 enum StepError {
     /// Another send may lead to one.
     Retry(Failure),
@@ -222,7 +222,7 @@
             let loads = &lock(&shared.loads);
             let mut throttles = lock(&shared.throttles);
             let demand = PlacementRequest {
-                parts: &job.ask.segments,
+                parts: &job.metadata.segments,
                 tried,
                 loads,
                 throttles: &throttles,
@@ -257,7 +257,7 @@
         Blocked::NoServer => {
             Failure::new(ErrorKind::NoServer, "no backend server may run the request now")
         }
-        Blocked::BackingOff { until } => return resting_refusal(shared, job, until),
+        Blocked::Resting { until } => return resting_refusal(shared, job, until),
         Blocked::Leaving => {
             let message = "the backend servers leave";
             return Failure::new(ErrorKind::NoServer, message).with_retry_after(REPLACEMENT_DELAY);
@@ -281,14 +281,14 @@
     }
 }
 
-/// Whether the answer is a server error and the request may be repeated; another server may
+/// Whether the response is a server error and the request may be repeated; another server may
 /// succeed.
 fn is_retryable_failure<A: Adapter>(reply: &Reply<A>, job: &Job) -> bool {
     let is_whole = matches!(reply.payload, Payload::Whole(_));
     is_whole && reply.status.is_server_error() && job.route.repeatable()
 }
 
-/// Whether a request that got no answer may be sent again. Only sends that may have run count as
+/// Whether a request that got no response may be sent again. Only sends that may have run count as
 /// attempts. Refusals and failed connections don't count, but a send that reached a server takes a
 /// retry from the budget. When refusals counted as attempts, requests that may run only once were
 /// refused at the first server that was full or had been replaced: 2,325 requests in 8 s while 22
--- a/lib/src/gateway/event.rs
+++ b/lib/src/gateway/event.rs
@@ -8,7 +8,7 @@
     Stop,
     /// The settings may have changed.
     Reload,
-    /// The store answers again after an outage.
+    /// The store responds again after an outage.
     StoreRecovered,
     /// This box's record is in the store.
     RecordWritten,
--- a/lib/src/gateway/feedback.rs
+++ b/lib/src/gateway/feedback.rs
@@ -1,12 +1,12 @@
-//! Feeds the outcomes of sends and the answers of probed servers to the [`Learner`], and acts on
-//! its conclusions.
+//! Feeds the outcomes of sends and the responses of probed servers to the [`FeedbackHandler`], and
+//! applies its effects.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use super::decision_log;
 use super::job::Job;
-use super::server_exit;
+use super::server_crash;
 use super::shared::Reservation;
 use super::shared::Service;
 use super::shared::Shared;
@@ -40,9 +40,10 @@
         request: job.fingerprint,
     };
     let now = clock::now();
-    let lesson =
-        with_learner(shared, &job.service, |learner| learner.handle_report(sent, report, now));
-    apply_lesson(shared, &reservation.place, &lesson);
+    let effects = with_feedback_handler(shared, &job.service, |handler| {
+        handler.handle_report(sent, report, now)
+    });
+    apply_effects(shared, &reservation.place, &effects);
 }
 
 /// Records the end of a send.
@@ -55,15 +56,15 @@
     record_event(shared, job, reservation, &AttemptReport::end(event));
 }
 
-/// Runs `teach` on a learner that has all tables of a service locked.
-pub fn with_learner<A: Adapter, T>(
+/// Calls `handle` with a [`FeedbackHandler`], while all tables that it updates are locked.
+pub fn with_feedback_handler<A: Adapter, T>(
     shared: &Shared<A>,
     service: &str,
-    teach: impl FnOnce(&mut FeedbackHandler<'_>) -> T,
+    handle: impl FnOnce(&mut FeedbackHandler<'_>) -> T,
 ) -> T {
     let mut services = lock(&shared.services);
     let placement = services.get_mut(service).map(|Service { placement, .. }| placement);
-    teach(&mut FeedbackHandler {
+    handle(&mut FeedbackHandler {
         placement,
         throttles: &mut lock(&shared.throttles),
         departures: &mut lock(&shared.departures),
@@ -72,36 +73,37 @@
     })
 }
 
-/// Acts on what was learned about the server of a place.
-fn apply_lesson<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, lesson: &Effects) {
-    publish_lesson(shared, &place.server, lesson);
-    if lesson.probe {
-        tokio::spawn(check_exit(Arc::clone(shared), place.clone()));
+/// Publishes the effects of a report about the server of a place, and probes it if required.
+fn apply_effects<A: Adapter>(shared: &Arc<Shared<A>>, place: &Place, effects: &Effects) {
+    publish_effects(shared, &place.server, effects);
+    if effects.probe {
+        tokio::spawn(check_for_crash(Arc::clone(shared), place.clone()));
     }
 }
 
 /// Checks whether a server still accepts connections.
-async fn check_exit<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
-    if !server_exit::has_exited(place.address).await {
+async fn check_for_crash<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
+    if !server_crash::has_crashed(place.address).await {
         lock(&shared.broken).forget(place.incarnation);
         return;
     }
     // No service is named: a crash concerns the requests that the server ran, whatever their
     // service.
-    let lesson =
-        with_learner(&shared, "", |learner| learner.handle_crash(place.incarnation, clock::now()));
-    publish_lesson(&shared, &place.server, &lesson);
+    let effects = with_feedback_handler(&shared, "", |handler| {
+        handler.handle_crash(place.incarnation, clock::now())
+    });
+    publish_effects(&shared, &place.server, &effects);
 }
 
-/// Logs what was learned, and notifies the report task if other boxes must know at once.
-pub fn publish_lesson<A: Adapter>(shared: &Shared<A>, server: &str, lesson: &Effects) {
-    for note in &lesson.observations {
-        if let Observation::Crashed(_) = note {
+/// Logs the observations, and wakes the report task if other boxes must be notified at once.
+pub fn publish_effects<A: Adapter>(shared: &Shared<A>, server: &str, effects: &Effects) {
+    for observation in &effects.observations {
+        if let Observation::Crashed(_) = observation {
             shared.counters.increment(Counter::ServersEnded);
         }
-        decision_log::server_learned(server, note);
+        decision_log::server_learned(server, observation);
     }
-    match lesson.notify {
+    match effects.notify {
         Some(Audience::AllRegions) => {
             shared.global_update.notify_one();
             shared.region_update.notify_one();
@@ -127,9 +129,9 @@
         return;
     }
     for service in services.values_mut() {
-        service.placement.set_leaving(|life| departures.is_leaving(life));
+        service.placement.set_leaving(|incarnation| departures.is_leaving(incarnation));
     }
-    for life in newly_leaving {
-        log::info!("event=server_leaves life={life:x} by=box");
+    for incarnation in newly_leaving {
+        log::info!("event=server_leaves life={incarnation:x} by=box");
     }
 }
--- a/lib/src/gateway/history.rs
+++ b/lib/src/gateway/history.rs
@@ -1,4 +1,4 @@
-//! The history of a request: which sends it has had so far. Retries, the answer to the caller and
+//! The history of a request: which sends it has had so far. Retries, the response to the caller and
 //! the log depend on it.
 
 use std::net::SocketAddr;
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Handles requests of callers and of other boxes, from the head to the answer.
+//! Handles requests of callers and of other boxes, from the head to the response.
 
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
 use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
-/// Answers a request.
+/// Handles a request.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     origin: Origin,
@@ -60,15 +60,15 @@
     in_flight_guard: InFlightGuard<A>,
 ) -> Response<NonRelayBody> {
     let mut history = RequestHistory::default();
-    let ask = match shared.adapter.parse_request(request.headers()) {
-        Ok(ask) => ask,
+    let metadata = match shared.adapter.parse_request(request.headers()) {
+        Ok(metadata) => metadata,
         Err(problem) => {
             let failure = Failure::new(ErrorKind::BadRequest, problem);
             return failure_response(shared, "-", None, &history, &failure);
         }
     };
-    let id = ask.id.clone();
-    let job = match Job::read(shared, origin, ask, request).await {
+    let id = metadata.id.clone();
+    let job = match Job::read(shared, origin, metadata, request).await {
         Ok(job) => job,
         Err(failure) => return failure_response(shared, &id, None, &history, &failure),
     };
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -44,7 +44,7 @@
 
 /// Marks a request that another box has forwarded. It is not forwarded again.
 pub const FORWARDED_HEADER: HeaderName = HeaderName::from_static("copperweir-passed-on");
-/// How many sends a box made for a request that got no answer.
+/// How many sends a box made for a request that got no response.
 pub const SENDS_HEADER: HeaderName = HeaderName::from_static("copperweir-sends");
 /// Digest of the caller's API key, for another box.
 const KEY_HEADER: HeaderName = HeaderName::from_static("copperweir-key");
@@ -73,7 +73,7 @@
 /// A caller's request that has been read and checked.
 pub struct Job {
     /// Data of the caller's headers.
-    pub ask: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// The sender.
     pub origin: Origin,
     /// The matching route.
@@ -88,8 +88,8 @@
     pub fingerprint: Fingerprint,
     /// When its head was read.
     pub arrived: Instant,
-    /// When the answer must be complete, by the timeout of the caller or of the route, whichever is
-    /// shorter.
+    /// When the response must be complete, by the timeout of the caller or of the route, whichever
+    /// is shorter.
     pub deadline: Instant,
     /// The snapshot that was current when the request arrived.
     pub snapshot: Arc<Snapshot>,
@@ -104,7 +104,7 @@
     pub async fn read<A: Adapter>(
         shared: &Shared<A>,
         origin: Origin,
-        mut ask: RequestMetadata,
+        mut metadata: RequestMetadata,
         request: Request<Incoming>,
     ) -> Result<Job, Failure> {
         let arrived = clock::now();
@@ -112,20 +112,20 @@
         let snapshot = shared.snapshot.load_full();
         let routing = current_routing(&snapshot)?;
         let route = find_route(&routing, &head.headers, &head.uri)?;
-        let claim = identity_claim(origin, &ask, &head.headers);
-        ask.key = claim.key;
+        let claim = identity_claim(origin, &metadata, &head.headers);
+        metadata.key = claim.key;
         let team = identify_team(shared, &claim, &routing, &route)?;
-        let time_limit = ask.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let time_limit = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let deadline = arrived + time_limit;
         let body = read_body(body, routing.limits.max_body_bytes, deadline).await?;
-        let fingerprint = fingerprint(origin, &ask, &head, &body);
-        let routing_point = rapidhash::v3::rapidhash_v3(ask.id.as_bytes());
+        let fingerprint = fingerprint(origin, &metadata, &head, &body);
+        let routing_point = rapidhash::v3::rapidhash_v3(metadata.id.as_bytes());
         let service = route
             .pick_service(routing_point)
             .cloned()
             .ok_or_else(|| Failure::new(ErrorKind::NoServer, "the route has no service"))?;
         Ok(Job {
-            ask,
+            metadata,
             origin,
             route,
             service,
@@ -200,7 +200,7 @@
         if let Ok(fingerprint) = HeaderValue::try_from(self.fingerprint.to_string()) {
             headers.insert(FINGERPRINT_HEADER, fingerprint);
         }
-        if let Some(Ok(key)) = self.ask.key.map(|key| HeaderValue::try_from(key.to_string())) {
+        if let Some(Ok(key)) = self.metadata.key.map(|key| HeaderValue::try_from(key.to_string())) {
             headers.insert(KEY_HEADER, key);
         }
         if let Some(Ok(team)) = self.team.as_ref().map(|team| HeaderValue::from_str(&team.name)) {
@@ -238,7 +238,7 @@
 /// fingerprint is used.
 fn fingerprint(
     origin: Origin,
-    ask: &RequestMetadata,
+    metadata: &RequestMetadata,
     head: &http::request::Parts,
     body: &Bytes,
 ) -> Fingerprint {
@@ -252,7 +252,7 @@
     let address = head.extensions.get::<http1::ClientIp>().map(|origin| origin.0);
     Fingerprint {
         content: fingerprint::content_hash(&head.method, host, &head.uri, body),
-        caller: fingerprint::caller_hash(ask.key.as_ref(), address),
+        caller: fingerprint::caller_hash(metadata.key.as_ref(), address),
     }
 }
 
@@ -271,9 +271,9 @@
 
 /// The identity that a request claims for its caller. Only requests from other boxes may claim more
 /// than a key.
-fn identity_claim(origin: Origin, ask: &RequestMetadata, headers: &HeaderMap) -> Credentials {
+fn identity_claim(origin: Origin, metadata: &RequestMetadata, headers: &HeaderMap) -> Credentials {
     if origin == Origin::Caller {
-        return Credentials { key: ask.key, forwarded: None };
+        return Credentials { key: metadata.key, forwarded: None };
     }
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let key = text(&KEY_HEADER).and_then(|key| key.parse::<KeyDigest>().ok());
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -25,7 +25,7 @@
 use crate::transport::timer;
 
 /// Duration of the lease. Other boxes drop a box that is gone within this time.
-const LEASE_LIFE: Duration = Duration::from_secs(4);
+const LEASE_TTL: Duration = Duration::from_secs(4);
 /// Interval of renewals. Two may be lost before the lease expires.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1200);
 
@@ -160,7 +160,7 @@
 
 async fn grant<A: Adapter>(store: &store::Client<A>) -> Result<Lease, PlatformError> {
     let now = clock::now();
-    let granted = store.call_with_era(&Operation::Grant { ttl: LEASE_LIFE }).await?;
+    let granted = store.call_with_era(&Operation::Grant { ttl: LEASE_TTL }).await?;
     let era = granted.era.unwrap_or_else(|| store.newest_era());
     match granted.response {
         StoreResponse::Lease(id) => Ok(Lease { id, era, granted_at: now, confirmed_at: now }),
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/metrics.rs
@@ -18,7 +18,7 @@
 use crate::transport::body::NonRelayBody;
 use crate::transport::body::ResponseBody;
 
-/// Answers a request on the metrics port, whatever its path.
+/// Handles a request on the metrics port, whatever its path.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     _request: Request<Incoming>,
@@ -54,7 +54,7 @@
     let _ = writeln!(text, "copperweir_leaving_servers {leaving}");
     let now = clock::now();
     let services = lock(&shared.services);
-    let resting: usize = services.values().map(|service| service.placement.backing_off(now)).sum();
+    let resting: usize = services.values().map(|service| service.placement.resting(now)).sum();
     drop(services);
     let _ = writeln!(text, "copperweir_resting_servers {resting}");
     shared.latencies.write_metrics(&mut text);
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -5,6 +5,7 @@
 //! control publishes immutable snapshots.
 
 pub mod attempt;
+pub mod box_reports;
 pub mod cluster_state;
 pub mod control;
 pub mod cross_region;
@@ -13,7 +14,6 @@
 pub mod dispatch;
 pub mod event;
 pub mod feedback;
-pub mod gossip;
 pub mod history;
 pub mod ingress;
 pub mod job;
@@ -24,7 +24,7 @@
 pub mod quotas;
 pub mod relay;
 pub mod replica;
-pub mod server_exit;
+pub mod server_crash;
 pub mod settings;
 pub mod shared;
 pub mod state_transfer;
@@ -155,7 +155,7 @@
             replica: Mutex::default(),
             services: Mutex::default(),
             loads: Mutex::default(),
-            quotas: Mutex::new(Quotas::new(quota_bound(&settings), clock::now())),
+            quotas: Mutex::new(Quotas::new(quota_tolerance(&settings), clock::now())),
             throttles: Mutex::new(Throttles::new(rand::random())),
             departures: Mutex::default(),
             regions: Mutex::default(),
@@ -268,7 +268,7 @@
     Ok(socket)
 }
 
-fn quota_bound(settings: &Settings) -> quota::Tolerance {
+fn quota_tolerance(settings: &Settings) -> quota::Tolerance {
     quota::Tolerance { slack: settings.quota_slack, dither: rand::random() }
 }
 
@@ -301,7 +301,7 @@
     let Ports { callers, ready, directory, peers, handover, metrics, reports } = ports;
     match tokio::net::UdpSocket::from_std(reports) {
         Ok(socket) => {
-            tokio::spawn(gossip::exchange_reports(Arc::clone(&shared), socket, stop.clone()));
+            tokio::spawn(box_reports::exchange_reports(Arc::clone(&shared), socket, stop.clone()));
         }
         Err(error) => log::error!("event=reports_off error=\"{error}\""),
     }
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -1,8 +1,8 @@
 //! Probes servers to learn whether they are cold, while neither the store nor another box can tell.
 //!
 //! If a region is cut off or the store is unavailable to all boxes, only the servers themselves
-//! know. A few boxes probe each server and report the answers to the others of the region. A server
-//! without a recent answer counts as cold.
+//! know. A few boxes probe each server and report the responses to the others of the region. A
+//! server without a recent response counts as cold.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 use crate::transport::listen::Shutdown;
 use crate::transport::timer;
 
-/// Maximum wait for an answer. A server without a free slot answers late.
+/// Maximum wait for a response. A server without a free slot responds late.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A server to probe.
@@ -44,7 +44,7 @@
     service: ServiceId,
     server: ServerId,
     hash: u64,
-    life: ServerIncarnation,
+    incarnation: ServerIncarnation,
     address: SocketAddr,
     path: String,
     /// Time between two probes.
@@ -58,7 +58,7 @@
     next_due_at: Instant,
 }
 
-/// Probes servers until told to stop.
+/// Probes servers until shutdown.
 pub async fn probe_servers<A: Adapter>(
     shared: Arc<Shared<A>>,
     mut stop: watch::Receiver<Shutdown>,
@@ -104,7 +104,7 @@
             service: service.clone(),
             server: turning.server.clone(),
             hash: turning.hash,
-            life: turning.incarnation,
+            incarnation: turning.incarnation,
             address: turning.address,
             path: path.clone(),
             interval: turning.probe_interval,
@@ -120,21 +120,24 @@
 async fn probe_server<A: Adapter>(shared: Arc<Shared<A>>, target: ProbeTarget) {
     shared.counters.increment(Counter::Probes);
     let Some(response) = fetch(&shared, &target).await else { return };
-    let verdict = shared.adapter.parse_response(response.status(), response.headers());
+    let metadata = shared.adapter.parse_response(response.status(), response.headers());
     let now = clock::now();
     let ProbeTarget { service, server, .. } = &target;
-    if verdict.instance.as_deref().is_some_and(|instance| instance != server) {
-        log::info!("event=server_replaced server={server} instance={:?}", verdict.instance);
+    if metadata.instance.as_deref().is_some_and(|instance| instance != server) {
+        log::info!("event=server_replaced server={server} instance={:?}", metadata.instance);
         shared.with_service(service, |state| state.placement.mark_replaced(server));
         return;
     }
-    let speaker =
-        ServerRef { server, incarnation: target.life, service: throttle::service_hash(service) };
+    let speaker = ServerRef {
+        server,
+        incarnation: target.incarnation,
+        service: throttle::service_hash(service),
+    };
     let is_refusal = response.status() != StatusCode::OK;
-    let lesson = feedback::with_learner(&shared, service, |learner| {
-        learner.handle_probe_answer(speaker, &verdict.server_status, is_refusal, now)
+    let effects = feedback::with_feedback_handler(&shared, service, |handler| {
+        handler.handle_probe_response(speaker, &metadata.server_status, is_refusal, now)
     });
-    feedback::publish_lesson(&shared, server, &lesson);
+    feedback::publish_effects(&shared, server, &effects);
 }
 
 async fn fetch<A: Adapter>(
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -31,7 +31,7 @@
     let Some((team, limit)) = limited.filter(|_| job.origin == Origin::Caller) else {
         return Ok(None);
     };
-    let charge = Charge { team: team_hash(team), cost: limit.cost(job.ask.tokens) };
+    let charge = Charge { team: team_hash(team), cost: limit.cost(job.metadata.tokens) };
     let admitted = lock(&shared.quotas).admit(charge.team, limit, charge.cost, clock::now());
     admitted.map(|()| Some(charge)).map_err(|refusal| {
         let message = format!(
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -45,7 +45,7 @@
 }
 
 impl<A: Adapter> Relay<A> {
-    /// Starts the task. Returns the receiver that the caller's answer reads from.
+    /// Starts the task. Returns the receiver that the caller's response reads from.
     pub fn start(self) -> mpsc::Receiver<Option<Chunk>> {
         let (sender, receiver) = mpsc::channel(EVENT_QUEUE_LEN);
         tokio::spawn(self.run(sender));
@@ -87,7 +87,7 @@
         &mut self,
         caller_sender: &mpsc::Sender<Option<Chunk>>,
     ) -> Result<(), BodyError> {
-        let mut last_event_id = self.job.ask.last_event;
+        let mut last_event_id = self.job.metadata.last_event;
         loop {
             match self.stream.next().await {
                 Ok(Some(events)) => {
--- a/lib/src/gateway/server_exit.rs
+++ b/lib/src/gateway/server_crash.rs
@@ -1,4 +1,4 @@
-//! Detects whether a server that broke off an answer has exited.
+//! Detects whether a server that broke off a response has crashed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use crate::transport::timer;
 
 /// Maximum wait for the server's host to refuse a connection. A host that is down or unreachable
-/// doesn't answer at all, and then the state of the server is unknown.
+/// doesn't respond at all, and then the state of the server is unknown.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Pauses before further checks. A process that exits closes its connections before its listening
 /// port, which stayed open for up to 200 ms; with a single check, one test in two took a server
-/// that had just exited for a running one. A server that restarts takes over a second.
+/// that had just crashed for a running one. A server that restarts takes over a second.
 const RECHECK_PAUSES: [Duration; 4] = [
     Duration::from_millis(40),
     Duration::from_millis(160),
@@ -20,15 +20,15 @@
     Duration::from_millis(500),
 ];
 
-/// Whether a server has exited: its port refuses connections.
-pub async fn has_exited(address: SocketAddr) -> bool {
-    let mut exited = backend::refuses_connections(address, CONNECT_TIMEOUT).await;
+/// Whether a server has crashed: its port refuses connections.
+pub async fn has_crashed(address: SocketAddr) -> bool {
+    let mut crashed = backend::refuses_connections(address, CONNECT_TIMEOUT).await;
     for pause in RECHECK_PAUSES {
-        if exited {
+        if crashed {
             break;
         }
         timer::sleep(pause).await;
-        exited = backend::refuses_connections(address, CONNECT_TIMEOUT).await;
+        crashed = backend::refuses_connections(address, CONNECT_TIMEOUT).await;
     }
-    exited
+    crashed
 }
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -63,6 +63,6 @@
     pub propagation_limit: Duration,
     /// Reads a second that the store allows all boxes together.
     pub store_reads: f64,
-    /// Maximum time for which callers cache an answer of the directory.
+    /// Maximum time for which callers cache a response of the directory.
     pub directory_ttl: Duration,
 }
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -99,11 +99,11 @@
     pub regions: Mutex<RegionUtilization>,
     /// Status that other boxes report about themselves.
     pub presence: Mutex<Presence>,
-    /// Boxes that are heard from though the store doesn't list them.
+    /// Boxes that send datagrams though the store doesn't list them.
     pub unlisted: Mutex<Unlisted>,
     /// How recent the state from the store is.
     pub freshness: Mutex<Freshness>,
-    /// Answers that broke off lately.
+    /// Responses that broke off lately.
     pub broken: Mutex<InterruptedRequests>,
     /// Requests that crash servers.
     pub quarantine: Mutex<Quarantine>,
@@ -207,7 +207,7 @@
         self.outcome = outcome;
     }
 
-    /// Records that the answer has begun.
+    /// Records that the response has begun.
     pub fn first_byte(&mut self) {
         let place = &mut self.place;
         self.shared.with_service(&self.service, |service| service.placement.first_byte(place));
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -171,7 +171,7 @@
     }
 }
 
-/// Answers the state query of another box.
+/// Handles the state query of another box.
 pub async fn handle<A: Adapter>(
     shared: Arc<Shared<A>>,
     request: Request<Incoming>,
@@ -281,7 +281,7 @@
 }
 
 /// Requests from one box what this one lacks. Returns `None` if that box has no state or doesn't
-/// answer.
+/// response.
 pub async fn fetch_from(
     client: &backend::Client,
     address: SocketAddr,
@@ -314,8 +314,8 @@
     }
     let body = Bytes::from(scope.to_query().encode_to_vec());
     let request = request.body(Full::from(body)).map_err(|error| error.to_string())?;
-    let answer = client.fetch(address, request).await.map_err(|error| error.to_string())?;
-    let reply = StateReply::decode(answer.into_body()).map_err(|error| error.to_string())?;
+    let response = client.fetch(address, request).await.map_err(|error| error.to_string())?;
+    let reply = StateReply::decode(response.into_body()).map_err(|error| error.to_string())?;
     let Some(age_ms) = reply.age_ms else { return Ok(None) };
     let removed_keys = match reply.removed {
         Some(removed) => RemovedKeys::Listed(removed.hashes.into_iter().collect()),
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -13,7 +13,7 @@
 use super::store_keys::RATES;
 use crate::coordination::presence;
 use crate::coordination::rendezvous;
-use crate::coordination::throttle::ServerLife;
+use crate::coordination::throttle::ServerIncarnation;
 use crate::coordination::throttle::ServiceHash;
 use crate::coordination::throttle::StoredRate;
 use crate::error::ErrorKind;
@@ -29,7 +29,7 @@
 use crate::transport::timer;
 
 /// How long the store keeps a rate. A rate that is still valid then is written again.
-const RATE_LEASE_LIFE: Duration = Duration::from_secs(600);
+const RATE_LEASE_TTL: Duration = Duration::from_secs(600);
 /// Interval of the checks for rates to write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -66,7 +66,9 @@
 
 /// Removes a rate whose key is gone from the store.
 pub fn remove_stored_rate<A: Adapter>(shared: &Shared<A>, key: &str) {
-    let server = key.strip_prefix(RATES).and_then(|life| ServerLife::from_str_radix(life, 16).ok());
+    let server = key
+        .strip_prefix(RATES)
+        .and_then(|incarnation| ServerIncarnation::from_str_radix(incarnation, 16).ok());
     if let Some(server) = server {
         let stored_rate = StoredRate { server, service: 0, rate: None };
         lock(&shared.throttles).merge_stored(stored_rate, clock::now());
@@ -100,8 +102,7 @@
     store: &store::Client<A>,
     rates: &[StoredRate],
 ) -> Result<(), PlatformError> {
-    let StoreResponse::Lease(lease) =
-        store.call(&Operation::Grant { ttl: RATE_LEASE_LIFE }).await?
+    let StoreResponse::Lease(lease) = store.call(&Operation::Grant { ttl: RATE_LEASE_TTL }).await?
     else {
         return Err(PlatformError::Malformed("not a lease".to_owned()));
     };
--- a/lib/tests/test_cluster_state.rs
+++ b/lib/tests/test_cluster_state.rs
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn unlisted_box_counts_once_it_is_heard_from() {
+fn unlisted_box_counts_once_its_datagrams_arrive() {
     let now = Instant::now();
     let own_record = record("b1");
     let mut cluster_state = cluster_state();
     cluster_state.apply(Fact::Server(server(Duration::from_secs(3))), 1, now);
     assert_eq!(cold_share(&cluster_state, &own_record, false), 14);
-    assert!(cluster_state.note_heard_boxes([box_hash("b2")].into_iter(), now));
-    assert!(!cluster_state.note_heard_boxes([box_hash("b2")].into_iter(), now));
+    assert!(cluster_state.record_senders([box_hash("b2")].into_iter(), now));
+    assert!(!cluster_state.record_senders([box_hash("b2")].into_iter(), now));
     assert_eq!(cold_share(&cluster_state, &own_record, false), 7);
     cluster_state.apply_box(record("b2"));
     assert_eq!(cold_share(&cluster_state, &own_record, false), 7, "it is the same box");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn expired_box_counts_while_it_is_heard_from() {
+fn expired_box_counts_while_its_datagrams_arrive() {
     let mut now = Instant::now();
     let own_record = record("b1");
     let mut cluster_state = cluster_state();
--- a/lib/tests/test_coordination.rs
+++ b/lib/tests/test_coordination.rs
@@ -15,13 +15,13 @@
 use copperweir_lib::coordination::lease::Action;
 use copperweir_lib::coordination::lease::LeaseClient;
 use copperweir_lib::coordination::ledger::Admission;
-use copperweir_lib::coordination::ledger::Answer;
 use copperweir_lib::coordination::ledger::Conclusion;
+use copperweir_lib::coordination::ledger::KeptResponse;
 use copperweir_lib::coordination::ledger::Key;
 use copperweir_lib::coordination::ledger::Ledger;
 use copperweir_lib::coordination::ledger::LedgerLimits;
 use copperweir_lib::coordination::lending::Borrower;
-use copperweir_lib::coordination::lending::CREDIT_LIFETIME;
+use copperweir_lib::coordination::lending::CREDIT_TTL;
 use copperweir_lib::coordination::lending::Lender;
 use copperweir_lib::coordination::policy::PrefixAffinity;
 use copperweir_lib::coordination::pool::Arrival;
@@ -199,7 +199,7 @@
             }
             Step::Credit { slots } => {
                 self.credits += slots;
-                self.pool.add_credit("there".to_owned(), slots, CREDIT_LIFETIME, self.now);
+                self.pool.add_credit("there".to_owned(), slots, CREDIT_TTL, self.now);
             }
             Step::AdvanceTime { millis } => {
                 self.now += Duration::from_millis(millis);
@@ -310,7 +310,7 @@
         1 => (1..30u64).prop_map(Operation::AdvanceTime),
     ];
     let result = runner().run(&prop::collection::vec(operation, 1..200), |operations| {
-        let bounds = LedgerLimits { max_entries: 5, max_answer_bytes: 250 };
+        let bounds = LedgerLimits { max_entries: 5, max_response_bytes: 250 };
         let mut ledger = Ledger::new(bounds);
         let mut now = Instant::now();
         let key = |number: u8| Key { team: "t".to_owned(), text: number.to_string() };
@@ -330,7 +330,7 @@
                 }
                 Operation::Conclude(number, outcome) => {
                     let Some((until, true)) = blocked_keys.get(&number).copied() else { continue };
-                    let answer = Answer {
+                    let response = KeptResponse {
                         status: 200,
                         headers: Vec::new(),
                         body: Bytes::from(vec![number; 100]),
@@ -338,7 +338,7 @@
                     let conclusion = match outcome {
                         0 => Conclusion::NotRun,
                         1 => Conclusion::Unknown,
-                        _ => Conclusion::Answered(Some(answer)),
+                        _ => Conclusion::Answered(Some(response)),
                     };
                     ledger.conclude(&key(number), conclusion);
                     match outcome {
@@ -349,7 +349,7 @@
                 Operation::AdvanceTime(seconds) => now += Duration::from_secs(seconds),
             }
             prop_assert!(ledger.len() <= bounds.max_entries);
-            prop_assert!(ledger.bytes() <= bounds.max_answer_bytes);
+            prop_assert!(ledger.bytes() <= bounds.max_response_bytes);
         }
         Ok(())
     });
@@ -359,7 +359,7 @@
 #[test]
 fn two_boxes_never_hold_the_lease_at_once() {
     // Each step advances the clock and runs one of two boxes. The store may expire leases, and an
-    // answer of the store may be lost.
+    // response of the store may be lost.
     let steps = prop::collection::vec((0..2usize, 100..4000u64, any::<bool>()), 1..300);
     let result = runner().run(&steps, |steps| {
         let timing = lease::Timing::default();
@@ -367,7 +367,7 @@
         let mut now = Instant::now();
         let mut stored_lease: Option<(usize, Instant, u64)> = None;
         let mut epoch = 0;
-        for (active, millis, answer_lost) in steps {
+        for (active, millis, response_lost) in steps {
             now += Duration::from_millis(millis);
             if stored_lease.is_some_and(|(_, until, _)| now >= until) {
                 stored_lease = None;
@@ -378,7 +378,7 @@
                     Action::Acquire if stored_lease.is_none() => {
                         epoch += 1;
                         stored_lease = Some((active, now + timing.ttl, epoch));
-                        match answer_lost {
+                        match response_lost {
                             true => lease::Event::AcquireFailed(now),
                             false => lease::Event::Acquired { epoch, asked_at: now },
                         }
@@ -387,7 +387,7 @@
                     Action::Renew => match &mut stored_lease {
                         Some((holder, until, _)) if *holder == active => {
                             *until = now + timing.ttl;
-                            match answer_lost {
+                            match response_lost {
                                 true => lease::Event::RenewalFailed,
                                 false => lease::Event::Renewed { asked_at: now },
                             }
@@ -460,8 +460,8 @@
             let before: u32 = lent_slots.iter().map(|(_, slots)| slots).sum();
             let lent = lender.lend(spare, wanted, now);
             prop_assert!(lent == 0 || before + lent <= spare);
-            lent_slots.push((now + CREDIT_LIFETIME, lent));
-            borrower.receive(there.clone(), lent, CREDIT_LIFETIME, now);
+            lent_slots.push((now + CREDIT_TTL, lent));
+            borrower.receive(there.clone(), lent, CREDIT_TTL, now);
             let outstanding: u32 = lent_slots.iter().map(|(_, slots)| slots).sum();
             prop_assert!(borrower.available(&there, now) <= outstanding);
             borrower.use_slot([&there].into_iter(), now);
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -73,12 +73,12 @@
 fn addresses(
     snapshot: &Snapshot,
     own: &BoxRecord,
-    question_from: &DirectoryQuery,
+    query_from: &DirectoryQuery,
 ) -> (Vec<SocketAddr>, bool) {
-    directory::addresses(snapshot, &Presence::default(), own, question_from, Instant::now())
+    directory::addresses(snapshot, &Presence::default(), own, query_from, Instant::now())
 }
 
-fn question_from(region: &str) -> DirectoryQuery {
+fn query_from(region: &str) -> DirectoryQuery {
     DirectoryQuery {
         host: "h".to_owned(),
         region: region.to_owned(),
@@ -91,7 +91,7 @@
     let boxes =
         vec![record(2, "north", false), record(3, "north", true), record(4, "south", false)];
     let addresses_at =
-        addresses(&snapshot(boxes, &[]), &record(1, "north", false), &question_from("north"));
+        addresses(&snapshot(boxes, &[]), &record(1, "north", false), &query_from("north"));
     assert_eq!(addresses_at, (vec![caller_address(2), caller_address(1)], true));
 }
 
@@ -99,7 +99,7 @@
 fn region_without_boxes_gets_boxes_of_allowed_regions() {
     let boxes = vec![record(2, "north", true), record(3, "south", false), record(4, "west", false)];
     let snapshot = snapshot(boxes, &["north", "south"]);
-    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &query_from("north"));
     assert_eq!(addresses_at, (vec![caller_address(3)], false));
 }
 
@@ -107,7 +107,7 @@
 fn any_box_is_named_if_no_region_may_run_the_routes() {
     let boxes = vec![record(4, "west", false)];
     let snapshot = snapshot(boxes, &["north"]);
-    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &query_from("north"));
     assert_eq!(addresses_at, (vec![caller_address(4), caller_address(1)], false));
 }
 
@@ -123,7 +123,7 @@
         route("/both/", &["north", "south"]),
     ];
     let snapshot = snapshot_with_routes(boxes, routes);
-    let addresses_at = addresses(&snapshot, &record(1, "west", false), &question_from("north"));
+    let addresses_at = addresses(&snapshot, &record(1, "west", false), &query_from("north"));
     assert_eq!(addresses_at, (vec![caller_address(3)], false));
 }
 
@@ -140,7 +140,7 @@
     );
     let addresses_at = |presence: &Presence, now| {
         let own = record(1, "south", false);
-        directory::addresses(&snapshot, presence, &own, &question_from("north"), now).0
+        directory::addresses(&snapshot, presence, &own, &query_from("north"), now).0
     };
     assert_eq!(addresses_at(&presence, now), vec![caller_address(3)]);
     assert!(presence.record_announcement(box_hash("b2"), 2, false, now), "it has restarted");
@@ -168,7 +168,7 @@
     let mut presence = Presence::default();
     presence.record_announcement(box_hash("b3"), 1, true, now);
     let addresses_at =
-        |now| directory::addresses(&snapshot, &presence, &own, &question_from("north"), now);
+        |now| directory::addresses(&snapshot, &presence, &own, &query_from("north"), now);
     assert_eq!(addresses_at(now), (vec![caller_address(3)], false));
     let later = now + Duration::from_secs(2);
     assert_eq!(
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_box_with_a_newer_state_that_does_not_answer_is_not_asked_again_at_once() {
+fn a_box_with_a_newer_state_that_does_not_respond_is_not_asked_again_at_once() {
     let now = Instant::now();
     let mut freshness = Freshness::default();
     confirmed_by_store(&mut freshness, version(5), now);
@@ -219,8 +219,8 @@
     replica.advance_to(position(1));
     replica.remove("k7");
     replica.advance_to(position(2));
-    let told = |after| replica.removed_after(position(after)).map(|removed| removed.count());
-    assert_eq!([told(0), told(1), told(2)], [None, Some(1), Some(0)]);
+    let reported = |after| replica.removed_after(position(after)).map(|removed| removed.count());
+    assert_eq!([reported(0), reported(1), reported(2)], [None, Some(1), Some(0)]);
 }
 
 #[test]
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -40,9 +40,9 @@
     let mut stream = TcpStream::connect(to).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
     stream.write_all(request.as_bytes()).expect("a request");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[test]
@@ -147,8 +147,8 @@
     let fleet = Fleet::start(Plan::new(13));
     let address = fleet.plan.callers_address(0, 0);
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 999999999\r\n\r\n";
-    let answer = send_raw(address, head);
-    assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
+    let response = send_raw(address, head);
+    assert!(response.starts_with("HTTP/1.1 413"), "{response}");
 }
 
 #[test]
@@ -157,11 +157,11 @@
     let mut stream = TcpStream::connect(fleet.plan.callers_address(0, 0)).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
     stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nx-").expect("a beginning");
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     // The box closes the connection. Without its limit on the time for headers, the read would time
     // out.
-    stream.read_to_end(&mut answer).expect("the box ends the connection");
-    assert!(!answer.starts_with(b"HTTP/1.1 200"));
+    stream.read_to_end(&mut response).expect("the box ends the connection");
+    assert!(!response.starts_with(b"HTTP/1.1 200"));
 }
 
 #[test]
@@ -222,16 +222,16 @@
         engine::Faults { end_after: 5, ..engine::Faults::default() },
     ] {
         fleet.engines[0][0].set_faults(faults);
-        let answer = send_raw(
+        let response = send_raw(
             address,
             &format!(
                 "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             ),
         );
-        assert!(answer.contains("\"code\":\"backend_failed\""), "{answer}");
-        assert!(!answer.contains("[DONE]"), "{answer}");
-        assert!(!answer.ends_with("\r\n0\r\n\r\n"), "the end looks clean: {answer}");
+        assert!(response.contains("\"code\":\"backend_failed\""), "{response}");
+        assert!(!response.contains("[DONE]"), "{response}");
+        assert!(!response.ends_with("\r\n0\r\n\r\n"), "the end looks clean: {response}");
         let whole = fleet.block_on(send(
             &fleet.client,
             address,
@@ -259,20 +259,20 @@
 }
 
 #[test]
-fn request_with_a_lost_answer_is_never_called_not_run() {
+fn request_with_a_lost_response_is_never_called_not_run() {
     let mut plan = Plan::new(21);
     plan.engines = 2;
     let fleet = Fleet::start(plan);
     let address = fleet.plan.callers_address(0, 0);
     let faults_losing = |count| engine::Faults { lose_answers: count, ..engine::Faults::default() };
-    // One answer is lost. The request may be repeated, and is, on the other engine.
+    // One response is lost. The request may be repeated, and is, on the other engine.
     let body = json!({"model": "log", "messages": [], "max_tokens": 1});
     for engine in &fleet.engines[0] {
         engine.set_faults(faults_losing(1));
         assert_eq!(fleet.complete(address, &[], &body).status, StatusCode::OK);
         engine.set_faults(faults_losing(0));
     }
-    // Both engines lose their answers. No server is left, but the request may have run.
+    // Both engines lose their responses. No server is left, but the request may have run.
     fleet.engines[0].iter().for_each(|engine| engine.set_faults(faults_losing(100)));
     let reply = fleet.complete(address, &[], &body);
     assert_failure(&reply, "backend_failed", "unknown");
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -1,8 +1,8 @@
-//! Every statement of a server is evaluated, on every kind of answer.
+//! Every statement of a server is evaluated, on every kind of response.
 //!
-//! Four times, statements were evaluated on some kinds of answer and ignored on others, or did not
-//! affect decisions: that a server is cold, that it has crashed, its rate limit, that it is
-//! leaving, and its back-off.
+//! Four times, statements were evaluated on some kinds of response and ignored on others, or did
+//! not affect decisions: that a server is cold, that it has crashed, its rate limit, that it is
+//! leaving, and its rest period.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,10 +35,10 @@
 use rand::rngs::SmallRng;
 
 const SERVICE: u64 = 7;
-const BACKOFF: Duration = Duration::from_secs(3);
+const REST_PERIOD: Duration = Duration::from_secs(3);
 const COLD: Duration = Duration::from_secs(5);
 
-/// Kinds of answer whose head has arrived, each with the statements of the server.
+/// Kinds of response whose head has arrived, each with the statements of the server.
 const HEAD_EVENTS: [AttemptEvent; 3] =
     [AttemptEvent::HeadReceived, AttemptEvent::Refused, AttemptEvent::Invalid];
 
@@ -126,8 +126,8 @@
     ServerStatus { leaving: true, ..ServerStatus::default() }
 }
 
-fn backoff_status() -> ServerStatus {
-    ServerStatus { rest: Some(BACKOFF), ..ServerStatus::default() }
+fn rest_status() -> ServerStatus {
+    ServerStatus { rest: Some(REST_PERIOD), ..ServerStatus::default() }
 }
 
 fn rate_status() -> ServerStatus {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn leaving_is_read_from_every_kind_of_answer_and_reported() {
+fn leaving_is_read_from_every_kind_of_response_and_reported() {
     for event in HEAD_EVENTS {
         let mut scenario = Scenario::new();
         let place = scenario.choose().expect("a place");
@@ -158,32 +158,28 @@
 }
 
 #[test]
-fn a_backoff_is_read_from_every_kind_of_answer_and_not_reported() {
+fn a_rest_period_is_read_from_every_kind_of_response_and_not_reported() {
     for event in HEAD_EVENTS {
         let mut scenario = Scenario::new();
         let place = scenario.choose().expect("a place");
-        let effects = scenario.handle_report(&place, AttemptReport::head(event, backoff_status()));
+        let effects = scenario.handle_report(&place, AttemptReport::head(event, rest_status()));
         assert_eq!(
             (effects.notify, effects.observations),
-            (None, vec![Observation::RequestedBackoff(BACKOFF)])
+            (None, vec![Observation::RequestedRestPeriod(REST_PERIOD)])
         );
         let now = scenario.now;
-        let until = now + BACKOFF;
-        assert_eq!(
-            scenario.choose().unwrap_err(),
-            Blocked::BackingOff { until },
-            "after {event:?}"
-        );
+        let until = now + REST_PERIOD;
+        assert_eq!(scenario.choose().unwrap_err(), Blocked::Resting { until }, "after {event:?}");
         assert!(!scenario.placement.still_admits(&place, now), "between choice and send");
         assert!(scenario.placement.is_closed(&Loads::default(), &scenario.throttles, now));
-        assert_eq!(scenario.placement.backing_off(now), 1);
+        assert_eq!(scenario.placement.resting(now), 1);
         scenario.now = until;
         assert!(scenario.choose().is_ok() && scenario.placement.still_admits(&place, until));
     }
 }
 
 #[test]
-fn a_rate_limit_is_read_from_every_kind_of_answer_and_reported() {
+fn a_rate_limit_is_read_from_every_kind_of_response_and_reported() {
     for event in HEAD_EVENTS {
         let mut scenario = Scenario::new();
         let place = scenario.choose().expect("a place");
@@ -197,9 +193,9 @@
     }
 }
 
-/// A server's own answer without a rate limit says that there is none; a refusal may omit it.
+/// A server's own response without a rate limit says that there is none; a refusal may omit it.
 #[test]
-fn the_end_of_a_rate_limit_is_read_from_complete_answers() {
+fn the_end_of_a_rate_limit_is_read_from_complete_responses() {
     for (event, expected) in [
         (AttemptEvent::HeadReceived, None),
         (AttemptEvent::Refused, Some(4.0)),
@@ -215,7 +211,7 @@
 }
 
 #[test]
-fn turning_cold_is_read_from_every_kind_of_answer_and_reported() {
+fn turning_cold_is_read_from_every_kind_of_response_and_reported() {
     for event in HEAD_EVENTS {
         let mut scenario = Scenario::new();
         let place = scenario.choose().expect("a place");
@@ -224,39 +220,46 @@
             (effects.notify, effects.observations),
             (Some(Audience::Region), vec![Observation::TurnedCold(COLD)])
         );
-        let told: Vec<_> = scenario.placement.cold_reports(scenario.now).collect();
-        assert_eq!(told, [(place.incarnation, COLD, scenario.now)], "after {event:?}");
+        let reported: Vec<_> = scenario.placement.cold_reports(scenario.now).collect();
+        assert_eq!(reported, [(place.incarnation, COLD, scenario.now)], "after {event:?}");
     }
 }
 
 /// Another instance at the address says nothing about the server that was meant.
 #[test]
 fn statements_of_another_instance_are_ignored() {
-    let words =
-        ServerStatus { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
+    let server_status = ServerStatus {
+        leaving: true,
+        rest: Some(REST_PERIOD),
+        rate: Some(4.0),
+        cold_left: Some(COLD),
+    };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
     let effects =
-        scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Replaced, words));
+        scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Replaced, server_status));
     assert_eq!(effects, Effects::default());
     assert!(scenario.departures.is_empty() && scenario.throttles.is_empty());
-    assert_eq!(scenario.placement.backing_off(scenario.now), 0);
+    assert_eq!(scenario.placement.resting(scenario.now), 0);
 }
 
 #[test]
-fn all_statements_are_read_from_the_answer_to_a_probe() {
-    let words =
-        ServerStatus { leaving: true, rest: Some(BACKOFF), rate: Some(4.0), cold_left: Some(COLD) };
+fn all_statements_are_read_from_the_response_to_a_probe() {
+    let server_status = ServerStatus {
+        leaving: true,
+        rest: Some(REST_PERIOD),
+        rate: Some(4.0),
+        cold_left: Some(COLD),
+    };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
     let now = scenario.now;
     let speaker =
         ServerRef { server: &place.server, incarnation: place.incarnation, service: SERVICE };
-    let effects = scenario.handler().handle_probe_answer(speaker, &words, true, now);
+    let effects = scenario.handler().handle_probe_response(speaker, &server_status, true, now);
     assert_eq!((effects.notify, effects.observations.len()), (Some(Audience::Region), 4));
     assert!(
-        scenario.departures.is_leaving(place.incarnation)
-            && scenario.placement.backing_off(now) == 1
+        scenario.departures.is_leaving(place.incarnation) && scenario.placement.resting(now) == 1
     );
     assert_eq!(scenario.throttles.rate(place.incarnation), Some(4.0));
 }
@@ -290,20 +293,20 @@
     }
 }
 
-/// If a server is backing off, limits its rate and is cold at once, all of it applies.
+/// If a server is resting, limits its rate and is cold at once, all of it applies.
 #[test]
 fn several_statements_apply_together() {
-    let words = ServerStatus {
-        rest: Some(BACKOFF),
+    let server_status = ServerStatus {
+        rest: Some(REST_PERIOD),
         rate: Some(0.5),
         cold_left: Some(COLD),
         leaving: false,
     };
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
-    scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Refused, words));
-    assert!(matches!(scenario.choose().unwrap_err(), Blocked::BackingOff { .. }));
-    scenario.now += BACKOFF;
+    scenario.handle_report(&place, AttemptReport::head(AttemptEvent::Refused, server_status));
+    assert!(matches!(scenario.choose().unwrap_err(), Blocked::Resting { .. }));
+    scenario.now += REST_PERIOD;
     assert!(scenario.choose().is_ok(), "the rate limit and the cold share admit one request each");
     assert!(scenario.choose().is_err(), "both are used up");
 }
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -437,10 +437,10 @@
         Duration::from_secs(3),
         fixture.now,
     );
-    let told: Vec<_> = fixture.placement.cold_reports(fixture.now).collect();
-    assert_eq!(told.len(), 2);
-    assert!(told.contains(&(server_hash("i-0"), Duration::ZERO, fixture.now)));
-    assert!(told.contains(&(server_hash("i-1"), Duration::from_secs(3), fixture.now)));
+    let reported: Vec<_> = fixture.placement.cold_reports(fixture.now).collect();
+    assert_eq!(reported.len(), 2);
+    assert!(reported.contains(&(server_hash("i-0"), Duration::ZERO, fixture.now)));
+    assert!(reported.contains(&(server_hash("i-1"), Duration::from_secs(3), fixture.now)));
     fixture.now += Duration::from_secs(1);
     assert_eq!(fixture.placement.cold_reports(fixture.now).count(), 0);
 }
@@ -517,7 +517,8 @@
     let mut fixture = Fixture::new(placement(0, 8, 1));
     fixture.placement.update(vec![restarted(1)], 1, &service, fixture.now);
     let mut held = fixture.choose(&prompt(1)).expect("a place");
-    let first_life: Vec<u64> = fixture.placement.own_loads().map(|(life, _)| life).collect();
+    let first_incarnations: Vec<u64> =
+        fixture.placement.own_loads().map(|(incarnation, _)| incarnation).collect();
     for _ in 0..20 {
         let mut lost = fixture.choose_among(&[], Eligible::Any).expect("a place");
         fixture.placement.finish(&mut lost, Outcome::Lost, fixture.now);
@@ -530,7 +531,7 @@
     fixture.placement.finish(&mut held, Outcome::Lost, fixture.now);
     let loads: Vec<_> = fixture.placement.own_loads().collect();
     assert_eq!((loads.len(), loads[0].1.in_flight), (1, 1), "its own request is still there");
-    assert_ne!(loads[0].0, first_life[0]);
+    assert_ne!(loads[0].0, first_incarnations[0]);
 }
 
 /// One of two servers limits its rate: requests beyond the limit go to the other one, and are
@@ -538,8 +539,8 @@
 #[test]
 fn a_rate_limited_server_gets_no_more_while_others_have_capacity() {
     let mut fixture = Fixture::new(placement(2, 4, 1));
-    let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.record_rate(life, 1, Some(2.0), fixture.now);
+    let incarnation = fixture.placement.usable_incarnations().next().expect("a server");
+    fixture.throttles.record_rate(incarnation, 1, Some(2.0), fixture.now);
     for _ in 0..12 {
         assert_eq!(fixture.choose_without_prompt().expect("a place on the other").server, "i-1");
     }
@@ -554,7 +555,7 @@
     assert_eq!(place.server, "i-0");
     fixture.throttles.record_sent(place.incarnation, fixture.now);
     assert_eq!(fixture.choose_without_prompt().unwrap_err(), Blocked::Throttled);
-    fixture.throttles.record_rate(life, 1, None, fixture.now);
+    fixture.throttles.record_rate(incarnation, 1, None, fixture.now);
     assert!(fixture.choose_without_prompt().is_ok());
 }
 
@@ -563,10 +564,10 @@
 #[test]
 fn a_rate_limited_server_counts_with_the_slots_that_it_uses() {
     let mut fixture = Fixture::new(placement(2, 64, 1));
-    let life = fixture.placement.usable_incarnations().next().expect("a server");
-    fixture.throttles.record_rate(life, 1, Some(3.0), fixture.now);
+    let incarnation = fixture.placement.usable_incarnations().next().expect("a server");
+    fixture.throttles.record_rate(incarnation, 1, Some(3.0), fixture.now);
     assert_eq!(
-        fixture.placement.fullness(&fixture.loads, &fixture.throttles, fixture.now).slots,
+        fixture.placement.utilization(&fixture.loads, &fixture.throttles, fixture.now).slots,
         67.0
     );
 }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -255,9 +255,11 @@
             InterruptedRequest { request: FATAL, sent_at, interrupted_at: now },
             now,
         );
-        let told = scenarios[number as usize].quarantine.crash_reports(Audience::Region, now);
+        let reported = scenarios[number as usize].quarantine.crash_reports(Audience::Region, now);
         for scenario in &mut scenarios {
-            told.iter().for_each(|crash_under| scenario.quarantine.receive_crash(crash_under, now));
+            reported
+                .iter()
+                .for_each(|crash_under| scenario.quarantine.receive_crash(crash_under, now));
             scenario.now = now;
         }
     }
@@ -328,9 +330,9 @@
     }
     scenario.wait(EVALUATED);
     let now = scenario.now;
-    let told = scenario.quarantine.verdict_reports(now, &mut rand::rng());
+    let reported = scenario.quarantine.verdict_reports(now, &mut rand::rng());
     let asked = scenario.quarantine.active_verdicts(now);
-    for verdicts in [told, asked] {
+    for verdicts in [reported, asked] {
         let mut other = Quarantine::default();
         verdicts.iter().for_each(|verdict| other.receive_verdict(verdict, now));
         assert!(other.refused_for(FATAL, now).is_some());
--- a/lib/tests/test_rest.rs
+++ b/lib/tests/test_rest.rs
@@ -1,48 +1,48 @@
-//! Servers that ask boxes to back off, and callers that retry afterwards, without sockets or a
-//! clock.
+//! Servers that ask boxes for a rest period, and callers that retry afterwards, without sockets or
+//! a clock.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::backoff::Backoffs;
+use copperweir_lib::coordination::rest_period::RestPeriods;
 use copperweir_lib::coordination::retry_spread::RetrySpread;
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_backoff_that_ends_last_applies() {
+fn the_rest_period_that_ends_last_applies() {
     let now = Instant::now();
-    let mut backoffs = Backoffs::default();
-    backoffs.record(1, SECOND * 3, now);
-    backoffs.record(1, SECOND, now + SECOND);
-    assert_eq!(backoffs.until(1, now), Some(now + SECOND * 3));
-    backoffs.record(1, SECOND * 3, now + SECOND);
-    assert_eq!(backoffs.until(1, now + SECOND * 3), Some(now + SECOND * 4));
-    assert!(!backoffs.admits(1, 0, now + SECOND * 3));
-    assert!(backoffs.admits(2, 50, now + SECOND * 3), "other servers are unaffected");
+    let mut rest_periods = RestPeriods::default();
+    rest_periods.record(1, SECOND * 3, now);
+    rest_periods.record(1, SECOND, now + SECOND);
+    assert_eq!(rest_periods.until(1, now), Some(now + SECOND * 3));
+    rest_periods.record(1, SECOND * 3, now + SECOND);
+    assert_eq!(rest_periods.until(1, now + SECOND * 3), Some(now + SECOND * 4));
+    assert!(!rest_periods.admits(1, 0, now + SECOND * 3));
+    assert!(rest_periods.admits(2, 50, now + SECOND * 3), "other servers are unaffected");
 }
 
 #[test]
-fn the_number_of_requests_grows_after_a_backoff() {
+fn the_number_of_requests_grows_after_a_rest_period() {
     let now = Instant::now();
-    let mut backoffs = Backoffs::default();
-    backoffs.record(1, SECOND, now);
+    let mut rest_periods = RestPeriods::default();
+    rest_periods.record(1, SECOND, now);
     let admitted = |after: u64| {
         let at = now + SECOND + Duration::from_millis(after);
-        (0..200).take_while(|in_flight| backoffs.admits(1, *in_flight, at)).count()
+        (0..200).take_while(|in_flight| rest_periods.admits(1, *in_flight, at)).count()
     };
     assert_eq!((admitted(0), admitted(250), admitted(1050)), (2, 4, 64));
     assert_eq!(admitted(1500), 200);
 }
 
 #[test]
-fn an_unlimited_backoff_ends() {
+fn an_unlimited_rest_period_ends() {
     let now = Instant::now();
-    let mut backoffs = Backoffs::default();
-    backoffs.record(1, Duration::MAX, now);
-    assert!(!backoffs.admits(1, 0, now + SECOND * 3000));
-    assert!(backoffs.admits(1, 0, now + SECOND * 3600));
+    let mut rest_periods = RestPeriods::default();
+    rest_periods.record(1, Duration::MAX, now);
+    assert!(!rest_periods.admits(1, 0, now + SECOND * 3000));
+    assert!(rest_periods.admits(1, 0, now + SECOND * 3600));
 }
 
 proptest! {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A pool of servers, one of which asks to back off.
+/// A pool of servers, one of which asks for a rest period.
 mod pool {
     use std::collections::BTreeMap;
     use std::collections::BTreeSet;
@@ -119,12 +119,12 @@
             Scenario { pool, rng: SmallRng::seed_from_u64(1), now, next: 0 }
         }
 
-        fn arrive(&mut self, patience: Duration) -> Decision {
+        fn arrive(&mut self, timeout: Duration) -> Decision {
             self.next += 1;
             let arrival = Arrival {
                 id: self.next,
                 priority: Priority::Normal,
-                deadline: self.now + patience,
+                deadline: self.now + timeout,
                 bytes: 10,
                 local_allowed: true,
                 remote_regions: Vec::new(),
@@ -148,7 +148,7 @@
     }
 
     #[test]
-    fn a_server_that_is_backing_off_gets_nothing_and_has_not_failed() {
+    fn a_server_that_is_resting_gets_nothing_and_has_not_failed() {
         let mut scenario = Scenario::new(2);
         let resting = scenario.place();
         for _ in 0..5 {
@@ -168,7 +168,7 @@
     }
 
     #[test]
-    fn a_caller_waits_for_the_end_of_a_backoff_only_if_it_can_be_served_in_time() {
+    fn a_caller_waits_for_the_end_of_a_rest_period_only_if_it_can_be_served_in_time() {
         let mut scenario = Scenario::new(1);
         let only = scenario.place();
         scenario.finish(&only, Outcome::Rests(SECOND * 3));
--- a/lib/tests/test_throttle.rs
+++ b/lib/tests/test_throttle.rs
@@ -7,7 +7,7 @@
 
 use copperweir_lib::coordination::quota::ReportId;
 use copperweir_lib::coordination::throttle::Throttles;
-use copperweir_lib::coordination::throttle::messages::ThrottleReport;
+use copperweir_lib::coordination::throttle::wire::ThrottleReport;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -17,8 +17,8 @@
 const RECIPIENTS_PER_REPORT: usize = 32;
 /// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(5);
-/// Time from sending a request to the head of its answer.
-const ANSWER_LATENCY: Duration = Duration::from_millis(50);
+/// Time from sending a request to the head of its response.
+const RESPONSE_LATENCY: Duration = Duration::from_millis(50);
 /// Window over which the rate is checked, and the factor of the rate plus the number of requests
 /// that it may hold.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -130,7 +130,7 @@
     incarnation: u64,
     report_numbers: Vec<u64>,
     in_transit: Vec<Datagram>,
-    answers: Vec<(Instant, usize)>,
+    responses: Vec<(Instant, usize)>,
     start: Instant,
     result: SimulationResult,
 }
@@ -144,7 +144,7 @@
             incarnation: 1,
             report_numbers: vec![0; scenario.boxes],
             in_transit: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             start: Instant::now(),
             result: SimulationResult { arrivals: Vec::new(), max_report_bytes: 0 },
             scenario,
@@ -164,7 +164,7 @@
             }
             self.deliver(now);
             self.send_reports(step, now);
-            self.receive_answers(now);
+            self.receive_responses(now);
             self.generate_requests(now);
         }
         self.result
@@ -175,7 +175,7 @@
         self.report_numbers.fill(0);
         self.boxes = boxes(self.scenario.boxes, &mut self.rng);
         self.in_transit.clear();
-        self.answers.clear();
+        self.responses.clear();
     }
 
     fn deliver(&mut self, now: Instant) {
@@ -249,9 +249,9 @@
         }
     }
 
-    fn receive_answers(&mut self, now: Instant) {
+    fn receive_responses(&mut self, now: Instant) {
         let rate = self.scenario.rate(self.second(now));
-        let due: Vec<_> = self.answers.extract_if(.., |(due, _)| *due <= now).collect();
+        let due: Vec<_> = self.responses.extract_if(.., |(due, _)| *due <= now).collect();
         for (_, box_index) in due {
             if !self.boxes[box_index].record_rate(SERVER, SERVICE, rate, now) {
                 continue;
@@ -283,7 +283,7 @@
         if throttles.admits(SERVER, self.rng.random(), now) {
             throttles.record_sent(SERVER, now);
             self.result.arrivals.push((now - self.start).as_secs_f64());
-            self.answers.push((now + ANSWER_LATENCY, box_index));
+            self.responses.push((now + RESPONSE_LATENCY, box_index));
         }
     }
 }
