--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_box_with_a_newer_state_that_does_not_answer_is_not_asked_again_at_once() {
+fn a_box_with_a_newer_state_that_does_not_respond_is_not_asked_again_at_once() {
     let now = Instant::now();
     let mut freshness = Freshness::default();
     confirmed_by_store(&mut freshness, version(5), now);
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,13 +1,12 @@
+//! Which backend server gets a request, without sockets or a clock.
 
+use copperweir_lib::coordination::candidate::ServerState;
 use std::sync::Arc;
 use std::time::Duration;
 use std::time::Instant;
 use std::time::SystemTime;
 
 use copperweir_lib::coordination::candidate::Outcome;
-//! Which backend server gets a request, without sockets or a clock.
-
-use copperweir_lib::coordination::candidate::ServerState;
 use copperweir_lib::coordination::candidate::server_hash;
 use copperweir_lib::coordination::loads::BoxReport;
 use copperweir_lib::coordination::loads::Load;
@@ -518,7 +517,8 @@
     let mut fixture = Fixture::new(placement(0, 8, 1));
     fixture.placement.update(vec![restarted(1)], 1, &service, fixture.now);
     let mut held = fixture.choose(&prompt(1)).expect("a place");
-    let first_incarnation: Vec<u64> = fixture.placement.own_loads().map(|(incarnation, _)| incarnation).collect();
+    let first_incarnation: Vec<u64> =
+        fixture.placement.own_loads().map(|(incarnation, _)| incarnation).collect();
     for _ in 0..20 {
         let mut lost = fixture.choose_among(&[], Eligible::Any).expect("a place");
         fixture.placement.finish(&mut lost, Outcome::Lost, fixture.now);
@@ -567,7 +567,7 @@
     let incarnation = fixture.placement.usable_incarnations().next().expect("a server");
     fixture.throttles.record_rate(incarnation, 1, Some(3.0), fixture.now);
     assert_eq!(
-        fixture.placement.fullness(&fixture.loads, &fixture.throttles, fixture.now).slots,
+        fixture.placement.utilization(&fixture.loads, &fixture.throttles, fixture.now).slots,
         67.0
     );
 }
