--- a/cli/benches/failures.rs
+++ b/cli/benches/failures.rs
@@ -118,12 +118,12 @@
 
     /// From the end of a cut to the newest configuration in the region.
     fn rejoined(&self) -> Duration {
-        self.fleet.set_region_cut(2, true);
+        self.fleet.set_region_partitioned(2, true);
         std::thread::sleep(SETTLE);
         let file = self.fleet.plan.configuration();
         let version = self.fleet.apply("main", &file).expect("applied");
         std::thread::sleep(SETTLE);
-        self.fleet.set_region_cut(2, false);
+        self.fleet.set_region_partitioned(2, false);
         self.until(|| (0..3).all(|number| self.version((2, number)) >= version))
     }
 
--- a/cli/tests/test_processes.rs
+++ b/cli/tests/test_processes.rs
@@ -175,9 +175,9 @@
             boxes.start_one(at.0, at.1);
         }
         _ => {
-            fleet.set_region_cut(at.0, true);
+            fleet.set_region_partitioned(at.0, true);
             pause(rng, 4000);
-            fleet.set_region_cut(at.0, false);
+            fleet.set_region_partitioned(at.0, false);
         }
     }
     if second {
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -1,6 +1,6 @@
 //! Cost of the control plane per box, by fleet size, measured in virtual time.
 //!
-//! Runs the daemon's own exchange code (composing, encoding, decoding and
+//! Runs the daemon's own gossip code (composing, encoding, decoding and
 //! applying heartbeats) for every box of a fleet, with the delays of a wide
 //! area network. Prints calls, message bytes and processor time per box and
 //! second; then the time until a dead box is removed, until a new configuration
@@ -48,7 +48,7 @@
 const TEAMS_PER_BOX: usize = 20;
 
 struct Node {
-    exchange: Gossip,
+    gossip: Gossip,
     region: usize,
     version: u64,
     dead: bool,
@@ -114,9 +114,9 @@
                 let own = member(region, number, nodes.len());
                 addresses.insert(own.peer_address, nodes.len());
                 let membership = Membership::new(own, Config::default());
-                let exchange = Gossip { membership, load: ServerLoads::default() };
+                let gossip = Gossip { membership, load: ServerLoads::default() };
                 nodes.push(Node {
-                    exchange,
+                    gossip,
                     region,
                     version: 1,
                     dead: false,
@@ -136,7 +136,7 @@
             .collect();
         let seeds: Vec<SocketAddr> = addresses.keys().copied().collect();
         for node in &mut nodes {
-            node.exchange.membership.add_addresses(seeds.iter().copied());
+            node.gossip.membership.add_addresses(seeds.iter().copied());
         }
         let mut simulation = Simulation {
             start,
@@ -187,10 +187,10 @@
         match event {
             Event::HeartbeatTick => {
                 let now = self.current_instant();
-                let period = self.nodes[node].exchange.membership.config().period;
+                let period = self.nodes[node].gossip.membership.config().period;
                 self.schedule(self.now + period, node, Event::HeartbeatTick);
                 let started_at = Instant::now();
-                let membership = &mut self.nodes[node].exchange.membership;
+                let membership = &mut self.nodes[node].gossip.membership;
                 membership.tick(now, Duration::ZERO);
                 let targets = membership.heartbeat_targets(now, &mut self.rng);
                 self.nodes[node].cpu_time += started_at.elapsed();
@@ -201,12 +201,12 @@
             Event::ProbeTick => self.probe_servers(node),
             Event::Request(from, bytes) => self.handle_request(node, from, &bytes),
             Event::Response(peer, bytes) => {
-                self.nodes[node].exchange.membership.call_succeeded(peer);
+                self.nodes[node].gossip.membership.call_succeeded(peer);
                 self.handle_response(node, &bytes);
             }
             Event::CallTimedOut(peer) => {
                 let now = self.current_instant();
-                if self.nodes[node].exchange.membership.call_failed(peer, now) {
+                if self.nodes[node].gossip.membership.call_failed(peer, now) {
                     self.send_urgent_heartbeats(node);
                 }
             }
@@ -231,7 +231,7 @@
                     listed: false,
                     age: Duration::ZERO,
                 };
-                self.nodes[node].exchange.load.observe(&report, now);
+                self.nodes[node].gossip.load.observe(&report, now);
             }
         }
     }
@@ -239,7 +239,7 @@
     /// Determines which servers a box probes. This is repeated every ten
     /// seconds, which approximates "whenever the region's members change".
     fn assign_probes(&mut self, node: usize, now: Instant) {
-        let membership = &self.nodes[node].exchange.membership;
+        let membership = &self.nodes[node].gossip.membership;
         let own = membership.own().clone();
         let peers: Vec<&str> =
             membership.live_in(&own.region, now).map(|member| member.name.as_str()).collect();
@@ -260,12 +260,12 @@
             requests_per_minute: 60,
         };
         extra.demands = (0..TEAMS_PER_BOX).map(demand).collect();
-        let region = self.nodes[to].exchange.membership.own().region.clone();
+        let region = self.nodes[to].gossip.membership.own().region.clone();
         let started_at = Instant::now();
-        let exchange = &self.nodes[node].exchange;
-        let known = exchange.membership.live(now).any(|member| member.region == region);
+        let gossip = &self.nodes[node].gossip;
+        let known = gossip.membership.live(now).any(|member| member.region == region);
         let receiver = known.then_some(&region);
-        let heartbeat = exchange.compose(receiver, extra, now, &mut self.rng);
+        let heartbeat = gossip.compose(receiver, extra, now, &mut self.rng);
         let bytes = wire::Heartbeat::from(&heartbeat).encode_to_vec();
         self.nodes[node].cpu_time += started_at.elapsed();
         self.nodes[node].bytes_transferred += bytes.len() as u64;
@@ -292,7 +292,7 @@
         let follow_up = self.apply_request(node, bytes);
         let response = self.compose(node, from, follow_up);
         let arrives = self.now + self.delay(node, from);
-        let peer = self.nodes[node].exchange.membership.own().peer_address;
+        let peer = self.nodes[node].gossip.membership.own().peer_address;
         self.schedule(arrives, from, Event::Response(peer, response));
     }
 
@@ -306,16 +306,13 @@
         let message = wire::Heartbeat::decode(bytes).expect("valid encoding");
         let heartbeat = Heartbeat::try_from(message).expect("a valid heartbeat");
         let version = self.nodes[node].version;
-        let effects = self.nodes[node].exchange.receive(&heartbeat, version, now);
+        let effects = self.nodes[node].gossip.receive(&heartbeat, version, now);
         self.nodes[node].cpu_time += started_at.elapsed();
         if let Some((newer, _)) = effects.newer {
             // Fetching the configuration takes a round trip; then the box notifies others
             // at once.
             self.nodes[node].version = newer;
-            self.nodes[node]
-                .exchange
-                .membership
-                .update_own(|own| own.configuration_version = newer);
+            self.nodes[node].gossip.membership.update_own(|own| own.configuration_version = newer);
             self.send_urgent_heartbeats(node);
         }
         if effects.servers_changed {
@@ -341,10 +338,9 @@
 
     fn send_urgent_heartbeats(&mut self, node: usize) {
         let now = self.current_instant();
-        self.nodes[node].exchange.membership.update_own(|own| own.beat += 1);
-        let mut targets =
-            self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng);
-        targets.extend(self.nodes[node].exchange.membership.heartbeat_targets(now, &mut self.rng));
+        self.nodes[node].gossip.membership.update_own(|own| own.beat += 1);
+        let mut targets = self.nodes[node].gossip.membership.heartbeat_targets(now, &mut self.rng);
+        targets.extend(self.nodes[node].gossip.membership.heartbeat_targets(now, &mut self.rng));
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
@@ -376,9 +372,9 @@
         let live: Vec<&Node> = self.nodes.iter().filter(|node| !node.dead).collect();
         live.iter()
             .map(|node| {
-                let region = &node.exchange.membership.own().region;
+                let region = &node.gossip.membership.own().region;
                 let peers = live.iter().filter(|other| other.region == node.region).count() - 1;
-                peers - node.exchange.membership.live_in(region, now).count().min(peers)
+                peers - node.gossip.membership.live_in(region, now).count().min(peers)
             })
             .sum()
     }
@@ -417,36 +413,33 @@
     let cpu_time: Duration = simulation.nodes.iter().map(|node| node.cpu_time).sum();
 
     simulation.nodes[0].version = 2;
-    simulation.nodes[0].exchange.membership.update_own(|own| own.configuration_version = 2);
+    simulation.nodes[0].gossip.membership.update_own(|own| own.configuration_version = 2);
     simulation.send_urgent_heartbeats(0);
     let configuration_known = simulation.run_until_all(|_, node| node.version == 2);
 
     let server = simulation.servers[0][0].clone();
     simulation.leaving = Some(name_hash(&server));
     let leaving_known = simulation.run_until_all(|simulation, node| {
-        node.region != 0 || node.exchange.load.is_leaving(&server, simulation.current_instant())
+        node.region != 0 || node.gossip.load.is_leaving(&server, simulation.current_instant())
     });
 
     let dead_index = simulation.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
-    let dead_name = simulation.nodes[dead_index].exchange.membership.own().name.clone();
+    let dead_name = simulation.nodes[dead_index].gossip.membership.own().name.clone();
     simulation.nodes[dead_index].dead = true;
     let box_detected = simulation.run_until_all(|simulation, node| {
-        node.exchange
+        node.gossip
             .membership
             .live(simulation.current_instant())
             .all(|member| member.name != dead_name)
     });
     let failure_domain_name =
-        simulation.nodes[dead_index].exchange.membership.own().failure_domain.clone();
+        simulation.nodes[dead_index].gossip.membership.own().failure_domain.clone();
     for node in &mut simulation.nodes {
-        node.dead |= node.exchange.membership.own().failure_domain == failure_domain_name;
+        node.dead |= node.gossip.membership.own().failure_domain == failure_domain_name;
     }
     let domain_detected = simulation.run_until_all(|simulation, node| {
         let now = simulation.current_instant();
-        node.exchange
-            .membership
-            .live(now)
-            .all(|member| member.failure_domain != failure_domain_name)
+        node.gossip.membership.live(now).all(|member| member.failure_domain != failure_domain_name)
     });
     println!(
         "{count:>5} {servers:>7} {:>9.2} {:>9.0} {:>9.0} {:>9.1} {:>9} {:>10} {:>8} {:>8} {:>8} {:>8}",
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -57,14 +57,14 @@
 const LOADS: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
 
 /// A kind of request. `share` is its part of all requests; `prefix` and `own` are the shared and
-/// the own prompt tokens; `tokens` are the answer tokens; `patience_s` is the time to the deadline.
+/// the own prompt tokens; `tokens` are the output tokens; `timeout_s` is the time to the deadline.
 struct RequestKind {
     share: f64,
     prefix: f64,
     own: f64,
     tokens: f64,
     priority: Priority,
-    patience_s: f64,
+    timeout_s: f64,
 }
 
 const fn kind(
@@ -73,9 +73,9 @@
     own: f64,
     tokens: f64,
     priority: Priority,
-    patience_s: f64,
+    timeout_s: f64,
 ) -> RequestKind {
-    RequestKind { share, prefix, own, tokens, priority, patience_s }
+    RequestKind { share, prefix, own, tokens, priority, timeout_s }
 }
 
 /// Summaries of fault logs, and questions about codes.
@@ -209,11 +209,11 @@
             return self.dispatch(engine, job);
         }
         let kind = &self.kinds[job.kind];
-        let patience = Duration::from_secs_f64(kind.patience_s);
+        let timeout = Duration::from_secs_f64(kind.timeout_s);
         let arrival = Arrival {
             id: job.id,
             priority: kind.priority,
-            deadline: self.instant() + patience,
+            deadline: self.instant() + timeout,
             bytes: 1,
             local_allowed: true,
             remote_regions: Vec::new(),
--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -28,7 +28,7 @@
 use crate::transport::timer;
 
 /// Number of boxes per region that watch the store.
-const WATCHERS_PER_REGION: usize = 2;
+const STORE_WATCHERS_PER_REGION: usize = 2;
 /// Maximum duration of one watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between polls of the store by a box that does not watch it.
@@ -60,7 +60,7 @@
 
     /// Queries one more peer for the configuration at the start of the box.
     pub(super) fn request_configuration_from_peer(&mut self, address: SocketAddr) {
-        if address == self.shared.addresses.peers || !self.peers_asked.insert(address) {
+        if address == self.shared.addresses.peers || !self.queried_peers.insert(address) {
             return;
         }
         self.rollout.query_started();
@@ -110,13 +110,12 @@
     /// Determines whether this box is a watcher of its region.
     pub(super) fn update_watcher_role(&mut self, now: Instant) {
         let region = &self.shared.settings.region;
-        let names =
-            self.exchange.membership.live_in(region, now).map(|member| member.name.as_str());
+        let names = self.gossip.membership.live_in(region, now).map(|member| member.name.as_str());
         let is_chosen = rendezvous::is_selected(
             &self.shared.settings.name,
             names,
             "watch",
-            WATCHERS_PER_REGION,
+            STORE_WATCHERS_PER_REGION,
         );
         self.is_watcher.store(is_chosen, Ordering::Relaxed);
     }
@@ -143,11 +142,8 @@
             return;
         }
         let now = clock::now();
-        let source = self
-            .exchange
-            .membership
-            .live(now)
-            .find(|member| member.configuration_version >= version);
+        let source =
+            self.gossip.membership.live(now).find(|member| member.configuration_version >= version);
         if let Some(address) = source.map(|member| member.peer_address) {
             self.fetch_configuration_from(address);
         }
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -42,13 +42,13 @@
 impl Control {
     /// Runs one period of heartbeats.
     pub(super) fn send_heartbeats(&mut self, now: Instant, late: Duration) {
-        self.exchange.membership.tick(now, late);
+        self.gossip.membership.tick(now, late);
         self.update_watcher_role(now);
-        let period = self.exchange.membership.config().period;
+        let period = self.gossip.membership.config().period;
         lock(&self.shared.limiter).tick(period, now);
         self.log_members(now);
         self.publish();
-        for target in self.exchange.membership.heartbeat_targets(now, &mut self.rng) {
+        for target in self.gossip.membership.heartbeat_targets(now, &mut self.rng) {
             self.send_heartbeat(target, now);
         }
     }
@@ -58,7 +58,7 @@
         let now = clock::now();
         let mut targets = Vec::new();
         while targets.len() < URGENT_HEARTBEAT_TARGETS {
-            let next_targets = self.exchange.membership.heartbeat_targets(now, &mut self.rng);
+            let next_targets = self.gossip.membership.heartbeat_targets(now, &mut self.rng);
             if next_targets.is_empty() {
                 break;
             }
@@ -66,7 +66,7 @@
         }
         targets.sort_unstable();
         targets.dedup();
-        self.exchange.membership.update_own(|own| own.beat += 1);
+        self.gossip.membership.update_own(|own| own.beat += 1);
         for target in targets {
             self.send_heartbeat(target, now);
         }
@@ -75,10 +75,10 @@
     /// Tells the boxes of the region that this box is leaving.
     pub(super) fn notify_region_of_leaving(&mut self) {
         let now = clock::now();
-        self.exchange.membership.update_own(|own| own.beat += 1);
+        self.gossip.membership.update_own(|own| own.beat += 1);
         let region = self.shared.settings.region.clone();
         let members =
-            self.exchange.membership.live_in(&region, now).map(|member| member.peer_address);
+            self.gossip.membership.live_in(&region, now).map(|member| member.peer_address);
         let targets: Vec<SocketAddr> = members.take(LEAVING_NOTICE_TARGETS).collect();
         for target in targets {
             self.send_heartbeat(target, now);
@@ -92,8 +92,7 @@
     }
 
     fn send_heartbeat_with(&mut self, target: SocketAddr, extra: Payload, now: Instant) {
-        let member =
-            self.exchange.membership.live(now).find(|member| member.peer_address == target);
+        let member = self.gossip.membership.live(now).find(|member| member.peer_address == target);
         let region = member.map(|member| member.region.clone());
         let heartbeat = wire::Heartbeat::from(&self.compose_heartbeat(region.as_ref(), extra, now));
         let counters = Arc::clone(&self.shared.counters);
@@ -103,9 +102,9 @@
         let events = self.events.clone();
         tokio::spawn(async move {
             let response = peers.exchange(target, heartbeat).await;
-            let answered = response.is_ok();
+            let succeeded = response.is_ok();
             let _ = events
-                .send(Event::HeartbeatCompleted { peer: target, answered, sent_at: now })
+                .send(Event::HeartbeatCompleted { peer: target, succeeded, sent_at: now })
                 .await;
             let Ok(response) = response else {
                 return counters.increment(Counter::HeartbeatsFailed);
@@ -126,24 +125,24 @@
         if receiver.is_some_and(|region| *region != self.shared.settings.region) {
             extra.credits = self.lend_slots(now);
         }
-        self.exchange.compose(receiver, extra, now, &mut self.rng)
+        self.gossip.compose(receiver, extra, now, &mut self.rng)
     }
 
     /// Handles the end of a heartbeat call that this box made.
     pub(super) fn handle_heartbeat_result(
         &mut self,
         peer: SocketAddr,
-        answered: bool,
+        succeeded: bool,
         sent_at: Instant,
     ) {
         let now = clock::now();
-        if answered {
-            return self.exchange.membership.call_succeeded(peer);
+        if succeeded {
+            return self.gossip.membership.call_succeeded(peer);
         }
         // A call that ended later than any call can was delayed by a suspension of this
         // box, not by the peer.
         let was_suspended = now.saturating_duration_since(sent_at) > MAX_HEARTBEAT_CALL_DURATION;
-        if !was_suspended && self.exchange.membership.call_failed(peer, now) {
+        if !was_suspended && self.gossip.membership.call_failed(peer, now) {
             self.log_members(now);
             self.publish();
             self.send_urgent_heartbeats();
@@ -152,11 +151,11 @@
 
     /// Lends this box's share of the spare slots in its region.
     fn lend_slots(&mut self, now: Instant) -> Vec<Credit> {
-        if self.exchange.membership.own().phase != Phase::Serving {
+        if self.gossip.membership.own().phase != Phase::Serving {
             return Vec::new();
         }
         let region = self.shared.settings.region.clone();
-        let boxes = self.exchange.membership.live_in(&region, now).count() as f64 + 1.0;
+        let boxes = self.gossip.membership.live_in(&region, now).count() as f64 + 1.0;
         let mut credits = Vec::new();
         for (id, pool) in &self.configuration.pools {
             let Some(pool_handle) = self.shared.pools.get(id) else { continue };
@@ -180,7 +179,7 @@
         response_sender: Option<oneshot::Sender<Heartbeat>>,
     ) {
         let now = clock::now();
-        let effects = self.exchange.receive(&heartbeat, self.rollout.version(), now);
+        let effects = self.gossip.receive(&heartbeat, self.rollout.version(), now);
         let sender = &heartbeat.sender;
         self.receive_credits(&sender.region, &heartbeat.credits, now);
         lock(&self.shared.limiter).record_demands(&sender.name, &heartbeat.demands);
@@ -241,12 +240,12 @@
     }
 
     fn announcement_interval_factor(&self) -> u32 {
-        self.exchange.membership.own().region_boxes.div_ceil(ANNOUNCEMENTS_PER_INTERVAL).max(1)
+        self.gossip.membership.own().region_boxes.div_ceil(ANNOUNCEMENTS_PER_INTERVAL).max(1)
     }
 
     /// Announces this box in the directory.
     pub(super) fn announce(&self) {
-        let own = self.exchange.membership.own();
+        let own = self.gossip.membership.own();
         if own.phase == Phase::Starting {
             return;
         }
@@ -259,9 +258,9 @@
             leaving: own.phase == Phase::Leaving,
         };
         let platform = self.platform.clone();
-        let life = ANNOUNCEMENT_TTL * self.announcement_interval_factor();
+        let ttl = ANNOUNCEMENT_TTL * self.announcement_interval_factor();
         tokio::spawn(async move {
-            let _ = platform.announce(&listing, life).await;
+            let _ = platform.announce(&listing, ttl).await;
         });
     }
 }
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -87,8 +87,8 @@
     HeartbeatCompleted {
         /// Address that the heartbeat was sent to.
         peer: SocketAddr,
-        /// Whether it was answered.
-        answered: bool,
+        /// Whether the peer responded.
+        succeeded: bool,
         /// When it was sent.
         sent_at: Instant,
     },
@@ -140,7 +140,7 @@
     shared: Arc<SharedState>,
     events: mpsc::Sender<Event>,
     stop: watch::Sender<Shutdown>,
-    exchange: Gossip,
+    gossip: Gossip,
     rollout: Rollout,
     configuration: Arc<Configuration>,
     drain: Drain,
@@ -155,7 +155,7 @@
     fetch_in_progress: Arc<AtomicBool>,
     logged_members: BTreeSet<(String, u64, bool)>,
     pools_dirty: bool,
-    peers_asked: BTreeSet<SocketAddr>,
+    queried_peers: BTreeSet<SocketAddr>,
     probe_targets: Vec<servers::ProbeTarget>,
     announce_tick: u32,
     logged_server_states: BTreeMap<ServerId, (bool, bool)>,
@@ -182,7 +182,7 @@
                 .ok()
         });
         Control {
-            exchange: Gossip { membership, load: ServerLoads::default() },
+            gossip: Gossip { membership, load: ServerLoads::default() },
             rollout: Rollout::new(now, INITIAL_CONFIGURATION_TIMEOUT),
             configuration: Arc::new(Configuration::default()),
             drain: Drain::new(timeouts),
@@ -197,7 +197,7 @@
             fetch_in_progress: Arc::new(AtomicBool::new(false)),
             logged_members: BTreeSet::new(),
             pools_dirty: true,
-            peers_asked: BTreeSet::new(),
+            queried_peers: BTreeSet::new(),
             probe_targets: Vec::new(),
             announce_tick: 0,
             logged_server_states: BTreeMap::new(),
@@ -272,8 +272,8 @@
             Event::Heartbeat(heartbeat, response_sender) => {
                 self.handle_heartbeat(*heartbeat, response_sender)
             }
-            Event::HeartbeatCompleted { peer, answered, sent_at } => {
-                self.handle_heartbeat_result(peer, answered, sent_at)
+            Event::HeartbeatCompleted { peer, succeeded, sent_at } => {
+                self.handle_heartbeat_result(peer, succeeded, sent_at)
             }
             Event::ConfigurationOffered(document) => self.handle_offered_configuration(document),
             Event::ConfigurationSourceDone => {
@@ -313,7 +313,7 @@
         self.shared.keyed_requests.expire(now);
         let configuration = Arc::clone(&self.configuration);
         let servers = || configuration.pools.values().flat_map(|pool| &pool.servers);
-        self.exchange.load.retain(|id| servers().any(|(known, _)| name_hash(known) == *id), now);
+        self.gossip.load.retain(|id| servers().any(|(known, _)| name_hash(known) == *id), now);
         let addresses: BTreeSet<SocketAddr> = servers().map(|(_, server)| server.address).collect();
         self.backend.retain(|address| addresses.contains(address));
         self.shared.backend.retain(|address| addresses.contains(address));
@@ -326,7 +326,7 @@
             return;
         }
         log::info!("event=stop_requested stage={stage:?}");
-        self.exchange.membership.update_own(|own| own.phase = Phase::Leaving);
+        self.gossip.membership.update_own(|own| own.phase = Phase::Leaving);
         self.publish();
         self.announce();
         self.notify_region_of_leaving();
@@ -352,7 +352,7 @@
         let ready = self.rollout.ready(now);
         if ready && !was_ready {
             log::info!("event=ready version={}", self.rollout.version());
-            self.exchange.membership.update_own(|own| {
+            self.gossip.membership.update_own(|own| {
                 if own.phase == Phase::Starting {
                     own.phase = Phase::Serving;
                 }
@@ -360,14 +360,14 @@
         }
         let in_flight = self.shared.in_flight.load(Ordering::Relaxed);
         let version = self.rollout.version();
-        self.exchange.membership.update_own(|own| {
+        self.gossip.membership.update_own(|own| {
             own.in_flight = in_flight.try_into().unwrap_or(u32::MAX);
             own.configuration_version = version;
         });
         let snapshot = Snapshot {
             configuration: Arc::clone(&self.configuration),
-            own: self.exchange.membership.own().clone(),
-            members: self.exchange.membership.live(now).cloned().collect(),
+            own: self.gossip.membership.own().clone(),
+            members: self.gossip.membership.live(now).cloned().collect(),
             ready,
             stage: self.drain.stage(),
         };
@@ -382,7 +382,7 @@
         let logged_key = |member: &Member| {
             (member.name.clone(), member.incarnation, member.phase == Phase::Leaving)
         };
-        let live: BTreeSet<_> = self.exchange.membership.live(now).map(logged_key).collect();
+        let live: BTreeSet<_> = self.gossip.membership.live(now).map(logged_key).collect();
         for (name, incarnation, leaving) in live.difference(&self.logged_members) {
             log::info!("event=box_seen box={name} incarnation={incarnation:x} leaving={leaving}");
         }
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -70,7 +70,7 @@
     /// store to no effect.
     fn is_candidate(&self, now: Instant) -> bool {
         let region = &self.shared.settings.region;
-        let members = self.exchange.membership.live_in(region, now);
+        let members = self.gossip.membership.live_in(region, now);
         let names = members.map(|member| member.name.as_str());
         rendezvous::is_selected(
             &self.shared.settings.name,
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -74,7 +74,7 @@
     }
 
     fn region_box_count(&self, now: Instant) -> usize {
-        self.exchange.membership.live_in(&self.shared.settings.region, now).count() + 1
+        self.gossip.membership.live_in(&self.shared.settings.region, now).count() + 1
     }
 
     fn local_server_states(
@@ -85,11 +85,11 @@
         let region = &self.shared.settings.region;
         let local_servers = pool.servers.iter().filter(|(_, server)| server.region == *region);
         let server_state = |id: &ServerId, server: &config::Server| {
-            let observation = self.exchange.load.get(id);
+            let observation = self.gossip.load.get(id);
             ServerSnapshot {
                 address: server.address,
                 slots: server.slots,
-                leaving: server.leaving || self.exchange.load.is_leaving(id, now),
+                leaving: server.leaving || self.gossip.load.is_leaving(id, now),
                 reachable: observation.is_none_or(|observation| observation.reachable),
                 report: observation.map(|observation| (observation.load, observation.observed_at)),
             }
@@ -117,7 +117,7 @@
     pub(super) fn assign_probes(&mut self, now: Instant) {
         let region = &self.shared.settings.region;
         let own = &self.shared.settings.name;
-        let members = self.exchange.membership.live_in(region, now);
+        let members = self.gossip.membership.live_in(region, now);
         let peers: Vec<&str> = members.map(|member| member.name.as_str()).collect();
         let mut probe_targets = Vec::new();
         for (pool_id, pool) in &self.configuration.pools {
@@ -168,7 +168,7 @@
     /// Handles the result of a probe.
     pub(super) fn handle_probe_report(&mut self, report: &ServerReport) {
         self.pools_dirty = true;
-        if self.exchange.load.observe(report, clock::now()) {
+        if self.gossip.load.observe(report, clock::now()) {
             self.refresh_pools(clock::now());
             self.send_urgent_heartbeats();
         }
@@ -209,11 +209,11 @@
                 self.request_configuration_from_peer(address);
             }
         }
-        self.exchange.membership.add_addresses(addresses);
+        self.gossip.membership.add_addresses(addresses);
         let now = clock::now();
         let mut changed = false;
         for entry in listed.iter().filter(|entry| entry.state == BoxListState::Leaving) {
-            changed |= self.exchange.load.observe_listed_leaving(name_hash(&entry.name), now, now);
+            changed |= self.gossip.load.observe_listed_leaving(name_hash(&entry.name), now, now);
         }
         self.pools_dirty = true;
         if changed {
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -52,8 +52,8 @@
 use crate::transport::body::ResponseBody;
 use crate::transport::timer;
 
-/// Bounds of the ledger.
-pub const LEDGER_BOUNDS: LedgerLimits =
+/// Limits of the ledger of keyed requests.
+pub const LEDGER_LIMITS: LedgerLimits =
     LedgerLimits { max_entries: 100_000, max_answer_bytes: 64 << 20 };
 /// Maximum size of a response that is kept for replay.
 const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
@@ -76,7 +76,7 @@
 
 impl Default for KeyedRequests {
     fn default() -> KeyedRequests {
-        let inner = Inner { ledger: Ledger::new(LEDGER_BOUNDS), waiters: HashMap::new() };
+        let inner = Inner { ledger: Ledger::new(LEDGER_LIMITS), waiters: HashMap::new() };
         KeyedRequests { inner: Mutex::new(inner) }
     }
 }
@@ -101,10 +101,10 @@
         &self,
         key: &Key,
         request: &ValidatedRequest,
-        keep_until: Instant,
+        expires_at: Instant,
     ) -> (Admission, Option<oneshot::Receiver<()>>) {
         let inner = &mut *lock(&self.inner);
-        let admission = inner.ledger.begin(key, request.fingerprint(), keep_until, clock::now());
+        let admission = inner.ledger.begin(key, request.fingerprint(), expires_at, clock::now());
         let waiter = matches!(admission, Admission::Wait).then(|| {
             let (sender, receiver) = oneshot::channel();
             inner.waiters.entry(key.clone()).or_default().push(sender);
@@ -146,8 +146,8 @@
 
 /// Which box may run a keyed request.
 enum KeyOwner {
-    /// This box. The key cannot be presented after `keep_until`.
-    Local { keep_until: Instant, needs_claim: bool },
+    /// This box. The key cannot be presented after `expires_at`.
+    Local { expires_at: Instant, needs_claim: bool },
     /// The incarnation that issued the ticket.
     Remote(Ticket),
 }
@@ -159,12 +159,12 @@
     key: String,
 ) -> Result<GatewayResponse, Failure> {
     let ledger_key = Key { team: request.incoming.team.clone(), text: key };
-    let (keep_until, needs_claim) = match key_owner(shared, &request, &ledger_key)? {
+    let (expires_at, needs_claim) = match key_owner(shared, &request, &ledger_key)? {
         KeyOwner::Remote(ticket) => return forward_to_owner(shared, &request, &ticket).await,
-        KeyOwner::Local { keep_until, needs_claim } => (keep_until, needs_claim),
+        KeyOwner::Local { expires_at, needs_claim } => (expires_at, needs_claim),
     };
     loop {
-        let (admission, waiter) = shared.keyed_requests.begin(&ledger_key, &request, keep_until);
+        let (admission, waiter) = shared.keyed_requests.begin(&ledger_key, &request, expires_at);
         match (admission, waiter) {
             (Admission::Run, _) => {
                 return spawn_run(shared, request, ledger_key, needs_claim).await;
@@ -173,7 +173,7 @@
                 let wait_result = timer::timeout_at(request.deadline, waiter).await;
                 wait_result.map_err(|_| still_running_failure())?.ok();
             }
-            (admission, _) => return response_from_verdict(shared, admission),
+            (admission, _) => return response_from_admission(shared, admission),
         }
     }
 }
@@ -183,7 +183,7 @@
     Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
-fn response_from_verdict(
+fn response_from_admission(
     shared: &SharedState,
     admission: Admission,
 ) -> Result<GatewayResponse, Failure> {
@@ -237,8 +237,8 @@
     let ticket = Ticket::parse(&key.text)
         .map_err(|error| Failure::new(ErrorKind::BadRequest, error.to_string()))?;
     let Some(ticket) = ticket else {
-        let keep_until = now + CLAIM_TTL + limits.max_timeout + CLAIM_SAFETY_MARGIN;
-        return Ok(KeyOwner::Local { keep_until, needs_claim: true });
+        let expires_at = now + CLAIM_TTL + limits.max_timeout + CLAIM_SAFETY_MARGIN;
+        return Ok(KeyOwner::Local { expires_at, needs_claim: true });
     };
     if ticket.owner != shared.settings.name || ticket.incarnation != shared.incarnation {
         return Ok(KeyOwner::Remote(ticket));
@@ -250,8 +250,11 @@
         let message = "the life of the ticket is over; whether it was used is no longer known";
         return Err(Failure::new(ErrorKind::TicketExpired, message));
     }
-    let expires_at = shared.started_at + ticket.issued + limits.ticket_ttl;
-    Ok(KeyOwner::Local { keep_until: expires_at.max(now) + limits.max_timeout, needs_claim: false })
+    let ticket_expires_at = shared.started_at + ticket.issued + limits.ticket_ttl;
+    Ok(KeyOwner::Local {
+        expires_at: ticket_expires_at.max(now) + limits.max_timeout,
+        needs_claim: false,
+    })
 }
 
 async fn forward_to_owner(
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -289,7 +289,7 @@
 }
 
 /// Starts a thread with its own runtime. The thread ends when its work is done,
-/// or at once on [`Stop::Now`].
+/// or immediately on [`Shutdown::Immediate`].
 fn spawn_traffic_thread<F>(
     index: usize,
     mut stopping: watch::Receiver<Shutdown>,
--- a/lib/src/daemon/peer_service.rs
+++ b/lib/src/daemon/peer_service.rs
@@ -246,9 +246,9 @@
                     self.body = None;
                     return frame_item(Frame::End(wire::End { bytes: self.bytes_sent }));
                 }
-                Poll::Ready(Some(Err(cut))) => {
+                Poll::Ready(Some(Err(error))) => {
                     self.body = None;
-                    let failure = Failure::new(ErrorKind::BackendFailed, cut.to_string());
+                    let failure = Failure::new(ErrorKind::BackendFailed, error.to_string());
                     return frame_item(Frame::Failure(forward::encode_failure(
                         &failure.with_executed(Executed::Unknown),
                     )));
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -83,7 +83,7 @@
 
 /// Error that ends a truncated stream after its error event was sent.
 struct PendingError {
-    cut: BodyError,
+    error: BodyError,
     flushed: bool,
 }
 
@@ -196,7 +196,7 @@
         self.accounting.shared.counters.increment(Counter::Answered);
     }
 
-    fn fail(&mut self, cut: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn fail(&mut self, error: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.accounting.shared.counters.increment(Counter::Cut);
         if let Some(slot) = &mut self.accounting.slot {
             slot.set_outcome(Outcome::Failed);
@@ -204,10 +204,10 @@
         self.accounting.slot = None;
         if !self.is_event_stream {
             self.ended = true;
-            return Poll::Ready(Some(Err(cut)));
+            return Poll::Ready(Some(Err(error)));
         }
-        let event = error_event(&cut);
-        self.pending_error = Some(PendingError { cut, flushed: false });
+        let event = error_event(&error);
+        self.pending_error = Some(PendingError { error, flushed: false });
         Poll::Ready(Some(Ok(Frame::data(event))))
     }
 }
@@ -230,7 +230,7 @@
         }
         if let Some(pending_error) = self.pending_error.take() {
             self.ended = true;
-            return Poll::Ready(Some(Err(pending_error.cut)));
+            return Poll::Ready(Some(Err(pending_error.error)));
         }
         if self.ended {
             return Poll::Ready(None);
@@ -240,7 +240,7 @@
                 self.record_data(&data);
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
-            Poll::Ready(Some(Err(cut))) => self.fail(cut),
+            Poll::Ready(Some(Err(error))) => self.fail(error),
             Poll::Ready(None) if !self.is_complete() => self.fail(BodyError::MissingEnd),
             Poll::Ready(None) => {
                 self.complete();
@@ -333,9 +333,9 @@
     bytes.windows(marker.len()).any(|window| window == marker)
 }
 
-fn error_event(cut: &BodyError) -> Bytes {
-    let error = json!({"error": {
-        "message": cut.to_string(), "type": "backend_error", "code": "backend_failed",
+fn error_event(error: &BodyError) -> Bytes {
+    let body = json!({"error": {
+        "message": error.to_string(), "type": "backend_error", "code": "backend_failed",
     }});
-    Bytes::from(format!("\n\ndata: {error}\n\n"))
+    Bytes::from(format!("\n\ndata: {body}\n\n"))
 }
--- a/lib/src/error.rs
+++ b/lib/src/error.rs
@@ -10,6 +10,8 @@
 use http::StatusCode;
 
 /// Whether a request was executed by a backend server, as far as the gateway knows.
+///
+/// Sent to callers in the `Copperweir-Ran` header.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Executed {
     /// No byte of the request can have reached a backend server.
@@ -67,7 +69,7 @@
 }
 
 macro_rules! kinds {
-    ($($kind:ident $code:literal $status:literal $class:literal $ran:expr, $retry:expr, $doc:literal;)*) => {
+    ($($kind:ident $code:literal $status:literal $class:literal $executed:expr, $retry:expr, $doc:literal;)*) => {
         /// The reasons for which a request can fail.
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
         pub enum ErrorKind {
@@ -81,7 +83,7 @@
                 code: $code,
                 status: $status,
                 error_type: $class,
-                executed: $ran,
+                executed: $executed,
                 retry: $retry,
             },)*
         ];
@@ -117,7 +119,7 @@
     StoreUnavailable "store_unavailable" 503 "unavailable_error" NO, Retry::After(5), "The key cannot be claimed because the platform's store does not respond.";
     LedgerFull "ledger_full" 503 "overloaded_error" NO, Retry::After(5), "The box stores the maximum number of idempotency keys.";
     Behind "behind" 503 "unavailable_error" NO, Retry::After(1), "The box lacks the configuration version that the request was routed with.";
-    Quarantined "quarantined" 503 "unavailable_error" NO, Retry::After(600), "Backend servers terminated earlier while executing this request.";
+    Quarantined "quarantined" 503 "unavailable_error" NO, Retry::After(600), "Backend servers crashed earlier while executing this request.";
     OutsideRegion "outside_region" 503 "unavailable_error" NO, Retry::After(5), "The request must not be executed in this region.";
     TooManyHops "too_many_hops" 508 "unavailable_error" NO, Retry::After(1), "The request was forwarded too often.";
     OwnerGone "owner_gone" 502 "unavailable_error" UNKNOWN, NEVER, "The box that owned the key is gone.";
@@ -162,8 +164,8 @@
     }
 
     /// Sets the execution status, unless the kind already defines it.
-    pub fn with_executed(mut self, ran: Executed) -> Failure {
-        self.executed = self.kind.spec().executed.unwrap_or(ran);
+    pub fn with_executed(mut self, executed: Executed) -> Failure {
+        self.executed = self.kind.spec().executed.unwrap_or(executed);
         self
     }
 
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -225,7 +225,7 @@
     }
     let event = head_event(&verdict);
     if let Some(reservation) =
-        reservation.as_ref().filter(|_| verdict.server_status.reports_anything())
+        reservation.as_ref().filter(|_| verdict.server_status.has_any_value())
     {
         decision_log::server_said(
             job,
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -100,7 +100,7 @@
     let body = match reply.payload {
         Payload::Whole(bytes) => {
             shared.counters.increment(Counter::Answered);
-            shared.latencies.record(Timing::WholeAnswer, clock::since(job.arrived));
+            shared.latencies.record(Timing::FullResponse, clock::since(job.arrived));
             decision_log::answered(&job, &history, reply.status.as_u16());
             ResponseBody::buffered(bytes)
         }
--- a/lib/src/operators/apply.rs
+++ b/lib/src/operators/apply.rs
@@ -43,7 +43,7 @@
     #[error("nothing was changed: {0}")]
     Platform(PlatformError),
     /// The change may have taken effect.
-    #[error("the answer was lost and cannot be resolved: {0}; the change has id {1}")]
+    #[error("the response was lost, and the outcome is unknown: {0}; the change has id {1}")]
     Unresolved(PlatformError, String),
 }
 
--- a/lib/src/protocol/server_status.rs
+++ b/lib/src/protocol/server_status.rs
@@ -7,8 +7,8 @@
 pub struct ServerStatus {
     /// Whether the server is about to terminate.
     pub leaving: bool,
-    /// How long the server wants no requests from this box, if it rejected the request and gave a
-    /// delay.
+    /// The rest period: how long this box is to send no requests to the server. Set if the server
+    /// rejected the request and gave a delay.
     pub rest: Option<Duration>,
     /// The rate limit, in requests per second from all boxes together, if the server gives one.
     pub rate: Option<f64>,
@@ -17,8 +17,8 @@
 }
 
 impl ServerStatus {
-    /// Returns whether the server reported anything.
-    pub fn reports_anything(&self) -> bool {
+    /// Returns whether the server reported any of these values.
+    pub fn has_any_value(&self) -> bool {
         *self != ServerStatus::default()
     }
 }
--- a/lib/src/state/counters.rs
+++ b/lib/src/state/counters.rs
@@ -40,8 +40,8 @@
     Answered "answered" "Requests answered by a backend server.";
     Failed "failed" "Requests answered with an error of the gateway.";
     Refused "refused" "Failed requests that were not executed.";
-    ServersEnded "servers_ended" "Backend servers found to have terminated while they executed requests of this box.";
-    Quarantined "quarantined" "Requests rejected because backend servers had terminated while executing them.";
+    ServersEnded "servers_ended" "Backend servers found to have crashed while they executed requests of this box.";
+    Quarantined "quarantined" "Requests rejected because backend servers had crashed while executing them.";
     Unauthorized "unauthorized" "Requests rejected because they had no valid API key.";
     OverLimit "over_limit" "Requests rejected because their team was over its rate limit.";
     Throttled "throttled" "Requests rejected because all backend servers with free slots were at the rate limits that they report.";
--- a/lib/src/state/latency.rs
+++ b/lib/src/state/latency.rs
@@ -45,7 +45,7 @@
 
 timings! {
     FirstEvent "first_event" "From a request's arrival to the first event of its stream.";
-    WholeAnswer "whole_answer" "From a request's arrival to its response, if that is not a stream.";
+    FullResponse "whole_answer" "From a request's arrival to its response, if that is not a stream.";
     Stream "stream" "From a request's arrival to the end of its stream.";
     Refusal "refusal" "From a request's arrival to the response that rejects it.";
     StoreCall "store_call" "From a call to the platform's store to its response, except watches.";
--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -257,7 +257,7 @@
 }
 
 /// Returns whether the host refuses connections to the port, which means that the process has
-/// terminated.
+/// crashed or exited.
 pub async fn refuses_connections(address: SocketAddr, timeout: Duration) -> bool {
     let connected = timer::timeout(timeout, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -122,7 +122,7 @@
     let result = timer::timeout(timeout, client.fetch(address, request)).await;
     match result {
         Err(_) => Err(OrderError::Failed("no answer in time".to_owned())),
-        Ok(Err(attempt)) => Err(OrderError::Failed(attempt.to_string())),
+        Ok(Err(error)) => Err(OrderError::Failed(error.to_string())),
         Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Err(OrderError::Fenced),
         Ok(Ok(response)) if response.status().is_success() => Ok(response.into_body()),
         Ok(Ok(response)) => Err(OrderError::Failed(response.status().to_string())),
--- a/lib/src/transport/platform.rs
+++ b/lib/src/transport/platform.rs
@@ -39,12 +39,12 @@
 }
 
 #[derive(Deserialize)]
-struct RevisionAnswer {
+struct RevisionResponse {
     revision: Revision,
 }
 
 #[derive(Deserialize)]
-struct LeaseAnswer {
+struct LeaseResponse {
     lease: LeaseId,
 }
 
@@ -113,10 +113,10 @@
         let (status, body) = self.call(call).await?;
         match status {
             StatusCode::CONFLICT => {
-                Err(PlatformError::Conflict(decode::<RevisionAnswer>(&body)?.revision))
+                Err(PlatformError::Conflict(decode::<RevisionResponse>(&body)?.revision))
             }
             StatusCode::GONE => Err(PlatformError::LeaseExpired),
-            status if status.is_success() => Ok(decode::<RevisionAnswer>(&body)?.revision),
+            status if status.is_success() => Ok(decode::<RevisionResponse>(&body)?.revision),
             status => Err(PlatformError::Malformed(format!("status {status}"))),
         }
     }
@@ -137,7 +137,7 @@
         let body = json!({"life_ms": ttl.as_millis() as u64});
         let call = Call::new(Method::POST, "/leases".to_owned()).with_body(body);
         let (_, body) = self.call(call).await?;
-        Ok(decode::<LeaseAnswer>(&body)?.lease)
+        Ok(decode::<LeaseResponse>(&body)?.lease)
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<(), PlatformError> {
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -318,11 +318,11 @@
 
     /// Cuts or restores the links of a region to the other regions and to the
     /// platform.
-    pub fn set_region_cut(&self, region: usize, cut: bool) {
-        self.platform_links[region].set_cut(cut);
+    pub fn set_region_partitioned(&self, region: usize, partitioned: bool) {
+        self.platform_links[region].set_cut(partitioned);
         for ((from, to), link) in &self.links {
             if *from == region || *to == region {
-                link.set_cut(cut);
+                link.set_cut(partitioned);
             }
         }
     }
--- a/lib/tests/common/propagation.rs
+++ b/lib/tests/common/propagation.rs
@@ -33,7 +33,7 @@
 const SAME_REGION_LATENCY: Duration = Duration::from_micros(500);
 const CROSS_REGION_LATENCY: Duration = Duration::from_millis(55);
 /// Time that the store or a box takes to answer.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
+const RESPONSE_TIME: Duration = Duration::from_millis(4);
 /// Time after which lost bytes of a connection are retransmitted.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time after which the simulation of a change ends.
@@ -75,8 +75,8 @@
     ReceiveReport { from: usize, to: usize, version: usize, age: Duration },
     DrawPoll(usize),
     QueryPeer(usize),
-    PeerAnswer { from: usize, to: usize },
-    StoreAnswer { by: usize, at: Instant, revision: u64 },
+    PeerResponse { from: usize, to: usize },
+    StoreResponse { by: usize, at: Instant, revision: u64 },
 }
 
 struct Simulation {
@@ -183,10 +183,10 @@
     }
 
     /// Time until an answer of the store arrives. The store is in the first region.
-    fn answer_time(&mut self, to: usize) -> Duration {
+    fn response_time(&mut self, to: usize) -> Duration {
         let is_delayed = self.rng.random_bool(self.setting.loss);
         self.latency(0, to) * 2
-            + ANSWER_TIME
+            + RESPONSE_TIME
             + if is_delayed { RETRANSMIT_TIMEOUT } else { Duration::ZERO }
     }
 
@@ -281,7 +281,7 @@
                 self.schedule(CHECK_INTERVAL, Event::DrawPoll(number));
             }
             Event::QueryPeer(number) => self.query_peer(number),
-            Event::PeerAnswer { from, to } => {
+            Event::PeerResponse { from, to } => {
                 self.boxes[to].query_pending = false;
                 let ahead = self.boxes[from].replica.version();
                 if ahead.is_ahead_of(&self.boxes[to].replica.version()) {
@@ -291,22 +291,22 @@
                     apply_differences(&mut self.boxes[to], &replica, at, self.now);
                 }
             }
-            Event::StoreAnswer { by, at, revision } => {
+            Event::StoreResponse { by, at, revision } => {
                 // The answer contains what the store held when it was asked.
                 let now = self.store.version().position.revision;
                 let store = if revision == now { self.store.clone() } else { self.before.clone() };
-                self.apply_store_answer(by, at, &store);
+                self.apply_store_response(by, at, &store);
             }
         }
     }
 
     fn call_store(&mut self, by: usize) {
-        let delay = self.answer_time(by);
+        let delay = self.response_time(by);
         let revision = self.store.version().position.revision;
-        self.schedule(delay, Event::StoreAnswer { by, at: self.now, revision });
+        self.schedule(delay, Event::StoreResponse { by, at: self.now, revision });
     }
 
-    fn apply_store_answer(&mut self, by: usize, at: Instant, store: &Replica) {
+    fn apply_store_response(&mut self, by: usize, at: Instant, store: &Replica) {
         if self.boxes[by].replica.version().is_ahead_of(&store.version()) {
             return;
         }
@@ -334,11 +334,11 @@
         let from = box_number(address);
         let is_delayed = self.rng.random_bool(self.setting.loss);
         let delay = self.latency(number, from) * 2
-            + ANSWER_TIME
+            + RESPONSE_TIME
             + if is_delayed { RETRANSMIT_TIMEOUT } else { Duration::ZERO };
         self.boxes[number].last_query_at = Some(self.now);
         self.boxes[number].query_pending = true;
-        self.schedule(delay, Event::PeerAnswer { from, to: number });
+        self.schedule(delay, Event::PeerResponse { from, to: number });
     }
 }
 
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -40,7 +40,7 @@
 fn residency_bound_request_is_refused_rather_than_run_elsewhere() {
     let fleet = Fleet::start(three_region_plan(51));
     fleet.wait_for_members();
-    fleet.set_region_cut(0, true);
+    fleet.set_region_partitioned(0, true);
     let bound_request = json!({"model": "log-first", "messages": [], "max_tokens": 2});
     let deadline = [("copperweir-timeout-ms", "3000")];
     for region in 1..3 {
@@ -74,7 +74,7 @@
     let plan = fleet.plan;
     fleet.wait_for_members();
     // Isolate the region from the other regions and from the platform.
-    fleet.set_region_cut(0, true);
+    fleet.set_region_partitioned(0, true);
     let address = plan.callers_address(0, 0);
     eventually("the boxes of the other regions are gone", || {
         fleet.list_boxes(address).boxes.len() == 2
@@ -108,7 +108,7 @@
         (1..3).all(|region| (0..2).all(|number| fleet.version(region, number) == 2))
     });
     assert_eq!(fleet.version(0, 0), 1);
-    fleet.set_region_cut(0, false);
+    fleet.set_region_partitioned(0, false);
     fleet.wait_for_version(2);
     fleet.wait_for_members();
 }
