--- a/lib/src/daemon/caller_api.rs
+++ b/lib/src/daemon/caller_api.rs
@@ -1,6 +1,10 @@
 //! The HTTP API for callers: handles a request from its arrival to its
 //! response.
 
+use std::sync::Arc;
+use std::time::Duration;
+use std::time::Instant;
+
 use bytes::Bytes;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -15,17 +19,13 @@
 use hyper::body::Incoming as RequestBody;
 use rand::Rng;
 use serde_json::json;
-use std::sync::Arc;
-use std::time::Duration;
-use std::time::Instant;
-
-use super::idempotency::GatewayResponse;
-use super::request::IncomingRequest;
-use super::request::Purpose;
 
 use super::dispatch;
 use super::idempotency;
+use super::idempotency::GatewayResponse;
 use super::relay::Relay;
+use super::request::IncomingRequest;
+use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
