--- a/lib/src/coordination/fingerprint.rs
+++ b/lib/src/coordination/fingerprint.rs
@@ -61,7 +61,7 @@
 
 /// The text is not a valid fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("not two hashes in hex")]
+#[error("expected two hexadecimal hashes separated by a hyphen")]
 pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
