--- a/cli/src/commands/gateway.rs
+++ b/cli/src/commands/gateway.rs
@@ -44,7 +44,7 @@
 
 /// Runs the command.
 pub fn run(mut parser: Parser) -> Result<(), CommandError> {
-    let mut file: Option<PathBuf> = std::env::var_os(settings::VARIABLE).map(PathBuf::from);
+    let mut file: Option<PathBuf> = std::env::var_os(settings::PATH_VARIABLE).map(PathBuf::from);
     let mut only_check = false;
     let mut metrics: Option<u16> = None;
     let mut levels = LOG.to_owned();
@@ -59,7 +59,10 @@
         }
     }
     let file = file.ok_or_else(|| {
-        CommandError::Usage(format!("--settings is missing, and {} is not set", settings::VARIABLE))
+        CommandError::Usage(format!(
+            "--settings is missing, and {} is not set",
+            settings::PATH_VARIABLE
+        ))
     })?;
     let text = std::fs::read_to_string(&file)
         .with_context(|| format!("cannot read {}", file.display()))?;
