--- a/cli/benches/failures.rs
+++ b/cli/benches/failures.rs
@@ -98,7 +98,7 @@
         let engine = &self.fleet.engines[0][0];
         engine.set_faults(engine::Faults { leaving: true, ..Default::default() });
         let began = Instant::now();
-        let (mut last, mut seen) = (Duration::ZERO, engine.completions());
+        let (mut last, mut seen) = (Duration::ZERO, engine.completions_started());
         let mut prompt = 0;
         while began.elapsed() < SETTLE {
             for number in 0..3 {
@@ -107,8 +107,8 @@
                     json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": prompt});
                 self.fleet.complete(self.fleet.plan.callers_address(0, number), &[], &body);
             }
-            if engine.completions() > seen {
-                (last, seen) = (began.elapsed(), engine.completions());
+            if engine.completions_started() > seen {
+                (last, seen) = (began.elapsed(), engine.completions_started());
             }
         }
         engine.set_faults(engine::Faults::default());
@@ -144,7 +144,7 @@
         };
         let places: Vec<_> = all(self.fleet.plan).collect();
         let before: Vec<(f64, f64)> = places.iter().map(|at| (cost(at), bytes(at))).collect();
-        let calls = self.fleet.platform.calls();
+        let calls = self.fleet.platform.call_counts();
         std::thread::sleep(IDLE);
         let seconds = IDLE.as_secs_f64();
         for (at, (cpu, sent)) in places.iter().zip(before) {
@@ -159,7 +159,7 @@
                 resident.unwrap_or_default().trim(),
             );
         }
-        let now = self.fleet.platform.calls();
+        let now = self.fleet.platform.call_counts();
         println!(
             "idle platform calls/s of nine boxes: reads {:.2}, writes {:.2}, watches {:.2}",
             (now.0 - calls.0) as f64 / seconds,
--- a/cli/src/commands/demo.rs
+++ b/cli/src/commands/demo.rs
@@ -79,7 +79,7 @@
 
 async fn start_stand_ins() -> Result<StandIns, CommandError> {
     let any = SocketAddr::from(ANY_PORT);
-    let speed = Speed { token: TOKEN, ..Speed::default() };
+    let speed = Speed { token_interval: TOKEN, ..Speed::default() };
     let (platform, first, second, service) = (bind(any)?, bind(any)?, bind(any)?, bind(any)?);
     let stand_ins = StandIns {
         platform: platform.local_addr()?,
--- a/cli/src/commands/stand_in.rs
+++ b/cli/src/commands/stand_in.rs
@@ -48,9 +48,11 @@
             Arg::Long("to") => to.push(address(&mut parser)?),
             Arg::Long("delay-ms") => delay = Duration::from_millis(parser.value()?.parse()?),
             Arg::Long("slots") => speed.slots = parser.value()?.parse()?,
-            Arg::Long("token-us") => speed.token = Duration::from_micros(parser.value()?.parse()?),
+            Arg::Long("token-us") => {
+                speed.token_interval = Duration::from_micros(parser.value()?.parse()?)
+            }
             Arg::Long("prefill-us") => {
-                speed.prefill = Duration::from_micros(parser.value()?.parse()?);
+                speed.prefill_per_1000_bytes = Duration::from_micros(parser.value()?.parse()?);
             }
             Arg::Value(value) if kind.is_none() => kind = Some(value.string()?),
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
--- a/cli/tests/test_processes.rs
+++ b/cli/tests/test_processes.rs
@@ -130,10 +130,10 @@
         return ledger.completions.lock().expect("ledger").1 += 1;
     }
     ledger.completions.lock().expect("ledger").0 += 1;
-    let hash = engine::hash(body.as_bytes());
+    let hash = engine::prompt_hash(body.as_bytes());
     let text = String::from_utf8_lossy(&reply.body);
-    let whole = (0..tokens).all(|index| text.contains(&engine::token(hash, index)));
-    let own = !text.contains(&engine::token(hash, tokens));
+    let whole = (0..tokens).all(|index| text.contains(&engine::token_text(hash, index)));
+    let own = !text.contains(&engine::token_text(hash, tokens));
     let home = !bound || reply.header("copperweir-region") == common::REGIONS[0];
     if !(whole && own && home) {
         ledger.wrong.lock().expect("ledger").push(format!("{body} got {reply:?}"));
@@ -235,7 +235,7 @@
 fn verify(fleet: &Fleet, ledger: &Ledger) {
     let wrong = ledger.wrong.lock().expect("ledger");
     assert!(wrong.is_empty(), "{wrong:#?}");
-    let runs = fleet.service.runs();
+    let runs = fleet.service.run_counts();
     let told = ledger.told.lock().expect("ledger");
     let mut counts = (0, 0, 0);
     for (id, told) in told.iter() {
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -57,8 +57,11 @@
 
 impl Plan {
     pub fn new(test_id: u8) -> Plan {
-        let speed =
-            Speed { slots: 8, token: Duration::from_millis(2), prefill: Duration::from_millis(1) };
+        let speed = Speed {
+            slots: 8,
+            token_interval: Duration::from_millis(2),
+            prefill_per_1000_bytes: Duration::from_millis(1),
+        };
         Plan { test_id, regions: 1, boxes: 1, engines: 1, speed, checks_epochs: true }
     }
 
@@ -405,7 +408,7 @@
     }
 
     pub fn run_count(&self, id: &str) -> u64 {
-        self.service.runs().get(id).copied().unwrap_or(0)
+        self.service.run_counts().get(id).copied().unwrap_or(0)
     }
 }
 
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -51,8 +51,8 @@
     let address = fleet.plan.callers_address(0, 0);
     let body =
         json!({"model": "log", "max_tokens": 5, "messages": [{"role": "user", "content": "17"}]});
-    let prompt = engine::hash(body.to_string().as_bytes());
-    let expected: String = (0..5).map(|index| engine::token(prompt, index)).collect();
+    let prompt = engine::prompt_hash(body.to_string().as_bytes());
+    let expected: String = (0..5).map(|index| engine::token_text(prompt, index)).collect();
     let reply = fleet.complete(address, &[], &body);
     assert_eq!(reply.status, StatusCode::OK);
     assert_eq!(reply.json()["choices"][0]["message"]["content"], expected);
@@ -61,11 +61,11 @@
     assert_eq!(reply.header("copperweir-config-version"), "1");
 
     let body = json!({"model": "log", "messages": [], "max_tokens": 200, "stream": true});
-    let prompt = engine::hash(body.to_string().as_bytes());
+    let prompt = engine::prompt_hash(body.to_string().as_bytes());
     let reply = fleet.complete(address, &[], &body);
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     for index in 0..200 {
-        assert!(text.contains(&engine::token(prompt, index)), "token {index} is missing");
+        assert!(text.contains(&engine::token_text(prompt, index)), "token {index} is missing");
     }
     assert!(text.ends_with("data: [DONE]\n\n"));
 }
@@ -139,7 +139,7 @@
         assert_failure(&fleet.get(address, path), "bad_request", "no");
     }
     assert_failure(&post(&[], &"x".repeat(1_100_000)), "body_too_large", "no");
-    assert_eq!(fleet.engines[0][0].completions(), 0);
+    assert_eq!(fleet.engines[0][0].completions_started(), 0);
 }
 
 #[test]
@@ -328,7 +328,7 @@
 fn full_queue_sheds_the_lowest_priority() {
     let mut plan = Plan::new(20);
     plan.speed.slots = 1;
-    plan.speed.token = Duration::from_millis(20);
+    plan.speed.token_interval = Duration::from_millis(20);
     let fleet = Fleet::start(plan);
     let address = fleet.plan.callers_address(0, 0);
     let mut configuration = fleet.plan.configuration();
--- a/lib/tests/test_orders.rs
+++ b/lib/tests/test_orders.rs
@@ -13,7 +13,7 @@
         {"name": "log", "version": version},
         {"name": "log-first", "version": "1"},
     ]);
-    fleet.engines[0].iter().all(|engine| json!(engine.models()) == wanted)
+    fleet.engines[0].iter().all(|engine| json!(engine.loaded_models()) == wanted)
 }
 
 #[test]
@@ -30,7 +30,7 @@
     configuration["models"]["log"]["version"] = json!("2");
     fleet.apply("main", &configuration).expect("applied");
     eventually("the new holder orders the new version", || engines_have_version(&fleet, "2"));
-    assert_eq!(fleet.engines[0].iter().map(|engine| engine.stale_orders()).sum::<u64>(), 0);
+    assert_eq!(fleet.engines[0].iter().map(|engine| engine.refused_stale_orders()).sum::<u64>(), 0);
 }
 
 #[test]
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -76,7 +76,7 @@
     assert_eq!(forward_result(&fleet, 0, SECRET, wrong_region), "no_server");
     let newer_configuration = wire::ForwardRequest { configuration_version: 99, ..valid };
     assert_eq!(forward_result(&fleet, 0, SECRET, newer_configuration), "behind");
-    assert_eq!(fleet.engines[0][0].completions(), 1);
+    assert_eq!(fleet.engines[0][0].completions_started(), 1);
 }
 
 #[test]
@@ -89,7 +89,7 @@
         "outside_region"
     );
     assert_eq!(forward_result(&fleet, 0, SECRET, forward_request(&fleet, 0, "log-first")), "ran");
-    assert_eq!(fleet.engines[1][0].completions(), 0);
+    assert_eq!(fleet.engines[1][0].completions_started(), 0);
 }
 
 #[test]
@@ -97,6 +97,6 @@
     let fleet = Fleet::start(Plan::new(82));
     let error = forward_result(&fleet, 0, "another secret", forward_request(&fleet, 0, "log"));
     assert!(error.contains("shared secret"), "{error}");
-    assert_eq!(fleet.engines[0][0].completions(), 0);
+    assert_eq!(fleet.engines[0][0].completions_started(), 0);
     assert!(fleet.counter(0, 0, "peer_refused") > 0);
 }
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -32,8 +32,11 @@
         assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
         assert_eq!(reply.header("copperweir-region"), "north");
     }
-    assert_eq!(fleet.engines[0][0].completions(), 3);
-    assert_eq!(fleet.engines[1][0].completions() + fleet.engines[2][0].completions(), 0);
+    assert_eq!(fleet.engines[0][0].completions_started(), 3);
+    assert_eq!(
+        fleet.engines[1][0].completions_started() + fleet.engines[2][0].completions_started(),
+        0
+    );
 }
 
 #[test]
@@ -53,7 +56,10 @@
         let reply = fleet.complete(fleet.plan.callers_address(1, 0), &deadline, &bound_request);
         reply.code() == "no_server" && reply.header("copperweir-ran") == "no"
     });
-    assert_eq!(fleet.engines[1][0].completions() + fleet.engines[2][0].completions(), 0);
+    assert_eq!(
+        fleet.engines[1][0].completions_started() + fleet.engines[2][0].completions_started(),
+        0
+    );
 }
 
 #[test]
@@ -185,7 +191,7 @@
 fn planned_stop_completes_streams() {
     let mut plan = Plan::new(58);
     plan.boxes = 2;
-    plan.speed.token = Duration::from_millis(20);
+    plan.speed.token_interval = Duration::from_millis(20);
     let mut fleet = Fleet::start(plan);
     eventually("the boxes know each other", || {
         fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 2
@@ -237,11 +243,11 @@
         }
     };
     std::thread::sleep(Duration::from_secs(2));
-    let before = fleet.engines[0][1].completions();
+    let before = fleet.engines[0][1].completions_started();
     for number in 0..3 {
         complete_requests(number, 30);
     }
-    assert_eq!(fleet.engines[0][1].completions(), before);
+    assert_eq!(fleet.engines[0][1].completions_started(), before);
 }
 
 #[test]
@@ -253,12 +259,12 @@
     fleet.platform.set_faults(platform::Faults { leaving, ..Default::default() });
     let mut prompt_counter = 0;
     eventually("the server gets no new requests", || {
-        let before = fleet.engines[0][0].completions();
+        let before = fleet.engines[0][0].completions_started();
         for prompt in 0..20 {
             prompt_counter += 1;
             let body = json!({"model": "log", "messages": [], "max_tokens": 0, "prompt": prompt_counter * 100 + prompt});
             fleet.complete(plan.callers_address(0, 0), &[], &body);
         }
-        fleet.engines[0][0].completions() == before
+        fleet.engines[0][0].completions_started() == before
     });
 }
--- a/lib/tests/test_serve_rest.rs
+++ b/lib/tests/test_serve_rest.rs
@@ -38,7 +38,7 @@
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(fleet.service.refused().len(), 1);
+    assert_eq!(fleet.service.refusal_times().len(), 1);
     fleet.service.set_faults(Faults::default());
     std::thread::sleep(
         (started_at + Duration::from_millis(2700)).saturating_duration_since(Instant::now()),
@@ -72,7 +72,7 @@
     let timeout_header = [("copperweir-timeout-ms", "5000")];
     // This service already has requests, so the others are chosen before it.
     fleet.service.set_faults(Faults { slow_ms: 1000, ..Faults::default() });
-    let is_busy = || !fleet.service.runs().is_empty();
+    let is_busy = || !fleet.service.run_counts().is_empty();
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for number in (0..).take_while(|_| !is_busy()) {
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -26,9 +26,9 @@
 use tokio::sync::mpsc;
 
 use crate::http1;
-use crate::http1::Answer;
-use crate::http1::Call;
-use crate::http1::Reply;
+use crate::http1::BufferedRequest;
+use crate::http1::HttpResponse;
+use crate::http1::ResponseBody;
 
 /// Tokens of an answer where the request names no number.
 const DEFAULT_TOKENS: u64 = 16;
@@ -41,14 +41,18 @@
     /// Requests at once.
     pub slots: usize,
     /// Time between tokens.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Time to read a prompt that is not cached, per 1,000 bytes.
-    pub prefill: Duration,
+    pub prefill_per_1000_bytes: Duration,
 }
 
 impl Default for Speed {
     fn default() -> Speed {
-        Speed { slots: 8, token: Duration::from_millis(2), prefill: Duration::from_millis(5) }
+        Speed {
+            slots: 8,
+            token_interval: Duration::from_millis(2),
+            prefill_per_1000_bytes: Duration::from_millis(5),
+        }
     }
 }
 
@@ -149,17 +153,17 @@
     }
 
     /// Completions that it began.
-    pub fn completions(&self) -> u64 {
+    pub fn completions_started(&self) -> u64 {
         self.lock().completions
     }
 
     /// Orders of an old epoch that it refused.
-    pub fn stale_orders(&self) -> u64 {
+    pub fn refused_stale_orders(&self) -> u64 {
         self.lock().stale_orders
     }
 
     /// Names and versions of the models that it was ordered to load.
-    pub fn models(&self) -> Vec<serde_json::Value> {
+    pub fn loaded_models(&self) -> Vec<serde_json::Value> {
         self.lock().loaded.models.clone()
     }
 
@@ -167,9 +171,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: Call) -> Option<Answer> {
+    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
         if call.path == "/control" {
-            return Some(http1::control(&call, |faults| self.set_faults(faults)));
+            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
         }
         if self.lock().faults.hang {
             std::future::pending::<()>().await;
@@ -187,7 +191,7 @@
         }
     }
 
-    fn load(&self) -> Answer {
+    fn load(&self) -> HttpResponse {
         let now = Instant::now();
         let latest =
             (now, self.running.load(Ordering::Relaxed), self.queued.load(Ordering::Relaxed));
@@ -203,7 +207,7 @@
         http1::json(StatusCode::OK, &report)
     }
 
-    fn order(&self, call: &Call) -> Answer {
+    fn order(&self, call: &BufferedRequest) -> HttpResponse {
         let Ok(wanted) = serde_json::from_slice::<Loaded>(&call.body) else {
             return http1::empty(StatusCode::BAD_REQUEST);
         };
@@ -216,7 +220,7 @@
         http1::empty(StatusCode::OK)
     }
 
-    async fn complete(&self, call: &Call) -> Option<Answer> {
+    async fn complete(&self, call: &BufferedRequest) -> Option<HttpResponse> {
         let Ok(request) = serde_json::from_slice::<Request>(&call.body) else {
             return Some(http1::empty(StatusCode::BAD_REQUEST));
         };
@@ -232,14 +236,14 @@
         let slot = Arc::clone(&self.slots).acquire_owned().await.ok()?;
         drop(waiting);
         let running = Count::new(&self.running);
-        let prompt = hash(&call.body);
+        let prompt = prompt_hash(&call.body);
         pause(self.prefill(prompt, call.body.len())).await;
         let tokens = request.max_tokens.unwrap_or(DEFAULT_TOKENS);
         if !request.stream {
             for _ in 0..tokens {
                 pause(self.token_time()).await;
             }
-            let text: String = (0..tokens).map(|index| token(prompt, index)).collect();
+            let text: String = (0..tokens).map(|index| token_text(prompt, index)).collect();
             return Some(whole(&request.model, &text, tokens));
         }
         let (sender, receiver) = mpsc::channel(1);
@@ -248,7 +252,7 @@
             let _held = (slot, running);
             engine.stream(prompt, tokens, &request.model, &sender).await;
         });
-        let mut answer = http::Response::new(Reply::Parts(receiver));
+        let mut answer = http::Response::new(ResponseBody::Chunks(receiver));
         let events = http::HeaderValue::from_static("text/event-stream");
         answer.headers_mut().insert(http::header::CONTENT_TYPE, events);
         Some(answer)
@@ -275,7 +279,7 @@
                 "id": format!("cmpl-{prompt:x}"),
                 "object": "chat.completion.chunk",
                 "model": model,
-                "choices": [{"index": 0, "delta": {"content": token(prompt, index)}, "finish_reason": null}],
+                "choices": [{"index": 0, "delta": {"content": token_text(prompt, index)}, "finish_reason": null}],
             });
             if sender.send(Ok(Bytes::from(format!("data: {chunk}\n\n")))).await.is_err() {
                 return;
@@ -285,7 +289,7 @@
     }
 
     fn token_time(&self) -> Duration {
-        self.speed.token * self.lock().faults.slow.max(1)
+        self.speed.token_interval * self.lock().faults.slow.max(1)
     }
 
     fn prefill(&self, prompt: u64, bytes: usize) -> Duration {
@@ -298,7 +302,7 @@
         if state.cached.len() > CACHED_PROMPTS {
             state.cached.pop_front();
         }
-        self.speed.prefill.mul_f64(bytes as f64 / 1000.0) * slow
+        self.speed.prefill_per_1000_bytes.mul_f64(bytes as f64 / 1000.0) * slow
     }
 }
 
@@ -309,7 +313,7 @@
     }
 }
 
-fn whole(model: &str, text: &str, tokens: u64) -> Answer {
+fn whole(model: &str, text: &str, tokens: u64) -> HttpResponse {
     let body = json!({
         "id": "cmpl",
         "object": "chat.completion",
@@ -325,13 +329,13 @@
 }
 
 /// Hash of a prompt; a client works out the same.
-pub fn hash(body: &[u8]) -> u64 {
+pub fn prompt_hash(body: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     body.iter().fold(OFFSET, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
 /// The token at an index of the answer to a prompt.
-pub fn token(prompt: u64, index: u64) -> String {
+pub fn token_text(prompt: u64, index: u64) -> String {
     format!("{:04x}-{index} ", (prompt >> 16) & 0xffff)
 }
--- a/standin/src/http1.rs
+++ b/standin/src/http1.rs
@@ -26,7 +26,7 @@
 
 /// A request with its whole body.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct BufferedRequest {
     /// Method.
     pub method: Method,
     /// Path.
@@ -39,9 +39,9 @@
     pub body: Bytes,
 }
 
-impl Call {
+impl BufferedRequest {
     /// A number from the query.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    pub fn query_number(&self, name: &str) -> Option<u64> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
     }
@@ -49,14 +49,14 @@
 
 /// A body sent in parts; an error part breaks the connection off.
 #[derive(Debug)]
-pub enum Reply {
+pub enum ResponseBody {
     /// All at once.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Part by part.
-    Parts(mpsc::Receiver<Result<Bytes, std::io::Error>>),
+    Chunks(mpsc::Receiver<Result<Bytes, std::io::Error>>),
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -65,11 +65,11 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match &mut *self {
-            Reply::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Reply::Parts(parts) => {
+            ResponseBody::Chunks(parts) => {
                 parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data)))
             }
         }
@@ -77,20 +77,20 @@
 
     fn size_hint(&self) -> http_body::SizeHint {
         match self {
-            Reply::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 http_body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Reply::Parts(_) => http_body::SizeHint::default(),
+            ResponseBody::Chunks(_) => http_body::SizeHint::default(),
         }
     }
 }
 
 /// An answer.
-pub type Answer = Response<Reply>;
+pub type HttpResponse = Response<ResponseBody>;
 
 /// A JSON answer.
-pub fn json(status: StatusCode, value: &serde_json::Value) -> Answer {
-    let mut response = Response::new(Reply::Whole(Some(Bytes::from(value.to_string()))));
+pub fn json(status: StatusCode, value: &serde_json::Value) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(value.to_string()))));
     *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
@@ -98,14 +98,17 @@
 }
 
 /// An answer without a body.
-pub fn empty(status: StatusCode) -> Answer {
-    let mut response = Response::new(Reply::Whole(None));
+pub fn empty(status: StatusCode) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::Full(None));
     *response.status_mut() = status;
     response
 }
 
 /// Answers a call that tells a stand-in how to fail.
-pub fn control<F: DeserializeOwned>(call: &Call, set: impl FnOnce(F)) -> Answer {
+pub fn handle_control<F: DeserializeOwned>(
+    call: &BufferedRequest,
+    set: impl FnOnce(F),
+) -> HttpResponse {
     match serde_json::from_slice(&call.body) {
         Ok(faults) => {
             set(faults);
@@ -134,8 +137,8 @@
 /// future is dropped, all connections break off with it.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
-    H: Fn(Call) -> F + Clone + Send + 'static,
-    F: Future<Output = Option<Answer>> + Send + 'static,
+    H: Fn(BufferedRequest) -> F + Clone + Send + 'static,
+    F: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -155,14 +158,17 @@
     }
 }
 
-async fn answer<H, F>(handler: H, request: Request<Incoming>) -> Result<Answer, std::io::Error>
+async fn answer<H, F>(
+    handler: H,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, std::io::Error>
 where
-    H: Fn(Call) -> F,
-    F: Future<Output = Option<Answer>>,
+    H: Fn(BufferedRequest) -> F,
+    F: Future<Output = Option<HttpResponse>>,
 {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(std::io::Error::other)?.to_bytes();
-    let call = Call {
+    let call = BufferedRequest {
         method: parts.method,
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -31,8 +31,8 @@
 use tokio::sync::Notify;
 
 use crate::http1;
-use crate::http1::Answer;
-use crate::http1::Call;
+use crate::http1::BufferedRequest;
+use crate::http1::HttpResponse;
 
 /// How the platform fails.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -129,7 +129,7 @@
     }
 
     /// Reads, writes and watches so far.
-    pub fn calls(&self) -> (u64, u64, u64) {
+    pub fn call_counts(&self) -> (u64, u64, u64) {
         let state = self.lock();
         (state.reads, state.writes, state.watches)
     }
@@ -138,12 +138,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: Call) -> Option<Answer> {
+    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
         if call.path == "/control" {
-            return Some(http1::control(&call, |faults| self.set_faults(faults)));
+            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
         }
         if call.path == "/calls" {
-            let (reads, writes, watches) = self.calls();
+            let (reads, writes, watches) = self.call_counts();
             let counts = json!({"reads": reads, "writes": writes, "watches": watches});
             return Some(http1::json(StatusCode::OK, &counts));
         }
@@ -189,7 +189,7 @@
         loses
     }
 
-    fn perform(&self, call: &Call) -> Answer {
+    fn perform(&self, call: &BufferedRequest) -> HttpResponse {
         let mut state = self.lock();
         state.expire(Instant::now());
         match call.method {
@@ -219,10 +219,10 @@
         answer.unwrap_or_else(|| http1::empty(StatusCode::BAD_REQUEST))
     }
 
-    async fn watch(&self, call: &Call) -> Answer {
+    async fn watch(&self, call: &BufferedRequest) -> HttpResponse {
         let key = call.path.trim_start_matches("/watch/").to_owned();
-        let after = call.number("after").unwrap_or(0);
-        let wait = Duration::from_millis(call.number("wait_ms").unwrap_or(0));
+        let after = call.query_number("after").unwrap_or(0);
+        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0));
         let until = tokio::time::Instant::now() + wait;
         self.lock().watches += 1;
         loop {
@@ -262,7 +262,7 @@
         self.directory.retain(|_, (_, until)| now < *until);
     }
 
-    fn key(&mut self, key: &str, call: &Call) -> Option<Answer> {
+    fn key(&mut self, key: &str, call: &BufferedRequest) -> Option<HttpResponse> {
         if call.method == Method::GET {
             let stale = self.faults.stale.then(|| self.before.get(key)).flatten();
             return Some(match stale.or_else(|| self.keys.get(key)) {
@@ -291,7 +291,7 @@
         Some(http1::json(StatusCode::OK, &json!({"revision": self.revision})))
     }
 
-    fn grant(&mut self, call: &Call) -> Option<Answer> {
+    fn grant(&mut self, call: &BufferedRequest) -> Option<HttpResponse> {
         let life: Life = serde_json::from_slice(&call.body).ok()?;
         let life = Duration::from_millis(life.life_ms);
         self.revision += 1;
@@ -299,7 +299,7 @@
         Some(http1::json(StatusCode::OK, &json!({"lease": self.revision})))
     }
 
-    fn renew(&mut self, lease: &str) -> Option<Answer> {
+    fn renew(&mut self, lease: &str) -> Option<HttpResponse> {
         let lease = lease.parse().ok()?;
         Some(match self.leases.get_mut(&lease) {
             Some((until, life)) => {
@@ -310,7 +310,7 @@
         })
     }
 
-    fn announce(&mut self, name: &str, call: &Call) -> Option<Answer> {
+    fn announce(&mut self, name: &str, call: &BufferedRequest) -> Option<HttpResponse> {
         let announcement: Announcement = serde_json::from_slice(&call.body).ok()?;
         let until = Instant::now() + Duration::from_millis(announcement.life_ms);
         self.directory.insert(name.to_owned(), (announcement.listing, until));
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -21,8 +21,8 @@
 use tokio::net::TcpListener;
 
 use crate::http1;
-use crate::http1::Answer;
-use crate::http1::Call;
+use crate::http1::BufferedRequest;
+use crate::http1::HttpResponse;
 
 /// How the service fails.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -67,12 +67,12 @@
     }
 
     /// How often each id was filed.
-    pub fn runs(&self) -> BTreeMap<String, u64> {
+    pub fn run_counts(&self) -> BTreeMap<String, u64> {
         self.lock().runs.clone()
     }
 
     /// When it refused.
-    pub fn refused(&self) -> Vec<Instant> {
+    pub fn refusal_times(&self) -> Vec<Instant> {
         self.lock().refused.clone()
     }
 
@@ -85,9 +85,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: Call) -> Option<Answer> {
+    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
         if call.path == "/control" {
-            return Some(http1::control(&call, |faults| self.set_faults(faults)));
+            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
         }
         if call.method == Method::POST && call.path == "/filings" {
             return self.file(&call).await;
@@ -97,12 +97,12 @@
             return Some(http1::json(StatusCode::OK, &json!({"id": id, "runs": runs})));
         }
         if call.path == "/echo" {
-            return Some(http::Response::new(http1::Reply::Whole(Some(call.body))));
+            return Some(http::Response::new(http1::ResponseBody::Full(Some(call.body))));
         }
         Some(http1::empty(StatusCode::NOT_FOUND))
     }
 
-    async fn file(&self, call: &Call) -> Option<Answer> {
+    async fn file(&self, call: &BufferedRequest) -> Option<HttpResponse> {
         let Ok(filing) = serde_json::from_slice::<Filing>(&call.body) else {
             let error = json!({"error": "expected {\"id\": \"…\"}"});
             return Some(http1::json(StatusCode::BAD_REQUEST, &error));
