--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,8 +1,8 @@
-//! A model engine: completions token by token, load reports, fenced orders.
+//! A model engine: streamed completions, load reports and orders fenced by epoch.
 //!
-//! Its tokens are made from the prompt, so that a client can tell its own
-//! answer from another's. It runs a bounded number of requests at once; others
-//! wait in it. `POST /control` sets [`Faults`].
+//! The engine derives its tokens from the request body, so a client can check
+//! that a response belongs to its own request. It runs a bounded number of
+//! requests concurrently and queues the others. `POST /control` sets [`Faults`].
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -30,19 +30,19 @@
 use crate::http1::HttpResponse;
 use crate::http1::ResponseBody;
 
-/// Tokens of an answer where the request names no number.
-const DEFAULT_TOKENS: u64 = 16;
-/// Prompts that the prefix cache holds.
-const CACHED_PROMPTS: usize = 64;
+/// Number of tokens in a completion when the request has no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u64 = 16;
+/// Number of prompts that the prefix cache holds.
+const CACHE_CAPACITY: usize = 64;
 
-/// How fast the engine is.
+/// Concurrency and timing of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// Time between tokens.
+    /// Time between two tokens of a response.
     pub token_interval: Duration,
-    /// Time to read a prompt that is not cached, per 1,000 bytes.
+    /// Time to process 1,000 bytes of a prompt that is not cached.
     pub prefill_per_1000_bytes: Duration,
 }
 
@@ -56,28 +56,29 @@
     }
 }
 
-/// How the engine fails.
+/// Faults that the engine injects.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Says that it is leaving.
+    /// Reports that the engine is leaving.
     pub leaving: bool,
-    /// Answers nothing any more.
+    /// Accepts requests and never responds.
     pub hang: bool,
-    /// So many next completions are begun and lose their answer.
+    /// Number of upcoming completions that are counted as started but get no response.
     pub lose_answers: u32,
-    /// Breaks streams off after so many tokens; 0 for never.
+    /// Aborts streams after this number of tokens; 0 for never.
     pub cut_after: u64,
-    /// Ends streams cleanly, but without the closing mark, after so many tokens; 0 for never.
+    /// Ends streams after this number of tokens without an error, but also without the final
+    /// `[DONE]` event; 0 for never.
     pub end_after: u64,
-    /// Takes so many times as long; 0 for as usual.
+    /// Factor by which prompt processing and tokens are slowed down; 0 and 1 for normal speed.
     pub slow: u32,
-    /// Age of its load reports, milliseconds.
+    /// Age of load reports, in milliseconds.
     pub report_lag_ms: u64,
 }
 
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-struct Loaded {
+struct ModelOrder {
     epoch: u64,
     models: Vec<serde_json::Value>,
 }
@@ -85,14 +86,14 @@
 #[derive(Default)]
 struct State {
     faults: Faults,
-    loaded: Loaded,
-    cached: VecDeque<u64>,
-    reports: VecDeque<(Instant, u32, u32)>,
-    completions: u64,
-    stale_orders: u64,
+    loaded: ModelOrder,
+    cached_prompts: VecDeque<u64>,
+    load_reports: VecDeque<(Instant, u32, u32)>,
+    completions_started: u64,
+    refused_stale_orders: u64,
 }
 
-/// An engine.
+/// A model engine; clones share their state.
 #[derive(Clone)]
 pub struct Engine {
     speed: Speed,
@@ -103,31 +104,31 @@
 }
 
 #[derive(Deserialize)]
-struct Request {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     stream: bool,
     max_tokens: Option<u64>,
 }
 
-/// Counts while it lives.
-struct Count(Arc<AtomicU32>);
+/// Adds one to a counter until dropped.
+struct CountGuard(Arc<AtomicU32>);
 
-impl Count {
-    fn new(counter: &Arc<AtomicU32>) -> Count {
+impl CountGuard {
+    fn new(counter: &Arc<AtomicU32>) -> CountGuard {
         counter.fetch_add(1, Ordering::Relaxed);
-        Count(Arc::clone(counter))
+        CountGuard(Arc::clone(counter))
     }
 }
 
-impl Drop for Count {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(speed: Speed) -> Engine {
         Engine {
             speed,
@@ -138,31 +139,31 @@
         }
     }
 
-    /// Serves on a listener until dropped.
+    /// Serves requests on a listener until the future is dropped.
     pub fn serve(&self, listener: TcpListener) -> impl Future<Output = ()> + Send + 'static {
         let engine = self.clone();
-        http1::serve(listener, move |call| {
+        http1::serve(listener, move |request| {
             let engine = engine.clone();
-            async move { engine.answer(call).await }
+            async move { engine.handle(request).await }
         })
     }
 
-    /// Sets how it fails.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Completions that it began.
+    /// Number of completions started, including those whose response was lost.
     pub fn completions_started(&self) -> u64 {
-        self.lock().completions
+        self.lock().completions_started
     }
 
-    /// Orders of an old epoch that it refused.
+    /// Number of orders refused because their epoch was older than the current one.
     pub fn refused_stale_orders(&self) -> u64 {
-        self.lock().stale_orders
+        self.lock().refused_stale_orders
     }
 
-    /// Names and versions of the models that it was ordered to load.
+    /// Names and versions of the models that the last accepted order listed.
     pub fn loaded_models(&self) -> Vec<serde_json::Value> {
         self.lock().loaded.models.clone()
     }
@@ -171,115 +172,116 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
-        if call.path == "/control" {
-            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
+    async fn handle(&self, request: BufferedRequest) -> Option<HttpResponse> {
+        if request.path == "/control" {
+            return Some(http1::handle_control(&request, |faults| self.set_faults(faults)));
         }
         if self.lock().faults.hang {
             std::future::pending::<()>().await;
         }
-        match (&call.method, call.path.as_str()) {
-            (&Method::GET, "/engine/load") => Some(self.load()),
+        match (&request.method, request.path.as_str()) {
+            (&Method::GET, "/engine/load") => Some(self.load_report()),
             (&Method::GET, "/engine/models") => {
                 Some(http1::json(StatusCode::OK, &json!(self.lock().loaded)))
             }
-            (&Method::PUT, "/engine/models") => Some(self.order(&call)),
+            (&Method::PUT, "/engine/models") => Some(self.apply_order(&request)),
             (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-                self.complete(&call).await
+                self.complete(&request).await
             }
             _ => Some(http1::empty(StatusCode::NOT_FOUND)),
         }
     }
 
-    fn load(&self) -> HttpResponse {
+    fn load_report(&self) -> HttpResponse {
         let now = Instant::now();
-        let latest =
+        let current =
             (now, self.running.load(Ordering::Relaxed), self.queued.load(Ordering::Relaxed));
         let mut state = self.lock();
-        state.reports.push_back(latest);
+        state.load_reports.push_back(current);
         let lag = Duration::from_millis(state.faults.report_lag_ms);
-        while state.reports.len() > 1 && now.duration_since(state.reports[1].0) >= lag {
-            state.reports.pop_front();
+        while state.load_reports.len() > 1 && now.duration_since(state.load_reports[1].0) >= lag {
+            state.load_reports.pop_front();
         }
-        let (_, running, queued) = state.reports.front().copied().unwrap_or(latest);
+        let (_, running, queued) = state.load_reports.front().copied().unwrap_or(current);
         let leaving = state.faults.leaving;
         let report = json!({"running": running, "queued": queued, "leaving": leaving});
         http1::json(StatusCode::OK, &report)
     }
 
-    fn order(&self, call: &BufferedRequest) -> HttpResponse {
-        let Ok(wanted) = serde_json::from_slice::<Loaded>(&call.body) else {
+    fn apply_order(&self, request: &BufferedRequest) -> HttpResponse {
+        let Ok(order) = serde_json::from_slice::<ModelOrder>(&request.body) else {
             return http1::empty(StatusCode::BAD_REQUEST);
         };
         let mut state = self.lock();
-        if wanted.epoch < state.loaded.epoch {
-            state.stale_orders += 1;
+        if order.epoch < state.loaded.epoch {
+            state.refused_stale_orders += 1;
             return http1::empty(StatusCode::CONFLICT);
         }
-        state.loaded = wanted;
+        state.loaded = order;
         http1::empty(StatusCode::OK)
     }
 
-    async fn complete(&self, call: &BufferedRequest) -> Option<HttpResponse> {
-        let Ok(request) = serde_json::from_slice::<Request>(&call.body) else {
+    async fn complete(&self, request: &BufferedRequest) -> Option<HttpResponse> {
+        let Ok(completion) = serde_json::from_slice::<CompletionRequest>(&request.body) else {
             return Some(http1::empty(StatusCode::BAD_REQUEST));
         };
         {
             let mut state = self.lock();
-            state.completions += 1;
+            state.completions_started += 1;
             if state.faults.lose_answers > 0 {
                 state.faults.lose_answers -= 1;
                 return None;
             }
         }
-        let waiting = Count::new(&self.queued);
+        let queued = CountGuard::new(&self.queued);
         let slot = Arc::clone(&self.slots).acquire_owned().await.ok()?;
-        drop(waiting);
-        let running = Count::new(&self.running);
-        let prompt = prompt_hash(&call.body);
-        pause(self.prefill(prompt, call.body.len())).await;
-        let tokens = request.max_tokens.unwrap_or(DEFAULT_TOKENS);
-        if !request.stream {
+        drop(queued);
+        let running = CountGuard::new(&self.running);
+        let hash = prompt_hash(&request.body);
+        sleep(self.prefill_time(hash, request.body.len())).await;
+        let tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+        if !completion.stream {
             for _ in 0..tokens {
-                pause(self.token_time()).await;
+                sleep(self.token_interval()).await;
             }
-            let text: String = (0..tokens).map(|index| token_text(prompt, index)).collect();
-            return Some(whole(&request.model, &text, tokens));
+            let text: String = (0..tokens).map(|index| token_text(hash, index)).collect();
+            return Some(full_completion(&completion.model, &text, tokens));
         }
         let (sender, receiver) = mpsc::channel(1);
         let engine = self.clone();
         tokio::spawn(async move {
-            let _held = (slot, running);
-            engine.stream(prompt, tokens, &request.model, &sender).await;
+            let _guards = (slot, running);
+            engine.stream_tokens(hash, tokens, &completion.model, &sender).await;
         });
-        let mut answer = http::Response::new(ResponseBody::Chunks(receiver));
-        let events = http::HeaderValue::from_static("text/event-stream");
-        answer.headers_mut().insert(http::header::CONTENT_TYPE, events);
-        Some(answer)
+        let mut response = http::Response::new(ResponseBody::Chunks(receiver));
+        let event_stream = http::HeaderValue::from_static("text/event-stream");
+        response.headers_mut().insert(http::header::CONTENT_TYPE, event_stream);
+        Some(response)
     }
 
-    async fn stream(
+    async fn stream_tokens(
         &self,
-        prompt: u64,
+        hash: u64,
         tokens: u64,
         model: &str,
         sender: &mpsc::Sender<Result<Bytes, std::io::Error>>,
     ) {
         for index in 0..tokens {
-            pause(self.token_time()).await;
+            sleep(self.token_interval()).await;
             let faults = self.lock().faults.clone();
             if faults.cut_after > 0 && index >= faults.cut_after {
-                let _ = sender.send(Err(std::io::Error::other("told to break off"))).await;
+                let _ =
+                    sender.send(Err(std::io::Error::other("aborted by an injected fault"))).await;
                 return;
             }
             if faults.end_after > 0 && index >= faults.end_after {
                 return;
             }
             let chunk = json!({
-                "id": format!("cmpl-{prompt:x}"),
+                "id": format!("cmpl-{hash:x}"),
                 "object": "chat.completion.chunk",
                 "model": model,
-                "choices": [{"index": 0, "delta": {"content": token_text(prompt, index)}, "finish_reason": null}],
+                "choices": [{"index": 0, "delta": {"content": token_text(hash, index)}, "finish_reason": null}],
             });
             if sender.send(Ok(Bytes::from(format!("data: {chunk}\n\n")))).await.is_err() {
                 return;
@@ -288,32 +290,32 @@
         let _ = sender.send(Ok(Bytes::from_static(b"data: [DONE]\n\n"))).await;
     }
 
-    fn token_time(&self) -> Duration {
+    fn token_interval(&self) -> Duration {
         self.speed.token_interval * self.lock().faults.slow.max(1)
     }
 
-    fn prefill(&self, prompt: u64, bytes: usize) -> Duration {
+    fn prefill_time(&self, hash: u64, bytes: usize) -> Duration {
         let mut state = self.lock();
         let slow = state.faults.slow.max(1);
-        if state.cached.contains(&prompt) {
+        if state.cached_prompts.contains(&hash) {
             return Duration::ZERO;
         }
-        state.cached.push_back(prompt);
-        if state.cached.len() > CACHED_PROMPTS {
-            state.cached.pop_front();
+        state.cached_prompts.push_back(hash);
+        if state.cached_prompts.len() > CACHE_CAPACITY {
+            state.cached_prompts.pop_front();
         }
         self.speed.prefill_per_1000_bytes.mul_f64(bytes as f64 / 1000.0) * slow
     }
 }
 
-/// Sleeps; no time at all takes none, where a timer would take a millisecond.
-async fn pause(time: Duration) {
-    if !time.is_zero() {
-        tokio::time::sleep(time).await;
+/// Sleeps for `duration`. Zero returns at once: a timer would take a millisecond.
+async fn sleep(duration: Duration) {
+    if !duration.is_zero() {
+        tokio::time::sleep(duration).await;
     }
 }
 
-fn whole(model: &str, text: &str, tokens: u64) -> HttpResponse {
+fn full_completion(model: &str, text: &str, tokens: u64) -> HttpResponse {
     let body = json!({
         "id": "cmpl",
         "object": "chat.completion",
@@ -328,14 +330,15 @@
     http1::json(StatusCode::OK, &body)
 }
 
-/// Hash of a prompt; a client works out the same.
+/// FNV-1a hash of a request body, from which the tokens of the response derive. Clients compute
+/// the same hash to check a response.
 pub fn prompt_hash(body: &[u8]) -> u64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
-    body.iter().fold(OFFSET, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+    body.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// The token at an index of the answer to a prompt.
-pub fn token_text(prompt: u64, index: u64) -> String {
-    format!("{:04x}-{index} ", (prompt >> 16) & 0xffff)
+/// Text of the token at `index` in the response to a prompt with this hash.
+pub fn token_text(hash: u64, index: u64) -> String {
+    format!("{:04x}-{index} ", (hash >> 16) & 0xffff)
 }
--- a/standin/src/http1.rs
+++ b/standin/src/http1.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that the stand-ins share.
+//! The HTTP/1 server that all stand-ins use.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,35 +24,35 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct BufferedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path without the query.
     pub path: String,
-    /// Query, without the question mark.
+    /// Query without the question mark.
     pub query: String,
-    /// Headers.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl BufferedRequest {
-    /// A number from the query.
+    /// Returns the first numeric value of a query parameter.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
     }
 }
 
-/// A body sent in parts; an error part breaks the connection off.
+/// The body of a response. An error in place of a chunk closes the connection.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All at once.
+    /// Complete body; `None` for an empty one.
     Full(Option<Bytes>),
-    /// Part by part.
+    /// Chunks, sent as they arrive.
     Chunks(mpsc::Receiver<Result<Bytes, std::io::Error>>),
 }
 
@@ -69,8 +69,8 @@
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            ResponseBody::Chunks(parts) => {
-                parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data)))
+            ResponseBody::Chunks(chunks) => {
+                chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -85,10 +85,10 @@
     }
 }
 
-/// An answer.
+/// A response of a stand-in.
 pub type HttpResponse = Response<ResponseBody>;
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, value: &serde_json::Value) -> HttpResponse {
     let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(value.to_string()))));
     *response.status_mut() = status;
@@ -97,21 +97,21 @@
     response
 }
 
-/// An answer without a body.
+/// Creates a response without a body.
 pub fn empty(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(ResponseBody::Full(None));
     *response.status_mut() = status;
     response
 }
 
-/// Answers a call that tells a stand-in how to fail.
+/// Handles `POST /control`: parses the faults in the body and passes them to `set_faults`.
 pub fn handle_control<F: DeserializeOwned>(
-    call: &BufferedRequest,
-    set: impl FnOnce(F),
+    request: &BufferedRequest,
+    set_faults: impl FnOnce(F),
 ) -> HttpResponse {
-    match serde_json::from_slice(&call.body) {
+    match serde_json::from_slice(&request.body) {
         Ok(faults) => {
-            set(faults);
+            set_faults(faults);
             empty(StatusCode::OK)
         }
         Err(error) => {
@@ -120,21 +120,23 @@
     }
 }
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 4096;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 4096;
 
-/// A listening socket; its address is known before anything is served.
+/// Opens a listening socket and returns it with its actual address, which is then known before
+/// serving starts.
 pub fn bind(address: SocketAddr) -> std::io::Result<(TcpListener, SocketAddr)> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    let listener = socket.listen(BACKLOG)?;
+    let listener = socket.listen(LISTEN_BACKLOG)?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves for ever. A handler that gives `None` breaks the connection off without an answer. When the
-/// future is dropped, all connections break off with it.
+/// Accepts connections and passes their requests to `handler` until the future is dropped, which
+/// closes all connections. When the handler returns `None`, its connection is closed without a
+/// response.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(BufferedRequest) -> F + Clone + Send + 'static,
@@ -149,7 +151,7 @@
         let Ok((stream, _)) = accepted else { continue };
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
-        let service = service_fn(move |request| answer(handler.clone(), request));
+        let service = service_fn(move |request| handle(handler.clone(), request));
         let connection = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
         connections.spawn(async move {
@@ -158,7 +160,7 @@
     }
 }
 
-async fn answer<H, F>(
+async fn handle<H, F>(
     handler: H,
     request: Request<Incoming>,
 ) -> Result<HttpResponse, std::io::Error>
@@ -168,12 +170,12 @@
 {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(std::io::Error::other)?.to_bytes();
-    let call = BufferedRequest {
+    let request = BufferedRequest {
         method: parts.method,
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
         headers: parts.headers,
         body,
     };
-    handler(call).await.ok_or_else(|| std::io::Error::other("told to break off"))
+    handler(request).await.ok_or_else(|| std::io::Error::other("aborted by an injected fault"))
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of what copperweir meets, for tests and for trying it out.
+//! Stand-ins for the services that copperweir uses, for tests and demos.
 //!
-//! Each speaks the published protocol over HTTP and has a path of its own,
-//! `/control`, over which a test tells it how to fail. None is meant to be
-//! fast or complete, and the daemon's code does not depend on them.
+//! Each stand-in speaks the published protocol over HTTP. An extra path,
+//! `/control`, lets a test inject faults. The stand-ins are neither fast nor
+//! complete, and the daemon's code does not depend on them.
 
 pub mod engine;
 pub mod http1;
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two places: passes TCP on, late, and can be cut.
+//! A TCP proxy that simulates a network link: it adds latency and can be cut.
 //!
-//! A cut link breaks what runs over it and leaves new connections unanswered,
-//! as a partitioned network does.
+//! Like a network partition, cutting a link closes the connections over it and
+//! leaves new connections without a response.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,10 +18,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-const CHUNK: usize = 16 << 10;
-const CHUNKS_UNDER_WAY: usize = 64;
+const CHUNK_BYTES: usize = 16 << 10;
+/// Maximum number of delayed chunks in flight per direction.
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
-/// A link; clones are the same link.
+/// A network link; clones share its state.
 #[derive(Clone)]
 pub struct Link {
     cut: watch::Sender<bool>,
@@ -29,17 +30,17 @@
 }
 
 impl Link {
-    /// A link that takes `delay` one way.
+    /// Creates a link with this one-way latency.
     pub fn new(delay: Duration) -> Link {
         Link { cut: watch::Sender::new(false), delay }
     }
 
-    /// Cuts or mends it.
+    /// Cuts or restores the link.
     pub fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 
-    /// Passes on to `to` until dropped.
+    /// Accepts connections and forwards them to `to` until the future is dropped.
     pub fn serve(
         &self,
         listener: TcpListener,
@@ -48,36 +49,37 @@
         let link = self.clone();
         async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else { continue };
-                tokio::spawn(link.clone().carry(near, to));
+                let Ok((client, _)) = listener.accept().await else { continue };
+                tokio::spawn(link.clone().forward(client, to));
             }
         }
     }
 
-    async fn carry(self, near: TcpStream, to: SocketAddr) {
+    async fn forward(self, client: TcpStream, to: SocketAddr) {
         let mut cut = self.cut.subscribe();
         if *cut.borrow_and_update() {
-            // Unanswered, until the caller gives up or the link is mended.
+            // Keep the connection open without a response until the link is restored.
             let _ = cut.wait_for(|cut| !*cut).await;
             return;
         }
-        let Ok(far) = TcpStream::connect(to).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let there = pass(near_read, far_write, self.delay);
-        let back = pass(far_read, near_write, self.delay);
+        let Ok(server) = TcpStream::connect(to).await else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
+        let outbound = copy_delayed(client_read, server_write, self.delay);
+        let inbound = copy_delayed(server_read, client_write, self.delay);
         tokio::select! {
-            _ = async { tokio::join!(there, back) } => {}
+            _ = async { tokio::join!(outbound, inbound) } => {}
             _ = cut.wait_for(|cut| *cut) => {}
         }
     }
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, delay: Duration) {
-    let (sender, mut receiver) = mpsc::channel::<(Instant, Bytes)>(CHUNKS_UNDER_WAY);
+/// Copies a byte stream from `from` to `to`, delayed by `delay`.
+async fn copy_delayed(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, delay: Duration) {
+    let (sender, mut receiver) = mpsc::channel::<(Instant, Bytes)>(MAX_CHUNKS_IN_FLIGHT);
     let read = async move {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; CHUNK_BYTES];
         while let Ok(count) = from.read(&mut buffer).await {
             if count == 0 {
                 return;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,16 +1,16 @@
-//! The platform: a key-value store with leases and watches, a directory and a
-//! lagging list of boxes.
+//! The platform: a key-value store with leases and watches, a directory of
+//! boxes, and a list of boxes that lags behind it.
 //!
-//! | path | meaning |
+//! | request | meaning |
 //! |---|---|
 //! | `GET /kv/<key>` | value and revision; 404 if absent |
-//! | `PUT /kv/<key>` | compare-and-swap on the revision; 409 with the revision that stands; 410 if the lease is over |
-//! | `GET /watch/<key>?after=R&wait_ms=W` | waits for a revision over R; 204 if none came |
-//! | `POST /leases`, `POST /leases/<id>` | takes out, renews a lease; 410 if it is over |
-//! | `PUT /directory/<box>`, `GET /directory` | announces, lists boxes for clients |
-//! | `GET /boxes` | the lagging list of live and leaving boxes |
+//! | `PUT /kv/<key>` | compare-and-swap on the revision; 409 with the current revision if it differs; 410 if the lease has expired |
+//! | `GET /watch/<key>?after=R&wait_ms=W` | waits up to W milliseconds for a revision above R; 204 if there is none |
+//! | `POST /leases`, `POST /leases/<id>` | grants, renews a lease; 410 if it has expired |
+//! | `PUT /directory/<box>`, `GET /directory` | announces a box; lists the announced boxes |
+//! | `GET /boxes` | the list of live and leaving boxes, delayed by `list_lag_ms` |
 //! | `POST /control` | sets [`Faults`] |
-//! | `GET /calls` | counts of calls so far |
+//! | `GET /calls` | numbers of reads, writes and watches so far |
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -34,32 +34,32 @@
 use crate::http1::BufferedRequest;
 use crate::http1::HttpResponse;
 
-/// How the platform fails.
+/// Faults that the platform injects.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers 503 to everything.
+    /// Responds 503 to every request.
     pub down: bool,
-    /// Accepts connections and never answers.
+    /// Accepts requests and never responds.
     pub hang: bool,
-    /// Time that each answer takes, milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
-    /// Calls a second; more are answered with 429. 0 for no limit.
+    /// Maximum requests per second; those above it get 429. 0 for no limit.
     pub calls_per_second: usize,
-    /// So many next writes take effect and lose their answer.
+    /// Number of upcoming writes that take effect but get no response.
     pub lose_answers: u32,
-    /// Reads answer with the value before the last write.
+    /// Reads return the value before the last write.
     pub stale: bool,
-    /// Age of the list of boxes, milliseconds.
+    /// Age of the list of boxes, in milliseconds.
     pub list_lag_ms: u64,
     /// Boxes and backend servers that the list shows as leaving.
     pub leaving: Vec<String>,
-    /// Ends all leases now.
+    /// Ends all leases when the faults are set.
     pub lapse_leases: bool,
 }
 
 #[derive(Clone)]
-struct Stored {
+struct StoredValue {
     value: String,
     revision: u64,
     lease: Option<u64>,
@@ -70,26 +70,26 @@
 struct State {
     faults: Faults,
     revision: u64,
-    keys: BTreeMap<String, Stored>,
-    before: BTreeMap<String, Stored>,
+    keys: BTreeMap<String, StoredValue>,
+    previous: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, (Instant, Duration)>,
     directory: BTreeMap<String, (serde_json::Value, Instant)>,
-    lists: VecDeque<(Instant, serde_json::Value)>,
-    recent: VecDeque<Instant>,
+    list_history: VecDeque<(Instant, serde_json::Value)>,
+    recent_requests: VecDeque<Instant>,
     reads: u64,
     writes: u64,
     watches: u64,
 }
 
-/// A platform.
+/// A platform; clones share their state.
 #[derive(Clone, Default)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
-    written: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
 #[derive(Deserialize)]
-struct Put {
+struct PutRequest {
     value: String,
     expect: u64,
     lease: Option<u64>,
@@ -97,7 +97,7 @@
 }
 
 #[derive(Deserialize)]
-struct Life {
+struct LeaseRequest {
     life_ms: u64,
 }
 
@@ -108,16 +108,16 @@
 }
 
 impl Platform {
-    /// Serves on a listener until dropped.
+    /// Serves requests on a listener until the future is dropped.
     pub fn serve(&self, listener: TcpListener) -> impl Future<Output = ()> + Send + 'static {
         let platform = self.clone();
-        http1::serve(listener, move |call| {
+        http1::serve(listener, move |request| {
             let platform = platform.clone();
-            async move { platform.answer(call).await }
+            async move { platform.handle(request).await }
         })
     }
 
-    /// Sets how it fails.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         let mut state = self.lock();
         if faults.lapse_leases {
@@ -125,10 +125,10 @@
         }
         state.faults = faults;
         drop(state);
-        self.written.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Reads, writes and watches so far.
+    /// Numbers of reads, writes and watches so far.
     pub fn call_counts(&self) -> (u64, u64, u64) {
         let state = self.lock();
         (state.reads, state.writes, state.watches)
@@ -138,11 +138,11 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
-        if call.path == "/control" {
-            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
+    async fn handle(&self, request: BufferedRequest) -> Option<HttpResponse> {
+        if request.path == "/control" {
+            return Some(http1::handle_control(&request, |faults| self.set_faults(faults)));
         }
-        if call.path == "/calls" {
+        if request.path == "/calls" {
             let (reads, writes, watches) = self.call_counts();
             let counts = json!({"reads": reads, "writes": writes, "watches": watches});
             return Some(http1::json(StatusCode::OK, &counts));
@@ -155,80 +155,81 @@
         if faults.down {
             return Some(http1::empty(StatusCode::SERVICE_UNAVAILABLE));
         }
-        if self.over_limit(faults.calls_per_second) {
+        if self.exceeds_rate_limit(faults.calls_per_second) {
             return Some(http1::empty(StatusCode::TOO_MANY_REQUESTS));
         }
-        if call.path.starts_with("/watch/") {
-            return Some(self.watch(&call).await);
+        if request.path.starts_with("/watch/") {
+            return Some(self.watch(&request).await);
         }
-        let is_write = call.method != Method::GET;
-        let answer = self.perform(&call);
-        if is_write && answer.status().is_success() && self.loses_answer() {
+        let is_write = request.method != Method::GET;
+        let response = self.apply(&request);
+        if is_write && response.status().is_success() && self.take_lost_response() {
             return None;
         }
-        Some(answer)
+        Some(response)
     }
 
-    fn over_limit(&self, limit: usize) -> bool {
+    fn exceeds_rate_limit(&self, limit: usize) -> bool {
         let mut state = self.lock();
         let now = Instant::now();
-        while state.recent.front().is_some_and(|at| now.duration_since(*at).as_secs() >= 1) {
-            state.recent.pop_front();
+        while state.recent_requests.front().is_some_and(|at| now.duration_since(*at).as_secs() >= 1)
+        {
+            state.recent_requests.pop_front();
         }
-        let over = limit > 0 && state.recent.len() >= limit;
-        if !over {
-            state.recent.push_back(now);
+        let exceeds = limit > 0 && state.recent_requests.len() >= limit;
+        if !exceeds {
+            state.recent_requests.push_back(now);
         }
-        over
+        exceeds
     }
 
-    fn loses_answer(&self) -> bool {
+    fn take_lost_response(&self) -> bool {
         let mut state = self.lock();
-        let loses = state.faults.lose_answers > 0;
-        state.faults.lose_answers -= u32::from(loses);
-        loses
+        let is_lost = state.faults.lose_answers > 0;
+        state.faults.lose_answers -= u32::from(is_lost);
+        is_lost
     }
 
-    fn perform(&self, call: &BufferedRequest) -> HttpResponse {
+    fn apply(&self, request: &BufferedRequest) -> HttpResponse {
         let mut state = self.lock();
         state.expire(Instant::now());
-        match call.method {
+        match request.method {
             Method::GET => state.reads += 1,
             _ => state.writes += 1,
         }
-        let path = call.path.as_str();
-        let answer = if let Some(key) = path.strip_prefix("/kv/") {
-            state.key(key, call)
+        let path = request.path.as_str();
+        let response = if let Some(key) = path.strip_prefix("/kv/") {
+            state.handle_key(key, request)
         } else if path == "/leases" {
-            state.grant(call)
+            state.grant_lease(request)
         } else if let Some(lease) = path.strip_prefix("/leases/") {
-            state.renew(lease)
+            state.renew_lease(lease)
         } else if let Some(name) = path.strip_prefix("/directory/") {
-            state.announce(name, call)
+            state.announce(name, request)
         } else if path == "/directory" {
-            Some(http1::json(StatusCode::OK, &state.directory()))
+            Some(http1::json(StatusCode::OK, &state.announced_listings()))
         } else if path == "/boxes" {
-            Some(http1::json(StatusCode::OK, &state.lagging_list()))
+            Some(http1::json(StatusCode::OK, &state.lagging_box_list()))
         } else {
             Some(http1::empty(StatusCode::NOT_FOUND))
         };
         drop(state);
-        if call.method == Method::PUT {
-            self.written.notify_waiters();
+        if request.method == Method::PUT {
+            self.changed.notify_waiters();
         }
-        answer.unwrap_or_else(|| http1::empty(StatusCode::BAD_REQUEST))
+        response.unwrap_or_else(|| http1::empty(StatusCode::BAD_REQUEST))
     }
 
-    async fn watch(&self, call: &BufferedRequest) -> HttpResponse {
-        let key = call.path.trim_start_matches("/watch/").to_owned();
-        let after = call.query_number("after").unwrap_or(0);
-        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0));
-        let until = tokio::time::Instant::now() + wait;
+    async fn watch(&self, request: &BufferedRequest) -> HttpResponse {
+        let key = request.path.trim_start_matches("/watch/").to_owned();
+        let after = request.query_number("after").unwrap_or(0);
+        let timeout = Duration::from_millis(request.query_number("wait_ms").unwrap_or(0));
+        let deadline = tokio::time::Instant::now() + timeout;
         self.lock().watches += 1;
         loop {
-            let written = self.written.notified();
-            let mut written = std::pin::pin!(written);
-            written.as_mut().enable();
+            let changed = self.changed.notified();
+            let mut changed = std::pin::pin!(changed);
+            changed.as_mut().enable();
             {
                 let mut state = self.lock();
                 state.expire(Instant::now());
@@ -237,115 +238,117 @@
                 }
                 let newer = state.keys.get(&key).filter(|stored| stored.revision > after);
                 if let Some(stored) = newer {
-                    return http1::json(StatusCode::OK, &entry(&key, stored));
+                    return http1::json(StatusCode::OK, &entry_json(&key, stored));
                 }
             }
-            if tokio::time::timeout_at(until, written).await.is_err() {
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
                 return http1::empty(StatusCode::NO_CONTENT);
             }
         }
     }
 }
 
-fn entry(key: &str, stored: &Stored) -> serde_json::Value {
+fn entry_json(key: &str, stored: &StoredValue) -> serde_json::Value {
     json!({"key": key, "value": stored.value, "revision": stored.revision})
 }
 
 impl State {
+    /// Removes expired leases, keys and announcements.
     fn expire(&mut self, now: Instant) {
-        self.leases.retain(|_, (until, _)| now < *until);
+        self.leases.retain(|_, (expires, _)| now < *expires);
         let leases = &self.leases;
         self.keys.retain(|_, stored| {
-            let leased = stored.lease.is_none_or(|lease| leases.contains_key(&lease));
-            leased && stored.expires.is_none_or(|expires| now < expires)
+            let lease_valid = stored.lease.is_none_or(|lease| leases.contains_key(&lease));
+            lease_valid && stored.expires.is_none_or(|expires| now < expires)
         });
-        self.directory.retain(|_, (_, until)| now < *until);
+        self.directory.retain(|_, (_, expires)| now < *expires);
     }
 
-    fn key(&mut self, key: &str, call: &BufferedRequest) -> Option<HttpResponse> {
-        if call.method == Method::GET {
-            let stale = self.faults.stale.then(|| self.before.get(key)).flatten();
+    fn handle_key(&mut self, key: &str, request: &BufferedRequest) -> Option<HttpResponse> {
+        if request.method == Method::GET {
+            let stale = self.faults.stale.then(|| self.previous.get(key)).flatten();
             return Some(match stale.or_else(|| self.keys.get(key)) {
-                Some(stored) => http1::json(StatusCode::OK, &entry(key, stored)),
+                Some(stored) => http1::json(StatusCode::OK, &entry_json(key, stored)),
                 None => http1::empty(StatusCode::NOT_FOUND),
             });
         }
-        let put: Put = serde_json::from_slice(&call.body).ok()?;
+        let put: PutRequest = serde_json::from_slice(&request.body).ok()?;
         if put.lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
             return Some(http1::empty(StatusCode::GONE));
         }
-        let stands = self.keys.get(key).map_or(0, |stored| stored.revision);
-        if stands != put.expect {
-            return Some(http1::json(StatusCode::CONFLICT, &json!({"revision": stands})));
+        let current = self.keys.get(key).map_or(0, |stored| stored.revision);
+        if current != put.expect {
+            return Some(http1::json(StatusCode::CONFLICT, &json!({"revision": current})));
         }
         self.revision += 1;
-        let stored = Stored {
+        let stored = StoredValue {
             value: put.value,
             revision: self.revision,
             lease: put.lease,
-            expires: put.life_ms.map(|life| Instant::now() + Duration::from_millis(life)),
+            expires: put.life_ms.map(|ttl_ms| Instant::now() + Duration::from_millis(ttl_ms)),
         };
-        if let Some(before) = self.keys.insert(key.to_owned(), stored) {
-            self.before.insert(key.to_owned(), before);
+        if let Some(previous) = self.keys.insert(key.to_owned(), stored) {
+            self.previous.insert(key.to_owned(), previous);
         }
         Some(http1::json(StatusCode::OK, &json!({"revision": self.revision})))
     }
 
-    fn grant(&mut self, call: &BufferedRequest) -> Option<HttpResponse> {
-        let life: Life = serde_json::from_slice(&call.body).ok()?;
-        let life = Duration::from_millis(life.life_ms);
+    fn grant_lease(&mut self, request: &BufferedRequest) -> Option<HttpResponse> {
+        let lease: LeaseRequest = serde_json::from_slice(&request.body).ok()?;
+        let ttl = Duration::from_millis(lease.life_ms);
         self.revision += 1;
-        self.leases.insert(self.revision, (Instant::now() + life, life));
+        self.leases.insert(self.revision, (Instant::now() + ttl, ttl));
         Some(http1::json(StatusCode::OK, &json!({"lease": self.revision})))
     }
 
-    fn renew(&mut self, lease: &str) -> Option<HttpResponse> {
+    fn renew_lease(&mut self, lease: &str) -> Option<HttpResponse> {
         let lease = lease.parse().ok()?;
         Some(match self.leases.get_mut(&lease) {
-            Some((until, life)) => {
-                *until = Instant::now() + *life;
+            Some((expires, ttl)) => {
+                *expires = Instant::now() + *ttl;
                 http1::empty(StatusCode::OK)
             }
             None => http1::empty(StatusCode::GONE),
         })
     }
 
-    fn announce(&mut self, name: &str, call: &BufferedRequest) -> Option<HttpResponse> {
-        let announcement: Announcement = serde_json::from_slice(&call.body).ok()?;
-        let until = Instant::now() + Duration::from_millis(announcement.life_ms);
-        self.directory.insert(name.to_owned(), (announcement.listing, until));
+    fn announce(&mut self, name: &str, request: &BufferedRequest) -> Option<HttpResponse> {
+        let announcement: Announcement = serde_json::from_slice(&request.body).ok()?;
+        let expires = Instant::now() + Duration::from_millis(announcement.life_ms);
+        self.directory.insert(name.to_owned(), (announcement.listing, expires));
         Some(http1::empty(StatusCode::OK))
     }
 
-    fn directory(&self) -> serde_json::Value {
+    fn announced_listings(&self) -> serde_json::Value {
         self.directory.values().map(|(listing, _)| listing.clone()).collect()
     }
 
-    /// The list as it was some time ago.
-    fn lagging_list(&mut self) -> serde_json::Value {
+    /// Returns the list of boxes as it was `list_lag_ms` ago.
+    fn lagging_box_list(&mut self) -> serde_json::Value {
         let now = Instant::now();
-        let list = self.list();
-        self.lists.push_back((now, list));
+        let list = self.box_list();
+        self.list_history.push_back((now, list));
         let lag = Duration::from_millis(self.faults.list_lag_ms);
-        while self.lists.len() > 1 && now.duration_since(self.lists[1].0) >= lag {
-            self.lists.pop_front();
+        while self.list_history.len() > 1 && now.duration_since(self.list_history[1].0) >= lag {
+            self.list_history.pop_front();
         }
-        self.lists.front().map(|(_, list)| list.clone()).unwrap_or_default()
+        self.list_history.front().map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    fn list(&self) -> serde_json::Value {
-        let state = |leaving: bool| if leaving { "leaving" } else { "live" };
+    fn box_list(&self) -> serde_json::Value {
+        let state_name = |leaving: bool| if leaving { "leaving" } else { "live" };
         let boxes = self.directory.iter().map(|(name, (listing, _))| {
             let leaving = listing["leaving"] == true || self.faults.leaving.contains(name);
             json!({
                 "name": name,
-                "state": state(leaving),
+                "state": state_name(leaving),
                 "peers": listing["peers"],
                 "region": listing["region"],
             })
         });
-        let others = self.faults.leaving.iter().filter(|name| !self.directory.contains_key(*name));
-        let others = others.map(|name| json!({"name": name, "state": state(true)}));
-        boxes.chain(others).collect()
+        let unannounced =
+            self.faults.leaving.iter().filter(|name| !self.directory.contains_key(*name));
+        let unannounced = unannounced.map(|name| json!({"name": name, "state": state_name(true)}));
+        boxes.chain(unannounced).collect()
     }
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,8 +1,8 @@
-//! A plain service: filings that must not be doubled.
+//! A plain service with an operation that must not be repeated: filings.
 //!
-//! `POST /filings` with `{"id": "…"}` files; `GET /filings/<id>` tells how often
-//! that id was filed. `POST /control` sets [`Faults`]. `ANY /echo` gives the
-//! body back.
+//! `POST /filings` with `{"id": "…"}` executes a filing; `GET /filings/<id>`
+//! returns how many times the filing with that id was executed. `POST /control`
+//! sets [`Faults`]. `/echo` returns the request body, for any method.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -24,28 +24,28 @@
 use crate::http1::BufferedRequest;
 use crate::http1::HttpResponse;
 
-/// How the service fails.
+/// Faults that the service injects.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Time that a filing takes, milliseconds.
+    /// Time that a filing takes, in milliseconds.
     pub slow_ms: u64,
-    /// So many next filings are filed and lose their answer.
+    /// Number of upcoming filings that are executed but get no response.
     pub lose_answers: u32,
-    /// Refuses filings, and says that they were not run.
+    /// Refuses filings with a header that says that they were not executed.
     pub refuse: bool,
-    /// Seconds that it wants nothing for, as it says when it refuses.
+    /// Value of `Retry-After` in refusals, in seconds.
     pub rest_s: Option<f64>,
 }
 
 #[derive(Default)]
 struct State {
     faults: Faults,
-    runs: BTreeMap<String, u64>,
-    refused: Vec<Instant>,
+    run_counts: BTreeMap<String, u64>,
+    refusal_times: Vec<Instant>,
 }
 
-/// A plain service; clones share their filings.
+/// A plain service; clones share their state.
 #[derive(Clone, Default)]
 pub struct Service {
     state: Arc<Mutex<State>>,
@@ -57,26 +57,26 @@
 }
 
 impl Service {
-    /// Serves on a listener until dropped.
+    /// Serves requests on a listener until the future is dropped.
     pub fn serve(&self, listener: TcpListener) -> impl Future<Output = ()> + Send + 'static {
         let service = self.clone();
-        http1::serve(listener, move |call| {
+        http1::serve(listener, move |request| {
             let service = service.clone();
-            async move { service.answer(call).await }
+            async move { service.handle(request).await }
         })
     }
 
-    /// How often each id was filed.
+    /// Number of executions of each filing, by id.
     pub fn run_counts(&self) -> BTreeMap<String, u64> {
-        self.lock().runs.clone()
+        self.lock().run_counts.clone()
     }
 
-    /// When it refused.
+    /// Times at which filings were refused.
     pub fn refusal_times(&self) -> Vec<Instant> {
-        self.lock().refused.clone()
+        self.lock().refusal_times.clone()
     }
 
-    /// Sets how it fails.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
@@ -85,42 +85,44 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: BufferedRequest) -> Option<HttpResponse> {
-        if call.path == "/control" {
-            return Some(http1::handle_control(&call, |faults| self.set_faults(faults)));
+    async fn handle(&self, request: BufferedRequest) -> Option<HttpResponse> {
+        if request.path == "/control" {
+            return Some(http1::handle_control(&request, |faults| self.set_faults(faults)));
         }
-        if call.method == Method::POST && call.path == "/filings" {
-            return self.file(&call).await;
+        if request.method == Method::POST && request.path == "/filings" {
+            return self.execute_filing(&request).await;
         }
-        if let Some(id) = call.path.strip_prefix("/filings/") {
-            let runs = self.lock().runs.get(id).copied().unwrap_or(0);
+        if let Some(id) = request.path.strip_prefix("/filings/") {
+            let runs = self.lock().run_counts.get(id).copied().unwrap_or(0);
             return Some(http1::json(StatusCode::OK, &json!({"id": id, "runs": runs})));
         }
-        if call.path == "/echo" {
-            return Some(http::Response::new(http1::ResponseBody::Full(Some(call.body))));
+        if request.path == "/echo" {
+            return Some(http::Response::new(http1::ResponseBody::Full(Some(request.body))));
         }
         Some(http1::empty(StatusCode::NOT_FOUND))
     }
 
-    async fn file(&self, call: &BufferedRequest) -> Option<HttpResponse> {
-        let Ok(filing) = serde_json::from_slice::<Filing>(&call.body) else {
+    async fn execute_filing(&self, request: &BufferedRequest) -> Option<HttpResponse> {
+        let Ok(filing) = serde_json::from_slice::<Filing>(&request.body) else {
             let error = json!({"error": "expected {\"id\": \"…\"}"});
             return Some(http1::json(StatusCode::BAD_REQUEST, &error));
         };
         let faults = self.lock().faults.clone();
         if faults.refuse {
-            let mut answer = http1::empty(StatusCode::SERVICE_UNAVAILABLE);
-            answer.headers_mut().insert("copperweir-ran", http::HeaderValue::from_static("no"));
-            self.lock().refused.push(Instant::now());
-            if let Some(rest) = faults.rest_s {
-                let rest = http::HeaderValue::try_from(rest.to_string());
-                answer.headers_mut().insert(http::header::RETRY_AFTER, rest.expect("a number"));
+            let mut response = http1::empty(StatusCode::SERVICE_UNAVAILABLE);
+            response.headers_mut().insert("copperweir-ran", http::HeaderValue::from_static("no"));
+            self.lock().refusal_times.push(Instant::now());
+            if let Some(seconds) = faults.rest_s {
+                let retry_after = http::HeaderValue::try_from(seconds.to_string());
+                response
+                    .headers_mut()
+                    .insert(http::header::RETRY_AFTER, retry_after.expect("a number"));
             }
-            return Some(answer);
+            return Some(response);
         }
         let runs = {
             let mut state = self.lock();
-            let runs = state.runs.entry(filing.id.clone()).or_default();
+            let runs = state.run_counts.entry(filing.id.clone()).or_default();
             *runs += 1;
             *runs
         };
