--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Small calls to boxes and to the platform.
+//! HTTP client and runtime for commands that query a box or the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,15 +12,17 @@
 
 use crate::error::CommandError;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A runtime for one command.
+/// Creates the runtime of a command.
 pub fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    Ok(runtime.context("cannot start the runtime")?)
+    Ok(runtime.context("cannot start the Tokio runtime")?)
 }
 
-/// Gets a path and its whole body.
+/// Sends a GET request and returns the complete body of a successful response. Any other outcome
+/// is [`CommandError::Unreachable`].
 pub async fn get(
     address: SocketAddr,
     path: &str,
@@ -30,11 +32,12 @@
     if let Some(key) = key {
         request = request.header(header::AUTHORIZATION, format!("Bearer {key}"));
     }
-    let request = request.body(Full::default()).context("malformed request")?;
-    let answer = tokio::time::timeout(TIMEOUT, Client::default().fetch(address, request)).await;
+    let request = request.body(Full::default()).context("invalid request")?;
+    let result =
+        tokio::time::timeout(REQUEST_TIMEOUT, Client::default().fetch(address, request)).await;
     let unreachable = |text: String| CommandError::Unreachable(format!("{address}: {text}"));
-    let response = answer
-        .map_err(|_| unreachable("no answer in time".to_owned()))?
+    let response = result
+        .map_err(|_| unreachable("no response within the time limit".to_owned()))?
         .map_err(|error| unreachable(error.to_string()))?;
     if !response.status().is_success() {
         let body = String::from_utf8_lossy(response.body());
--- a/cli/src/commands/apply.rs
+++ b/cli/src/commands/apply.rs
@@ -10,24 +10,25 @@
 use lexopt::Parser;
 use rand::Rng;
 
-use super::check::read_files;
-use super::serve::address;
+use super::check::read_configuration_files;
+use super::serve::parse_address;
 use crate::client;
 use crate::error::CommandError;
 
 pub const HELP: &str = "\
-Put configuration files in force
+Apply configuration files
 
 Usage: copperweir apply --platform <address> <file>...
 
 Options:
-  --platform <address>  The platform's service
+  --platform <address>  Address of the platform
 
-Each file replaces the stored one of the same name as a whole; other stored
-files stay. The whole is checked before anything is written.
+Each file replaces the stored file of the same name; other stored files are
+kept. The resulting configuration is checked before it is written.
 
-Exit codes: 3 the check found problems, 4 another operator came first, 5 it is
-not known whether the change was made, 6 the platform cannot be used.
+Exit codes: 3 the check found problems, 4 another operator changed the
+configuration first, 5 it is unknown whether the change was made, 6 the
+platform is unavailable.
 ";
 
 /// Runs the command.
@@ -36,7 +37,7 @@
     let mut paths = Vec::new();
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("platform") => platform = Some(address(&mut parser)?),
+            Arg::Long("platform") => platform = Some(parse_address(&mut parser)?),
             Arg::Value(path) => paths.push(PathBuf::from(path)),
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
             other => return Err(other.unexpected().into()),
@@ -44,7 +45,7 @@
     }
     let platform =
         platform.ok_or_else(|| CommandError::Usage("--platform is missing".to_owned()))?;
-    let files = read_files(&paths)?;
+    let files = read_configuration_files(&paths)?;
     let store = Platform::new(platform, Arc::new(Counters::default()));
     let id = format!("{:016x}", rand::rng().random::<u64>());
     let version = client::runtime()?.block_on(apply(&store, &files, &id))?;
--- a/cli/src/commands/boxes.rs
+++ b/cli/src/commands/boxes.rs
@@ -6,21 +6,21 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-use super::serve::address;
+use super::serve::parse_address;
 use crate::client;
 use crate::error::CommandError;
 use crate::output::Format;
 use crate::output::table;
 
 pub const HELP: &str = "\
-Ask which box to use
+List the boxes that callers can use
 
 Usage: copperweir boxes --at <callers' address>
 
 Options:
-  --at <address>        The callers' port of any box
-  --key <key>           A team's key, where the configuration asks for one
-  --format <text|json>  Form of the output
+  --at <address>        Address of the caller API of any box
+  --key <key>           A team's key, if the configuration requires one
+  --format <text|json>  Output format
 ";
 
 /// Runs the command.
@@ -30,7 +30,7 @@
     let mut format = Format::Text;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("at") => target = Some(address(&mut parser)?),
+            Arg::Long("at") => target = Some(parse_address(&mut parser)?),
             Arg::Long("key") => key = Some(parser.value()?.string()?),
             Arg::Long("format") => format = parser.value()?.parse()?,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
@@ -44,7 +44,7 @@
         return Ok(());
     }
     let boxes: BoxesResponse =
-        serde_json::from_slice(&body).context("the box's answer cannot be read")?;
+        serde_json::from_slice(&body).context("cannot parse the box's response")?;
     let rows: Vec<Vec<String>> = boxes
         .boxes
         .into_iter()
@@ -53,6 +53,6 @@
         })
         .collect();
     println!("{}", table(&["box", "region", "failure domain", "address", "weight"], &rows));
-    println!("\nholds for {} ms; ticket of {}: {}", boxes.valid_ms, boxes.ticket_box, boxes.ticket);
+    println!("\nvalid for {} ms; ticket of {}: {}", boxes.valid_ms, boxes.ticket_box, boxes.ticket);
     Ok(())
 }
--- a/cli/src/commands/burn.rs
+++ b/cli/src/commands/burn.rs
@@ -10,25 +10,25 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-use super::serve::address;
+use super::serve::parse_address;
 use crate::client;
 use crate::error::CommandError;
 use crate::output::Format;
 use crate::output::table;
 
 pub const HELP: &str = "\
-Report service-level burn
+Report error budget burn rates
 
 Usage: copperweir burn --box <operators' address>...
 
 Options:
-  --box <address>       The operators' port of a box; may stand several times
-  --key <key>           The operators' key, where the boxes ask for one
-  --format <text|json>  Form of the output
+  --box <address>       Address of the operator API of a box; may be repeated
+  --key <key>           The operators' key, if the boxes require one
+  --format <text|json>  Output format
 
-A burn rate of 1 spends just the error budget; over 1, the objective will be
-missed if it goes on. Counts of all boxes are added up. A box counts from its
-own start: the report says how far back the youngest one reaches.
+A burn rate of 1 uses up exactly the error budget; above 1, the objective will
+be missed if the rate continues. The counts of all boxes are added up. Each box
+counts from its own start; the report shows the shortest of these periods.
 ";
 
 /// Runs the command.
@@ -38,7 +38,7 @@
     let mut format = Format::Text;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("box") => targets.push(address(&mut parser)?),
+            Arg::Long("box") => targets.push(parse_address(&mut parser)?),
             Arg::Long("key") => key = Some(parser.value()?.string()?),
             Arg::Long("format") => format = parser.value()?.parse()?,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
@@ -49,41 +49,41 @@
         return Err(CommandError::Usage("--box is missing".to_owned()));
     }
     let mut merged = BurnReport::default();
-    let mut youngest = u64::MAX;
-    let mut silent = Vec::new();
+    let mut shortest_period_s = u64::MAX;
+    let mut unreachable = Vec::new();
     let runtime = client::runtime()?;
     for target in &targets {
-        match runtime.block_on(report(*target, key.as_deref())) {
+        match runtime.block_on(fetch_report(*target, key.as_deref())) {
             Ok(report) => {
-                youngest = youngest.min(report.since_s);
+                shortest_period_s = shortest_period_s.min(report.since_s);
                 merged.merge(&report);
             }
-            Err(CommandError::Unreachable(_)) => silent.push(target.to_string()),
+            Err(CommandError::Unreachable(_)) => unreachable.push(target.to_string()),
             Err(error) => return Err(error),
         }
     }
-    if silent.len() == targets.len() {
-        return Err(CommandError::Unreachable("no box answered".to_owned()));
+    if unreachable.len() == targets.len() {
+        return Err(CommandError::Unreachable("no box responded".to_owned()));
     }
-    merged.name = format!("{} boxes", targets.len() - silent.len());
-    merged.since_s = youngest;
+    merged.name = format!("{} boxes", targets.len() - unreachable.len());
+    merged.since_s = shortest_period_s;
     match format {
         Format::Json => println!("{}", serde_json::json!(merged)),
-        Format::Text => print(&merged),
+        Format::Text => print_report(&merged),
     }
-    if !silent.is_empty() {
-        eprintln!("Warning: not counted, no answer: {}", silent.join(", "));
+    if !unreachable.is_empty() {
+        eprintln!("Warning: no response, not counted: {}", unreachable.join(", "));
     }
     Ok(())
 }
 
-async fn report(target: SocketAddr, key: Option<&str>) -> Result<BurnReport, CommandError> {
+async fn fetch_report(target: SocketAddr, key: Option<&str>) -> Result<BurnReport, CommandError> {
     let body = client::get(target, "/burn", key).await?;
-    Ok(serde_json::from_slice(&body).context("the box's answer cannot be read")?)
+    Ok(serde_json::from_slice(&body).context("cannot parse the box's response")?)
 }
 
-fn print(report: &BurnReport) {
-    let cell = |row: &ObjectiveBurn, window: usize| {
+fn print_report(report: &BurnReport) {
+    let format_cell = |row: &ObjectiveBurn, window: usize| {
         let count = row.windows.get(window).copied().unwrap_or_default();
         format!("{:.2} ({}/{})", count.burn_rate(row.target), count.bad, count.total)
     };
@@ -92,10 +92,13 @@
         .iter()
         .map(|row| {
             let mut cells = vec![row.objective.clone(), row.pool.clone(), row.target.to_string()];
-            cells.extend((0..WINDOWS.len()).map(|window| cell(row, window)));
+            cells.extend((0..WINDOWS.len()).map(|window| format_cell(row, window)));
             cells
         })
         .collect();
     println!("{}", table(&["objective", "pool", "target", "5 min", "1 h", "6 h"], &rows));
-    println!("\nburn rate (bad/all) of {}; counts reach back {} s", report.name, report.since_s);
+    println!(
+        "\nburn rate (bad/total) of {}; shortest counting period {} s",
+        report.name, report.since_s
+    );
 }
--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -15,7 +15,7 @@
 
 Usage: copperweir check <file>...
 
-The files are checked together, as one configuration; all problems are shown.
+The files are checked together as one configuration. All problems are shown.
 ";
 
 /// Runs the command.
@@ -28,10 +28,10 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let files = read_files(&paths)?;
+    let files = read_configuration_files(&paths)?;
     let configuration = Configuration::try_from(&files)?;
     println!(
-        "{} files are well: {} regions, {} models, {} services, {} teams, {} backend servers",
+        "{} files are valid: {} regions, {} models, {} services, {} teams, {} backend servers",
         files.len(),
         configuration.regions.len(),
         configuration.models.len(),
@@ -42,8 +42,8 @@
     Ok(())
 }
 
-/// Reads configuration files; each is named by the last part of its path.
-pub fn read_files(paths: &[PathBuf]) -> Result<Files, CommandError> {
+/// Reads configuration files. The key of a file is the last component of its path.
+pub fn read_configuration_files(paths: &[PathBuf]) -> Result<Files, CommandError> {
     if paths.is_empty() {
         return Err(CommandError::Usage("expected at least one file".to_owned()));
     }
@@ -53,9 +53,9 @@
             .with_context(|| format!("cannot read {}", path.display()))?;
         let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
         let name =
-            name.ok_or_else(|| CommandError::Usage(format!("{} is no file", path.display())))?;
+            name.ok_or_else(|| CommandError::Usage(format!("{} is not a file", path.display())))?;
         if files.insert(name.clone(), text).is_some() {
-            return Err(CommandError::Usage(format!("two files are named {name}")));
+            return Err(CommandError::Usage(format!("two files have the name {name}")));
         }
     }
     Ok(files)
--- a/cli/src/commands/demo.rs
+++ b/cli/src/commands/demo.rs
@@ -19,30 +19,32 @@
 use lexopt::Parser;
 use tokio::runtime::Runtime;
 
-use super::serve::address;
-use super::serve::ended;
+use super::serve::parse_address;
 use super::serve::start_logger;
 use super::serve::stop_on_signals;
+use super::serve::stop_result;
 use super::stand_in::bind;
 use crate::error::CommandError;
 
 pub const HELP: &str = "\
-Run one box with stand-ins, to try it out
+Run one box with stand-ins for all other services
 
 Usage: copperweir demo [--listen <address>]
 
 Options:
-  --listen <address>  Where callers connect (127.0.0.1:8080)
+  --listen <address>  Address for callers (127.0.0.1:8080)
 ";
 
 const DEFAULT_LISTEN: ([u8; 4], u16) = ([127, 0, 0, 1], 8080);
-const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-/// Time between tokens of the demo's engines.
-const TOKEN: Duration = Duration::from_millis(20);
-/// Longest wait for the box to be ready.
+/// Loopback address whose port the system chooses.
+const ANY_LOOPBACK_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+/// Time between two tokens of the demo's engines.
+const TOKEN_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time to wait for the box to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-const READY_POLL: Duration = Duration::from_millis(20);
-/// A box that nobody else is told of need not wait before it closes.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time that a stopping box stays open after announcing that it is leaving. It can be short because
+/// no other box or caller learns of the demo's box from a list.
 const STOP_GRACE_MS: u64 = 100;
 
 struct StandIns {
@@ -56,7 +58,7 @@
     let mut listen = SocketAddr::from(DEFAULT_LISTEN);
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("listen") => listen = address(&mut parser)?,
+            Arg::Long("listen") => listen = parse_address(&mut parser)?,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
             other => return Err(other.unexpected().into()),
         }
@@ -68,19 +70,20 @@
         .build()
         .context("cannot start the stand-ins")?;
     let stand_ins = runtime.block_on(start_stand_ins())?;
-    let settings = Settings::parse("demo settings", &settings(listen, stand_ins.platform))?;
+    let settings = Settings::parse("demo settings", &settings_json(listen, stand_ins.platform))?;
     let daemon = Daemon::start(settings)?;
-    configure(&runtime, &stand_ins)?;
+    apply_configuration(&runtime, &stand_ins)?;
     wait_until_ready(&daemon)?;
-    print!("{}", welcome(daemon.addresses().callers));
+    print!("{}", welcome_message(daemon.addresses().callers));
     stop_on_signals(daemon.stop_handle())?;
-    ended(daemon.wait())
+    stop_result(daemon.wait())
 }
 
 async fn start_stand_ins() -> Result<StandIns, CommandError> {
-    let any = SocketAddr::from(ANY_PORT);
-    let speed = Speed { token_interval: TOKEN, ..Speed::default() };
-    let (platform, first, second, service) = (bind(any)?, bind(any)?, bind(any)?, bind(any)?);
+    let any_port = SocketAddr::from(ANY_LOOPBACK_PORT);
+    let speed = Speed { token_interval: TOKEN_INTERVAL, ..Speed::default() };
+    let (platform, first, second, service) =
+        (bind(any_port)?, bind(any_port)?, bind(any_port)?, bind(any_port)?);
     let stand_ins = StandIns {
         platform: platform.local_addr()?,
         engines: [first.local_addr()?, second.local_addr()?],
@@ -93,7 +96,7 @@
     Ok(stand_ins)
 }
 
-fn settings(listen: SocketAddr, platform: SocketAddr) -> String {
+fn settings_json(listen: SocketAddr, platform: SocketAddr) -> String {
     format!(
         r#"{{
             "box": "demo", "region": "here", "failure_domain": "a",
@@ -104,7 +107,7 @@
     )
 }
 
-fn configuration(stand_ins: &StandIns) -> String {
+fn configuration_json(stand_ins: &StandIns) -> String {
     let StandIns { engines: [first, second], service, .. } = stand_ins;
     format!(
         r#"{{
@@ -124,35 +127,35 @@
     )
 }
 
-fn configure(runtime: &Runtime, stand_ins: &StandIns) -> Result<(), CommandError> {
+fn apply_configuration(runtime: &Runtime, stand_ins: &StandIns) -> Result<(), CommandError> {
     let store = Store::new(stand_ins.platform, Arc::new(Counters::default()));
-    let files = Files::from([("demo.jsonc".to_owned(), configuration(stand_ins))]);
+    let files = Files::from([("demo.jsonc".to_owned(), configuration_json(stand_ins))]);
     runtime.block_on(apply(&store, &files, "demo"))?;
     Ok(())
 }
 
 fn wait_until_ready(daemon: &Daemon) -> Result<(), CommandError> {
-    let tries = READY_TIMEOUT.as_millis() / READY_POLL.as_millis();
-    for _ in 0..tries {
+    let attempts = READY_TIMEOUT.as_millis() / READY_POLL_INTERVAL.as_millis();
+    for _ in 0..attempts {
         if daemon.is_ready() {
             return Ok(());
         }
-        std::thread::sleep(READY_POLL);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
     Err(anyhow::anyhow!("the box did not become ready").into())
 }
 
-fn welcome(callers: SocketAddr) -> String {
+fn welcome_message(callers: SocketAddr) -> String {
     format!(
-        r#"copperweir demo: one box at http://{callers}, with two engines and a service. Ctrl-C ends it.
+        r#"copperweir demo: one box at http://{callers}, with two engines and a service. Press Ctrl-C to stop it.
 
-A completion, token by token:
+A streamed completion:
   curl -sN http://{callers}/v1/chat/completions -H 'content-type: application/json' -d '{{"model":"demo-model","stream":true,"max_tokens":20,"messages":[{{"role":"user","content":"fault 17"}}]}}'
 
-Which box to use, and a ticket to run something at most once:
+The boxes to use, and a ticket for a request that must run at most once:
   curl -s http://{callers}/v1/boxes
 
-A filing that may not be doubled, sent twice with one key:
+A filing that must not run twice, sent twice with the same key:
   for i in 1 2; do curl -s http://{callers}/services/intake/filings -H 'idempotency-key: my-key' -d '{{"id":"f-1"}}'; echo; done; curl -s http://{callers}/services/intake/filings/f-1; echo
 "#
     )
--- a/cli/src/commands/gateway.rs
+++ b/cli/src/commands/gateway.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use crate::error::CommandError;
-use crate::journal::Journal;
+use crate::log_writer::BufferedLogWriter;
 
 pub const HELP: &str = "\
 Run the gateway on a box of the users' platform
@@ -27,82 +27,83 @@
 Usage: copperweir gateway [options]
 
 Options:
-  --settings <file>  Settings as the platform lays them down; default: the
-                     file that the platform names in the environment
-  --metrics <port>   Port for metrics; default: the second of the ports that
-                     the settings leave free
-  --log <levels>     Log levels in the logger's form; default: info
-  --check            Check the settings and end
+  --settings <file>  Settings in the platform's format; default: the file that
+                     the platform names in the environment
+  --metrics <port>   Port for metrics; default: the second port of the range
+                     in the settings
+  --log <levels>     Log levels in flexi_logger's syntax; default: info
+  --check            Check the settings and exit
 
-SIGTERM or SIGINT ends the box after everything in progress is finished; a
-second one ends it at once. SIGHUP cuts nothing and is noted in the log;
-changed settings count from the next start.
+SIGTERM or SIGINT stops the box after all requests in progress have completed;
+a second one stops it immediately. SIGHUP aborts no requests and is only
+logged; changed settings take effect at the next start.
 ";
 
-/// Log levels where none are asked for.
-const LOG: &str = "info";
+/// Log levels without `--log`.
+const DEFAULT_LOG_LEVELS: &str = "info";
 
 /// Runs the command.
 pub fn run(mut parser: Parser) -> Result<(), CommandError> {
-    let mut file: Option<PathBuf> = std::env::var_os(settings::VARIABLE).map(PathBuf::from);
-    let mut only_check = false;
+    let mut path: Option<PathBuf> = std::env::var_os(settings::VARIABLE).map(PathBuf::from);
+    let mut check_only = false;
     let mut metrics: Option<u16> = None;
-    let mut levels = LOG.to_owned();
+    let mut levels = DEFAULT_LOG_LEVELS.to_owned();
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("settings") => file = Some(parser.value()?.into()),
+            Arg::Long("settings") => path = Some(parser.value()?.into()),
             Arg::Long("metrics") => metrics = Some(parser.value()?.parse()?),
             Arg::Long("log") => levels = parser.value()?.string()?,
-            Arg::Long("check") => only_check = true,
+            Arg::Long("check") => check_only = true,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
             other => return Err(other.unexpected().into()),
         }
     }
-    let file = file.ok_or_else(|| {
+    let path = path.ok_or_else(|| {
         CommandError::Usage(format!("--settings is missing, and {} is not set", settings::VARIABLE))
     })?;
-    let text = std::fs::read_to_string(&file)
-        .with_context(|| format!("cannot read {}", file.display()))?;
+    let text = std::fs::read_to_string(&path)
+        .with_context(|| format!("cannot read {}", path.display()))?;
     let (mut settings, regions) = settings::parse(&text)
-        .map_err(|error| CommandError::Invalid(format!("{}: {error}", file.display())))?;
+        .map_err(|error| CommandError::Invalid(format!("{}: {error}", path.display())))?;
     if let Some(port) = metrics {
         settings.listen.metrics.set_port(port);
     }
-    if only_check {
+    if check_only {
         return Ok(());
     }
     let _logger = start_logger(&levels)?;
     let (sender, receiver) = gateway::events();
     watch_signals(sender.clone())?;
     let gateway = Gateway::start_with_events(settings, regions, Platform, (sender, receiver))?;
-    super::serve::ended(gateway.wait())
+    super::serve::stop_result(gateway.wait())
 }
 
-/// Logs to standard output without ever waiting for it.
+/// Starts logging to standard output; log calls never block on it.
 fn start_logger(levels: &str) -> Result<LoggerHandle, CommandError> {
     let logger = Logger::try_with_str(levels)
         .map_err(|error| CommandError::Invalid(format!("--log: {error}")))?;
-    let journal = Journal::start().context("cannot start the log's thread")?;
-    let handle = logger.log_to_writer(Box::new(journal)).start();
+    let writer = BufferedLogWriter::start().context("cannot start the log writer thread")?;
+    let handle = logger.log_to_writer(Box::new(writer)).start();
     Ok(handle.context("cannot start the logger")?)
 }
 
-/// Turns signals into events; they are caught from here on, before any port is open.
+/// Converts signals into events. The handlers are installed when this returns, before any port is
+/// open.
 fn watch_signals(events: mpsc::Sender<Event>) -> Result<(), CommandError> {
     let runtime = crate::client::runtime()?;
-    let catch = || -> std::io::Result<[Signal; 3]> {
+    let install_handlers = || -> std::io::Result<[Signal; 3]> {
         Ok([
             signal(SignalKind::terminate())?,
             signal(SignalKind::interrupt())?,
             signal(SignalKind::hangup())?,
         ])
     };
-    let caught = {
+    let signals = {
         let _guard = runtime.enter();
-        catch().context("cannot catch signals")?
+        install_handlers().context("cannot install signal handlers")?
     };
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
-        let [mut terminate, mut interrupt, mut hangup] = caught;
+        let [mut terminate, mut interrupt, mut hangup] = signals;
         runtime.block_on(async move {
             loop {
                 let event = tokio::select! {
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one file each.
+//! The commands, one module each.
 
 mod apply;
 mod boxes;
@@ -19,63 +19,73 @@
 
 struct Command {
     name: &'static str,
-    about: &'static str,
+    summary: &'static str,
     help: &'static str,
     run: fn(Parser) -> Result<(), CommandError>,
 }
 
 const COMMANDS: &[Command] = &[
-    Command { name: "serve", about: "Run one box", help: serve::HELP, run: serve::run },
+    Command { name: "serve", summary: "Run one box", help: serve::HELP, run: serve::run },
     Command {
         name: "gateway",
-        about: "Run the gateway on the users' platform",
+        summary: "Run the gateway on the users' platform",
         help: gateway::HELP,
         run: gateway::run,
     },
     Command {
         name: "check",
-        about: "Check configuration files",
+        summary: "Check configuration files",
         help: check::HELP,
         run: check::run,
     },
     Command {
         name: "apply",
-        about: "Put configuration files in force",
+        summary: "Apply configuration files",
         help: apply::HELP,
         run: apply::run,
     },
-    Command { name: "show", about: "Show what a box knows", help: show::HELP, run: show::run },
-    Command { name: "boxes", about: "Ask which box to use", help: boxes::HELP, run: boxes::run },
-    Command { name: "burn", about: "Report service-level burn", help: burn::HELP, run: burn::run },
+    Command { name: "show", summary: "Show the state of a box", help: show::HELP, run: show::run },
+    Command {
+        name: "boxes",
+        summary: "List the boxes that callers can use",
+        help: boxes::HELP,
+        run: boxes::run,
+    },
+    Command {
+        name: "burn",
+        summary: "Report error budget burn rates",
+        help: burn::HELP,
+        run: burn::run,
+    },
     Command {
         name: "load",
-        about: "Put load on boxes and report",
+        summary: "Generate load on boxes and report the results",
         help: load::HELP,
         run: load::run,
     },
     Command {
         name: "stand-in",
-        about: "Run a stand-in of what copperweir meets",
+        summary: "Run a stand-in for a service that copperweir uses",
         help: stand_in::HELP,
         run: stand_in::run,
     },
     Command {
         name: "demo",
-        about: "Run one box with stand-ins, to try it out",
+        summary: "Run one box with stand-ins for all other services",
         help: demo::HELP,
         run: demo::run,
     },
 ];
 
-/// Runs the command that the arguments name.
+/// Runs the command that the command line names.
 pub fn run(mut parser: Parser) -> Result<(), CommandError> {
     match parser.next()? {
         None => {
-            print!("{}", overview());
+            print!("{}", command_overview());
             Ok(())
         }
         Some(Arg::Short('h') | Arg::Long("help")) => {
-            print!("{}", overview());
+            print!("{}", command_overview());
             Ok(())
         }
         Some(Arg::Short('V') | Arg::Long("version")) => {
@@ -85,39 +95,39 @@
         Some(Arg::Value(name)) => {
             let name = name.string()?;
             if name == "help" {
-                return help(parser);
+                return print_command_help(parser);
             }
-            (find(&name)?.run)(parser)
+            (find_command(&name)?.run)(parser)
         }
         Some(argument) => Err(argument.unexpected().into()),
     }
 }
 
-fn help(mut parser: Parser) -> Result<(), CommandError> {
+fn print_command_help(mut parser: Parser) -> Result<(), CommandError> {
     match parser.next()? {
-        Some(Arg::Value(name)) => print!("{}", find(&name.string()?)?.help),
-        _ => print!("{}", overview()),
+        Some(Arg::Value(name)) => print!("{}", find_command(&name.string()?)?.help),
+        _ => print!("{}", command_overview()),
     }
     Ok(())
 }
 
-fn find(name: &str) -> Result<&'static Command, CommandError> {
-    let found = COMMANDS.iter().find(|command| command.name == name);
-    found.ok_or_else(|| CommandError::Usage(format!("there is no command \"{name}\"")))
+fn find_command(name: &str) -> Result<&'static Command, CommandError> {
+    let command = COMMANDS.iter().find(|command| command.name == name);
+    command.ok_or_else(|| CommandError::Usage(format!("unknown command \"{name}\"")))
 }
 
-fn overview() -> String {
+fn command_overview() -> String {
     let mut text = String::from(
         "copperweir: a multi-region inference gateway\n\nUsage: copperweir <command> [options]\n\nCommands:\n",
     );
     for command in COMMANDS {
-        text.push_str(&format!("  {:<10}{}\n", command.name, command.about));
+        text.push_str(&format!("  {:<10}{}\n", command.name, command.summary));
     }
-    text.push_str("\n`copperweir help <command>` tells more.\n");
+    text.push_str("\n`copperweir help <command>` shows its options.\n");
     text
 }
 
-/// Prints a command's help.
+/// Prints a help text.
 fn print_help(help: &str) -> Result<(), CommandError> {
     print!("{help}");
     Ok(())
--- a/cli/src/commands/serve.rs
+++ b/cli/src/commands/serve.rs
@@ -24,55 +24,55 @@
 Usage: copperweir serve --settings <file>
 
 Options:
-  --settings <file>  Settings of the box, JSON with comments
-  --check            Check the settings and end
+  --settings <file>  Settings file of the box, JSON with comments
+  --check            Check the settings and exit
 
-SIGTERM or SIGINT ends the box after everything in progress is finished; a
-second one ends it at once.
+SIGTERM or SIGINT stops the box after all requests in progress have completed;
+a second one stops it immediately.
 ";
 
 /// Runs the command.
 pub fn run(mut parser: Parser) -> Result<(), CommandError> {
-    let mut file: Option<PathBuf> = None;
-    let mut only_check = false;
+    let mut path: Option<PathBuf> = None;
+    let mut check_only = false;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("settings") => file = Some(parser.value()?.into()),
-            Arg::Long("check") => only_check = true,
+            Arg::Long("settings") => path = Some(parser.value()?.into()),
+            Arg::Long("check") => check_only = true,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
             other => return Err(other.unexpected().into()),
         }
     }
-    let file = file.ok_or_else(|| CommandError::Usage("--settings is missing".to_owned()))?;
-    let text = std::fs::read_to_string(&file)
-        .with_context(|| format!("cannot read {}", file.display()))?;
-    let settings = Settings::parse(&file.display().to_string(), &text)?;
-    if only_check {
+    let path = path.ok_or_else(|| CommandError::Usage("--settings is missing".to_owned()))?;
+    let text = std::fs::read_to_string(&path)
+        .with_context(|| format!("cannot read {}", path.display()))?;
+    let settings = Settings::parse(&path.display().to_string(), &text)?;
+    if check_only {
         return Ok(());
     }
     let _logger = start_logger(&settings.log)?;
     let daemon = Daemon::start(settings)?;
     stop_on_signals(daemon.stop_handle())?;
-    ended(daemon.wait())
+    stop_result(daemon.wait())
 }
 
-/// What the ending of a box means for the command.
-pub fn ended(ending: StopOutcome) -> Result<(), CommandError> {
-    match ending {
+/// Converts the stop outcome of a box into the result of the command.
+pub fn stop_result(outcome: StopOutcome) -> Result<(), CommandError> {
+    match outcome {
         StopOutcome::Done | StopOutcome::Cut(0) => Ok(()),
-        StopOutcome::Cut(requests) => Err(CommandError::Cut(requests)),
+        StopOutcome::Cut(requests) => Err(CommandError::Aborted(requests)),
     }
 }
 
-/// Logs to the error stream, a line for each change of state.
+/// Starts logging to standard error. The daemon logs one line for each change of state.
 pub fn start_logger(levels: &str) -> Result<LoggerHandle, CommandError> {
     let logger = Logger::try_with_str(levels)
         .map_err(|error| CommandError::Invalid(format!("log: {error}")))?;
-    let handle = logger.format(line).log_to_stderr().start();
+    let handle = logger.format(write_log_line).log_to_stderr().start();
     Ok(handle.context("cannot start the logger")?)
 }
 
-fn line(
+fn write_log_line(
     out: &mut dyn std::io::Write,
     now: &mut DeferredNow,
     record: &log::Record<'_>,
@@ -82,7 +82,7 @@
     write!(out, "time={time} level={level} {}", record.args())
 }
 
-/// Turns SIGTERM and SIGINT into a planned stop.
+/// Stops the box on SIGTERM and SIGINT.
 pub fn stop_on_signals(stop_handle: StopHandle) -> Result<(), CommandError> {
     let runtime = crate::client::runtime()?;
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
@@ -102,11 +102,11 @@
     Ok(())
 }
 
-/// Reads an address argument.
-pub fn address(parser: &mut Parser) -> Result<std::net::SocketAddr, CommandError> {
+/// Parses the value of an option as an IP address and port.
+pub fn parse_address(parser: &mut Parser) -> Result<std::net::SocketAddr, CommandError> {
     let text = parser.value()?.string()?;
     text.parse().map_err(|_| {
-        let message = format!("\"{text}\" is not an IP number and port, such as 127.0.0.1:8080");
+        let message = format!("\"{text}\" is not an IP address and port, such as 127.0.0.1:8080");
         CommandError::Usage(message)
     })
 }
--- a/cli/src/commands/show.rs
+++ b/cli/src/commands/show.rs
@@ -9,21 +9,21 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-use super::serve::address;
+use super::serve::parse_address;
 use crate::client;
 use crate::error::CommandError;
 use crate::output::Format;
 use crate::output::table;
 
 pub const HELP: &str = "\
-Show what a box knows
+Show the state of a box
 
 Usage: copperweir show --box <operators' address> [status|configuration|counters]
 
 Options:
-  --box <address>       The operators' port of a box
-  --key <key>           The operators' key, where the box asks for one
-  --format <text|json>  Form of the output
+  --box <address>       Address of the operator API of a box
+  --key <key>           The operators' key, if the box requires one
+  --format <text|json>  Output format
 ";
 
 /// Runs the command.
@@ -31,28 +31,28 @@
     let mut target: Option<SocketAddr> = None;
     let mut key = None;
     let mut format = Format::Text;
-    let mut what = "status".to_owned();
+    let mut view = "status".to_owned();
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("box") => target = Some(address(&mut parser)?),
+            Arg::Long("box") => target = Some(parse_address(&mut parser)?),
             Arg::Long("key") => key = Some(parser.value()?.string()?),
             Arg::Long("format") => format = parser.value()?.parse()?,
-            Arg::Value(value) => what = value.string()?,
+            Arg::Value(value) => view = value.string()?,
             Arg::Short('h') | Arg::Long("help") => return super::print_help(HELP),
             other => return Err(other.unexpected().into()),
         }
     }
     let target = target.ok_or_else(|| CommandError::Usage("--box is missing".to_owned()))?;
-    let path = match what.as_str() {
-        "status" | "configuration" | "counters" => format!("/{what}"),
+    let path = match view.as_str() {
+        "status" | "configuration" | "counters" => format!("/{view}"),
         other => return Err(CommandError::Usage(format!("cannot show \"{other}\""))),
     };
     let body = client::runtime()?.block_on(client::get(target, &path, key.as_deref()))?;
-    if format == Format::Json || what == "counters" {
+    if format == Format::Json || view == "counters" {
         println!("{}", String::from_utf8_lossy(&body).trim_end());
         return Ok(());
     }
-    match what.as_str() {
+    match view.as_str() {
         "configuration" => print_configuration(&body),
         _ => print_status(&body),
     }
@@ -72,7 +72,7 @@
 }
 
 fn print_status(body: &[u8]) -> Result<(), CommandError> {
-    let status: Status = serde_json::from_slice(body).context("the box's answer cannot be read")?;
+    let status: Status = serde_json::from_slice(body).context("cannot parse the box's response")?;
     println!(
         "{} in {}: {}, version {}, up {} s, {} requests in progress, {} keys",
         status.name,
@@ -93,9 +93,9 @@
         .pools
         .into_iter()
         .map(|row| {
-            let numbers =
+            let counts =
                 [row.in_flight.to_string(), row.waiting.to_string(), row.spare.to_string()];
-            std::iter::once(row.name).chain(numbers).collect()
+            std::iter::once(row.name).chain(counts).collect()
         })
         .collect();
     println!("\n{}", table(&["pool", "in flight", "waiting", "spare"], &pools));
--- a/cli/src/commands/stand_in.rs
+++ b/cli/src/commands/stand_in.rs
@@ -14,38 +14,40 @@
 use lexopt::ValueExt;
 use tokio::net::TcpListener;
 
-use super::serve::address;
+use super::serve::parse_address;
 use crate::client;
 use crate::error::CommandError;
 
 pub const HELP: &str = "\
-Run a stand-in of what copperweir meets
+Run a stand-in for a service that copperweir uses
 
 Usage: copperweir stand-in <platform|engine|service|link> --listen <address>...
 
 Options:
-  --listen <address>   Where to listen; several addresses of a service share
-                       their filings, each one of `engine` is an engine
-  --to <address>       Where the link of the latest --listen goes
-  --delay-ms <number>  Time that a link takes, one way (0)
-  --slots <number>     Requests that an engine runs at once (8)
-  --token-us <number>  Time between an engine's tokens, microseconds (2000)
-  --prefill-us <n>     Time to read 1,000 bytes of a new prompt, microseconds (5000)
+  --listen <address>   Address to listen on; may be repeated. The addresses of a
+                       `service` share its filings, each address of `engine`
+                       is an engine of its own
+  --to <address>       Destination of a link, one for each --listen in order
+  --delay-ms <number>  One-way latency of a link, milliseconds (0)
+  --slots <number>     Maximum number of concurrent requests of an engine (8)
+  --token-us <number>  Time between two tokens of an engine, microseconds (2000)
+  --prefill-us <n>     Time to process 1,000 bytes of a new prompt, microseconds
+                       (5000)
 
-Each takes POST /control with a JSON object that tells it how to fail.
+Each stand-in accepts POST /control with a JSON object of faults to inject.
 ";
 
 /// Runs the command.
 pub fn run(mut parser: Parser) -> Result<(), CommandError> {
     let mut kind = None;
-    let mut listen = Vec::new();
+    let mut listen_addresses = Vec::new();
     let mut speed = Speed::default();
-    let mut to = Vec::new();
+    let mut destinations = Vec::new();
     let mut delay = Duration::ZERO;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("listen") => listen.push(address(&mut parser)?),
-            Arg::Long("to") => to.push(address(&mut parser)?),
+            Arg::Long("listen") => listen_addresses.push(parse_address(&mut parser)?),
+            Arg::Long("to") => destinations.push(parse_address(&mut parser)?),
             Arg::Long("delay-ms") => delay = Duration::from_millis(parser.value()?.parse()?),
             Arg::Long("slots") => speed.slots = parser.value()?.parse()?,
             Arg::Long("token-us") => {
@@ -59,35 +61,41 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let kind = kind.ok_or_else(|| CommandError::Usage("expected a kind of stand-in".to_owned()))?;
-    if listen.is_empty() {
+    let kind = kind.ok_or_else(|| {
+        CommandError::Usage("expected platform, engine, service or link".to_owned())
+    })?;
+    if listen_addresses.is_empty() {
         return Err(CommandError::Usage("--listen is missing".to_owned()));
     }
     if kind == "link" {
-        if listen.len() != to.len() {
-            let message = "a link takes as many --to as --listen".to_owned();
+        if listen_addresses.len() != destinations.len() {
+            let message = "a link needs one --to for each --listen".to_owned();
             return Err(CommandError::Usage(message));
         }
-        return client::runtime()?.block_on(serve_links(&listen, &to, delay));
+        return client::runtime()?.block_on(serve_links(&listen_addresses, &destinations, delay));
     }
-    client::runtime()?.block_on(serve(&kind, &listen, speed))
+    client::runtime()?.block_on(serve(&kind, &listen_addresses, speed))
 }
 
 async fn serve_links(
-    listen: &[SocketAddr],
-    to: &[SocketAddr],
+    listen_addresses: &[SocketAddr],
+    destinations: &[SocketAddr],
     delay: Duration,
 ) -> Result<(), CommandError> {
-    for (listen, to) in listen.iter().zip(to) {
-        let listener = bind(*listen)?;
-        tokio::spawn(Link::new(delay).serve(listener, *to));
+    for (address, destination) in listen_addresses.iter().zip(destinations) {
+        let listener = bind(*address)?;
+        tokio::spawn(Link::new(delay).serve(listener, *destination));
     }
     std::future::pending().await
 }
 
-async fn serve(kind: &str, listen: &[SocketAddr], speed: Speed) -> Result<(), CommandError> {
+async fn serve(
+    kind: &str,
+    listen_addresses: &[SocketAddr],
+    speed: Speed,
+) -> Result<(), CommandError> {
     let mut listeners = Vec::new();
-    for address in listen {
+    for address in listen_addresses {
         listeners.push(bind(*address)?);
     }
     let (platform, service) = (Platform::default(), Service::default());
@@ -97,7 +105,7 @@
             "service" => drop(tokio::spawn(service.serve(listener))),
             "engine" => drop(tokio::spawn(Engine::new(speed).serve(listener))),
             other => {
-                let message = format!("there is no stand-in \"{other}\"");
+                let message = format!("unknown stand-in \"{other}\"");
                 return Err(CommandError::Usage(message));
             }
         }
@@ -105,10 +113,10 @@
     std::future::pending().await
 }
 
-/// Opens a port for a stand-in.
+/// Opens a listening socket for a stand-in.
 pub fn bind(address: SocketAddr) -> Result<TcpListener, CommandError> {
-    let bound = http1::bind(address);
-    let (listener, _) = bound
+    let result = http1::bind(address);
+    let (listener, _) = result
         .map_err(|error| CommandError::Listen(format!("cannot listen on {address}: {error}")))?;
     Ok(listener)
 }
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What a command can fail with, its hint, and its exit code.
+//! Errors of commands, with their hints and exit codes.
 
 use std::process::ExitCode;
 
@@ -7,45 +7,47 @@
 use copperweir_lib::protocol::config::document::DocumentError;
 use copperweir_lib::protocol::jsonc::Problems;
 
-/// A failed command.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// Files or settings do not pass the check.
+    /// Configuration files, settings or log levels are invalid.
     Invalid(String),
-    /// Another operator came first.
+    /// Another operator changed the configuration first.
     Conflict(String),
-    /// A change may or may not have been made.
+    /// It is unknown whether the change was made.
     Unresolved(String),
-    /// Nothing answers there.
+    /// An address gave no response, or an unsuccessful one.
     Unreachable(String),
-    /// A stop cut requests in progress.
-    Cut(usize),
-    /// A port cannot be listened on.
+    /// The stop aborted this many requests in progress.
+    Aborted(usize),
+    /// A listening socket could not be opened.
     Listen(String),
-    /// Anything else.
+    /// Any other error.
     Other(anyhow::Error),
 }
 
 impl CommandError {
-    /// What to do about it.
+    /// Suggests what the user can do.
     pub fn hint(&self) -> Option<&'static str> {
         match self {
             CommandError::Usage(_) => Some("`copperweir help` lists the commands"),
             CommandError::Conflict(_) => {
-                Some("look at the version that stands with `copperweir show`, then apply again")
+                Some("check the current version with `copperweir show`, then apply again")
             }
-            CommandError::Unresolved(_) => {
-                Some("look for the id in `copperweir show --format json` before you apply again")
+            CommandError::Unresolved(_) => Some(
+                "look for the id in the output of `copperweir show --format json` before you apply again",
+            ),
+            CommandError::Unreachable(_) => {
+                Some("check that the address is right and that the process is running")
             }
-            CommandError::Unreachable(_) => Some("is the address right, and does the process run?"),
-            CommandError::Listen(_) => Some("give another address with --listen"),
-            CommandError::Invalid(_) | CommandError::Cut(_) | CommandError::Other(_) => None,
+            CommandError::Listen(_) => Some("choose another address with --listen"),
+            CommandError::Invalid(_) | CommandError::Aborted(_) | CommandError::Other(_) => None,
         }
     }
 
-    /// Exit code; the list stands in docs/operators/exit-codes.md.
+    /// Returns the exit code, as listed in docs/operators/exit-codes.md.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Other(_) => 1,
@@ -54,7 +56,7 @@
             CommandError::Conflict(_) => 4,
             CommandError::Unresolved(_) => 5,
             CommandError::Unreachable(_) => 6,
-            CommandError::Cut(_) => 7,
+            CommandError::Aborted(_) => 7,
             CommandError::Listen(_) => 8,
         })
     }
@@ -69,8 +71,8 @@
             | CommandError::Unresolved(text)
             | CommandError::Unreachable(text)
             | CommandError::Listen(text) => f.write_str(text),
-            CommandError::Cut(requests) => {
-                write!(f, "the stop cut {requests} requests in progress")
+            CommandError::Aborted(requests) => {
+                write!(f, "stopping aborted {requests} requests in progress")
             }
             CommandError::Other(error) => write!(f, "{error:#}"),
         }
--- a/cli/src/load/mix.rs
+++ b/cli/src/load/mix.rs
@@ -1,65 +1,65 @@
-//! What callers ask: kinds of requests and how often each comes.
+//! Request mixes: kinds of requests and their relative frequency.
 
 use bytes::Bytes;
 use rand::Rng;
 use serde_json::json;
 
-/// Different beginnings of prompts that requests of a kind share, by Zipf's law.
-const PREFIXES: usize = 200;
+/// Number of distinct shared prompt prefixes. Their popularity follows Zipf's law.
+const PREFIX_COUNT: usize = 200;
 
-/// A kind of request.
+/// A kind of request in a mix.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     /// Name in the report.
     pub name: &'static str,
-    /// How often, relative to the others.
-    pub share: f64,
-    /// Bytes of the shared beginning of its prompt.
-    pub prefix_bytes: usize,
-    /// Bytes of its own.
-    pub own_bytes: usize,
-    /// Tokens asked for.
-    pub tokens: u32,
-    /// Whether the answer is a stream.
+    /// Frequency relative to the other kinds.
+    pub weight: f64,
+    /// Size of the prompt prefix that requests of this kind share, in bytes.
+    pub shared_prefix_bytes: usize,
+    /// Size of the rest of the prompt, which is unique, in bytes.
+    pub unique_bytes: usize,
+    /// Number of tokens requested (`max_tokens`).
+    pub max_tokens: u32,
+    /// Whether the response is streamed.
     pub stream: bool,
     /// Priority; empty for the default.
     pub priority: &'static str,
-    /// Deadline, milliseconds; 0 for the default.
+    /// Timeout in milliseconds; 0 for the default.
     pub timeout_ms: u64,
-    /// A call of this service instead of a completion.
+    /// Service that the request is a filing for; `None` for a completion.
     pub service: Option<&'static str>,
 }
 
-/// Kinds of one user.
+/// A weighted set of request kinds.
 #[derive(Clone, Debug)]
 pub struct Mix {
-    /// Kinds.
-    pub kinds: Vec<Kind>,
-    /// Model of completions.
+    /// The kinds of requests.
+    pub kinds: Vec<RequestKind>,
+    /// Model that completions request.
     pub model: String,
 }
 
-/// One request to send.
+/// A generated request.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Index of its kind.
+pub struct GeneratedRequest {
+    /// Index of the kind in the mix.
     pub kind: usize,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Priority.
+    /// Priority; empty for the default.
     pub priority: String,
-    /// Deadline, milliseconds.
+    /// Timeout in milliseconds; 0 for the default.
     pub timeout_ms: u64,
 }
 
-const COMPLETION: Kind = Kind {
+const COMPLETION: RequestKind = RequestKind {
     name: "completion",
-    share: 1.0,
-    prefix_bytes: 200,
-    own_bytes: 50,
-    tokens: 8,
+    weight: 1.0,
+    shared_prefix_bytes: 200,
+    unique_bytes: 50,
+    max_tokens: 8,
     stream: false,
     priority: "",
     timeout_ms: 0,
@@ -67,134 +67,137 @@
 };
 
 impl Mix {
-    /// A mix by its name: `utility`, `tickets`, `plain` or `stream`.
-    pub fn named(name: &str, model: &str, tokens: Option<u32>) -> Option<Mix> {
+    /// Returns the mix with this name: `utility`, `tickets`, `plain` or `stream`. `max_tokens`
+    /// overrides the number of tokens of every kind.
+    pub fn by_name(name: &str, model: &str, max_tokens: Option<u32>) -> Option<Mix> {
         let mut kinds = match name {
-            "utility" => utility(),
-            "tickets" => tickets(),
+            "utility" => utility_mix(),
+            "tickets" => tickets_mix(),
             "plain" => vec![COMPLETION],
-            "stream" => vec![Kind { name: "stream", stream: true, ..COMPLETION }],
+            "stream" => vec![RequestKind { name: "stream", stream: true, ..COMPLETION }],
             _ => return None,
         };
-        if let Some(tokens) = tokens {
-            kinds.iter_mut().for_each(|kind| kind.tokens = tokens);
+        if let Some(max_tokens) = max_tokens {
+            kinds.iter_mut().for_each(|kind| kind.max_tokens = max_tokens);
         }
         Some(Mix { kinds, model: model.to_owned() })
     }
 
-    /// Draws the next request.
-    pub fn draw(&self, rng: &mut impl Rng) -> Ask {
-        let total: f64 = self.kinds.iter().map(|kind| kind.share).sum();
-        let mut left = rng.random_range(0.0..total);
-        let drawn = self.kinds.iter().position(|kind| {
-            left -= kind.share;
-            left < 0.0
+    /// Generates a random request according to the weights.
+    pub fn generate(&self, rng: &mut impl Rng) -> GeneratedRequest {
+        let total: f64 = self.kinds.iter().map(|kind| kind.weight).sum();
+        let mut remaining = rng.random_range(0.0..total);
+        let index = self.kinds.iter().position(|kind| {
+            remaining -= kind.weight;
+            remaining < 0.0
         });
-        let index = drawn.unwrap_or(self.kinds.len() - 1);
+        let index = index.unwrap_or(self.kinds.len() - 1);
         let kind = &self.kinds[index];
-        Ask {
+        GeneratedRequest {
             kind: index,
-            path: path(kind),
-            body: body(kind, &self.model, rng),
+            path: request_path(kind),
+            body: request_body(kind, &self.model, rng),
             priority: kind.priority.to_owned(),
             timeout_ms: kind.timeout_ms,
         }
     }
 }
 
-/// Long fault logs, short questions about codes, and filings.
-fn utility() -> Vec<Kind> {
+/// Requests of a utility: summaries of long fault logs, short questions about fault codes, and
+/// filings.
+fn utility_mix() -> Vec<RequestKind> {
     vec![
-        Kind {
+        RequestKind {
             name: "summary",
-            share: 0.3,
-            prefix_bytes: 6000,
-            own_bytes: 2000,
-            tokens: 60,
+            weight: 0.3,
+            shared_prefix_bytes: 6000,
+            unique_bytes: 2000,
+            max_tokens: 60,
             stream: true,
             priority: "high",
             timeout_ms: 10_000,
             ..COMPLETION
         },
-        Kind {
+        RequestKind {
             name: "question",
-            share: 0.5,
-            prefix_bytes: 400,
-            own_bytes: 100,
-            tokens: 20,
+            weight: 0.5,
+            shared_prefix_bytes: 400,
+            unique_bytes: 100,
+            max_tokens: 20,
             stream: true,
             ..COMPLETION
         },
-        Kind { name: "filing", share: 0.2, service: Some("intake"), ..COMPLETION },
+        RequestKind { name: "filing", weight: 0.2, service: Some("intake"), ..COMPLETION },
     ]
 }
 
-/// Reviews of listings, buyers' questions, holds and checkouts.
-fn tickets() -> Vec<Kind> {
+/// Requests of a ticket shop: reviews of listings, buyers' questions, holds and checkouts.
+fn tickets_mix() -> Vec<RequestKind> {
     vec![
-        Kind {
+        RequestKind {
             name: "review",
-            share: 0.2,
-            prefix_bytes: 9000,
-            own_bytes: 1000,
-            tokens: 40,
+            weight: 0.2,
+            shared_prefix_bytes: 9000,
+            unique_bytes: 1000,
+            max_tokens: 40,
             priority: "low",
             ..COMPLETION
         },
-        Kind {
+        RequestKind {
             name: "question",
-            share: 0.4,
-            prefix_bytes: 300,
-            own_bytes: 100,
-            tokens: 15,
+            weight: 0.4,
+            shared_prefix_bytes: 300,
+            unique_bytes: 100,
+            max_tokens: 15,
             stream: true,
             ..COMPLETION
         },
-        Kind {
+        RequestKind {
             name: "hold",
-            share: 0.3,
+            weight: 0.3,
             service: Some("storefront"),
             priority: "high",
             timeout_ms: 2000,
             ..COMPLETION
         },
-        Kind { name: "checkout", share: 0.1, service: Some("storefront"), ..COMPLETION },
+        RequestKind { name: "checkout", weight: 0.1, service: Some("storefront"), ..COMPLETION },
     ]
 }
 
-fn path(kind: &Kind) -> String {
+fn request_path(kind: &RequestKind) -> String {
     match kind.service {
         None => "/v1/chat/completions".to_owned(),
         Some(service) => format!("/services/{service}/filings"),
     }
 }
 
-fn body(kind: &Kind, model: &str, rng: &mut impl Rng) -> Bytes {
+fn request_body(kind: &RequestKind, model: &str, rng: &mut impl Rng) -> Bytes {
     let id: u64 = rng.random();
     if kind.service.is_some() {
         return Bytes::from(json!({"id": format!("{id:016x}")}).to_string());
     }
     let content = format!(
         "{}{}{id:016x}",
-        text(zipf(rng), kind.prefix_bytes),
-        text(id as usize, kind.own_bytes)
+        filler_text(zipf_rank(rng), kind.shared_prefix_bytes),
+        filler_text(id as usize, kind.unique_bytes)
     );
     let body = json!({
         "model": model,
         "stream": kind.stream,
-        "max_tokens": kind.tokens,
+        "max_tokens": kind.max_tokens,
         "messages": [{"role": "user", "content": content}],
     });
     Bytes::from(body.to_string())
 }
 
-/// A number from 1 that is small most of the time.
-fn zipf(rng: &mut impl Rng) -> usize {
+/// Draws a rank from 1 up to about [`PREFIX_COUNT`], with a probability of about 1/rank.
+fn zipf_rank(rng: &mut impl Rng) -> usize {
     let uniform: f64 = rng.random();
-    ((PREFIXES as f64).powf(uniform)) as usize
+    ((PREFIX_COUNT as f64).powf(uniform)) as usize
 }
 
-fn text(seed: usize, bytes: usize) -> String {
+/// Returns text of this size that differs between seeds.
+fn filler_text(seed: usize, bytes: usize) -> String {
     let word = format!("{seed:08x} ");
     word.repeat(bytes.div_ceil(word.len())).chars().take(bytes).collect()
 }
--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -1,9 +1,10 @@
-//! Load on a box, and what came of it.
+//! Load generator: sends requests to boxes and measures the responses.
 //!
-//! Open loop: requests leave at the times that a seed gives, whatever the
-//! answers do, and latency counts from the time at which a request should have
-//! left, so that a slow box cannot hide behind a waiting client. Closed loop:
-//! a fixed number of requests at any time, for the cost of passing through.
+//! Open loop: requests are sent at times derived from a seed, regardless of the
+//! responses. Latency counts from the scheduled send time, so it includes the
+//! time that a request waits in the client because of a slow box (no coordinated
+//! omission). Closed loop: a fixed number of concurrent requests, to measure the
+//! overhead of a box.
 
 pub mod mix;
 pub mod report;
@@ -25,68 +26,68 @@
 use tokio::sync::Mutex;
 use tokio::sync::mpsc;
 
-use self::mix::Ask;
+use self::mix::GeneratedRequest;
 use self::mix::Mix;
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Results that wait to be counted.
-const RESULTS: usize = 4096;
+/// Maximum time to wait for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of samples that can wait to be collected.
+const SAMPLE_CHANNEL_CAPACITY: usize = 4096;
 
-/// What came of one request.
+/// The result of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Which of the targets.
+    /// Index of the target.
     pub target: usize,
-    /// Kind, as an index into the mix.
+    /// Index of the kind in the mix.
     pub kind: usize,
-    /// Status; `None` where the answer was cut or never came.
+    /// Response status; `None` if the response was missing or truncated.
     pub status: Option<u16>,
-    /// From the time it should have left to the first byte of the body.
+    /// Time from the scheduled send to the first byte of the body.
     pub first_byte: Duration,
-    /// From the time it should have left to the end.
+    /// Time from the scheduled send to the end of the response.
     pub total: Duration,
-    /// Longest silence between parts of the body.
-    pub gap: Duration,
-    /// Region that ran it.
+    /// Longest time between two chunks of the body.
+    pub max_gap: Duration,
+    /// Region that executed the request, from the response headers.
     pub region: String,
-    /// What a failure says about its having run.
-    pub ran: String,
+    /// Value of the header that says whether a failed request was executed.
+    pub ran_header: String,
 }
 
-/// What load to put on.
+/// The load to generate.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Where to; requests go to the targets in turn.
+pub struct LoadPlan {
+    /// Addresses to send requests to, in turn.
     pub targets: Vec<SocketAddr>,
-    /// Key of a team.
+    /// Key of the team that sends the requests.
     pub key: Option<String>,
-    /// What to ask.
+    /// Mix of requests.
     pub mix: Mix,
-    /// How long.
-    pub length: Duration,
-    /// Requests a second, or requests at any time.
-    pub pace: Pace,
-    /// Seed of arrivals and kinds.
+    /// Duration of the load.
+    pub duration: Duration,
+    /// Open or closed loop.
+    pub mode: LoadMode,
+    /// Seed of arrival times and requests.
     pub seed: u64,
 }
 
-/// When requests leave.
+/// When requests are sent.
 #[derive(Clone, Copy, Debug)]
-pub enum Pace {
-    /// Open loop, requests a second.
+pub enum LoadMode {
+    /// Open loop with this number of requests per second.
     Rate(f64),
-    /// Closed loop, requests at any time.
+    /// Closed loop with this number of concurrent requests.
     Concurrency(usize),
 }
 
-/// Puts the load on and gives all samples.
-pub async fn run(plan: Plan) -> Vec<Sample> {
-    let (sender, mut receiver) = mpsc::channel(RESULTS);
+/// Generates the load and returns all samples.
+pub async fn run(plan: LoadPlan) -> Vec<Sample> {
+    let (sender, mut receiver) = mpsc::channel(SAMPLE_CHANNEL_CAPACITY);
     let plan = Arc::new(plan);
-    match plan.pace {
-        Pace::Rate(rate) => drop(tokio::spawn(open_loop(Arc::clone(&plan), rate, sender))),
-        Pace::Concurrency(count) => closed_loop(&plan, count, sender),
+    match plan.mode {
+        LoadMode::Rate(rate) => drop(tokio::spawn(open_loop(Arc::clone(&plan), rate, sender))),
+        LoadMode::Concurrency(count) => closed_loop(&plan, count, sender),
     }
     let mut samples = Vec::new();
     while let Some(sample) = receiver.recv().await {
@@ -95,44 +96,45 @@
     samples
 }
 
-async fn open_loop(plan: Arc<Plan>, rate: f64, samples: mpsc::Sender<Sample>) {
+async fn open_loop(plan: Arc<LoadPlan>, rate: f64, samples: mpsc::Sender<Sample>) {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let client = Client::default();
     let start = Instant::now();
     let mut due = start;
-    let mut number = 0;
+    let mut sequence = 0;
     loop {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
         due += Duration::from_secs_f64(-uniform.ln() / rate);
-        if due >= start + plan.length {
+        if due >= start + plan.duration {
             return;
         }
-        let ask = plan.mix.draw(&mut rng);
+        let generated = plan.mix.generate(&mut rng);
         tokio::time::sleep_until(due.into()).await;
         let (plan, client, samples) = (Arc::clone(&plan), client.clone(), samples.clone());
-        let target = number % plan.targets.len();
-        number += 1;
+        let target = sequence % plan.targets.len();
+        sequence += 1;
         tokio::spawn(async move {
-            let sample = one(&plan, &client, target, &ask, due).await;
+            let sample = measure_request(&plan, &client, target, &generated, due).await;
             let _ = samples.send(sample).await;
         });
     }
 }
 
-fn closed_loop(plan: &Arc<Plan>, count: usize, samples: mpsc::Sender<Sample>) {
+fn closed_loop(plan: &Arc<LoadPlan>, count: usize, samples: mpsc::Sender<Sample>) {
     let client = Client::default();
     let rng = Arc::new(Mutex::new(SmallRng::seed_from_u64(plan.seed)));
-    let until = Instant::now() + plan.length;
+    let deadline = Instant::now() + plan.duration;
     for worker in 0..count {
         let (plan, client, samples) = (Arc::clone(plan), client.clone(), samples.clone());
         let rng = Arc::clone(&rng);
         tokio::spawn(async move {
-            let mut number = worker;
-            while Instant::now() < until {
-                let ask = plan.mix.draw(&mut *rng.lock().await);
-                let target = number % plan.targets.len();
-                number += 1;
-                let sample = one(&plan, &client, target, &ask, Instant::now()).await;
+            let mut sequence = worker;
+            while Instant::now() < deadline {
+                let generated = plan.mix.generate(&mut *rng.lock().await);
+                let target = sequence % plan.targets.len();
+                sequence += 1;
+                let sample =
+                    measure_request(&plan, &client, target, &generated, Instant::now()).await;
                 if samples.send(sample).await.is_err() {
                     return;
                 }
@@ -141,72 +143,82 @@
     }
 }
 
-async fn one(plan: &Plan, client: &Client, target: usize, ask: &Ask, due: Instant) -> Sample {
+async fn measure_request(
+    plan: &LoadPlan,
+    client: &Client,
+    target: usize,
+    generated: &GeneratedRequest,
+    due: Instant,
+) -> Sample {
     let mut sample = Sample {
         target,
-        kind: ask.kind,
+        kind: generated.kind,
         status: None,
-        first_byte: PATIENCE,
-        total: PATIENCE,
-        gap: Duration::ZERO,
+        first_byte: RESPONSE_TIMEOUT,
+        total: RESPONSE_TIMEOUT,
+        max_gap: Duration::ZERO,
         region: String::new(),
-        ran: String::new(),
+        ran_header: String::new(),
     };
-    let exchange = exchange(plan, client, ask, due, &mut sample);
-    let whole = tokio::time::timeout(PATIENCE, exchange).await.unwrap_or(None);
+    let receive = receive_response(plan, client, generated, due, &mut sample);
+    let completed = tokio::time::timeout(RESPONSE_TIMEOUT, receive).await.unwrap_or(None);
     sample.total = due.elapsed();
-    if whole.is_none() {
+    if completed.is_none() {
         sample.status = None;
     }
     sample
 }
 
-async fn exchange(
-    plan: &Plan,
+async fn receive_response(
+    plan: &LoadPlan,
     client: &Client,
-    ask: &Ask,
+    generated: &GeneratedRequest,
     due: Instant,
     sample: &mut Sample,
 ) -> Option<()> {
     let address = plan.targets[sample.target];
-    let request = request(plan, ask, address)?;
+    let request = build_request(plan, generated, address)?;
     let response = client.send(address, request, false).await.ok()?;
     let (head, mut exchange) = response.into_parts();
     sample.status = Some(head.status.as_u16());
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = head.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    sample.region = text(caller::REGION_HEADER);
-    sample.ran = text(caller::RAN_HEADER);
-    let mut last: Option<Instant> = None;
+    sample.region = header(caller::REGION_HEADER);
+    sample.ran_header = header(caller::RAN_HEADER);
+    let mut last_chunk: Option<Instant> = None;
     loop {
         let Some(frame) = exchange.body().frame().await else { break };
         frame.ok()?;
         let now = Instant::now();
-        match last {
+        match last_chunk {
             None => sample.first_byte = now.saturating_duration_since(due),
-            Some(last) => sample.gap = sample.gap.max(now - last),
+            Some(last) => sample.max_gap = sample.max_gap.max(now - last),
         }
-        last = Some(now);
+        last_chunk = Some(now);
     }
-    if last.is_none() {
+    if last_chunk.is_none() {
         sample.first_byte = due.elapsed();
     }
     exchange.release();
     Some(())
 }
 
-fn request(plan: &Plan, ask: &Ask, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
-    let mut request = Request::post(&*ask.path).header("host", address.to_string());
+fn build_request(
+    plan: &LoadPlan,
+    generated: &GeneratedRequest,
+    address: SocketAddr,
+) -> Option<Request<Full<Bytes>>> {
+    let mut request = Request::post(&*generated.path).header("host", address.to_string());
     if let Some(key) = &plan.key {
         request = request.header("authorization", format!("Bearer {key}"));
     }
-    if !ask.priority.is_empty() {
-        request = request.header(caller::PRIORITY_HEADER, &*ask.priority);
+    if !generated.priority.is_empty() {
+        request = request.header(caller::PRIORITY_HEADER, &*generated.priority);
     }
-    if ask.timeout_ms > 0 {
-        request = request.header(caller::TIMEOUT_HEADER, ask.timeout_ms);
+    if generated.timeout_ms > 0 {
+        request = request.header(caller::TIMEOUT_HEADER, generated.timeout_ms);
     }
-    request.body(Full::new(ask.body.clone())).ok()
+    request.body(Full::new(generated.body.clone())).ok()
 }
--- a/cli/src/load/report.rs
+++ b/cli/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load, as tables.
+//! Reports of a load run, as text and as JSON.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,114 +10,118 @@
 use super::mix::Mix;
 use crate::output::table;
 
-/// Most microseconds that a histogram tells apart.
-const MOST_MICROS: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+/// Maximum value of a histogram, in microseconds; larger values are recorded as this one.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Number of significant decimal digits of a histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Numbers of one kind at one target.
-pub struct Line {
-    /// Target.
+/// Results of one kind of request at one target.
+pub struct ReportRow {
+    /// Index of the target.
     pub target: usize,
-    /// Kind.
+    /// Name of the kind.
     pub kind: &'static str,
-    /// Requests.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Answered with success.
+    /// Number of requests with a successful response.
     pub completed: usize,
-    /// Said not to have run.
+    /// Number of error responses that say that the request was not executed.
     pub refused: usize,
-    /// Cut, or failed otherwise.
+    /// Number of all other failures, including truncated responses.
     pub failed: usize,
-    /// Completed in a region other than the one that ran most for the target.
-    pub elsewhere: usize,
-    /// Time to the first byte, microseconds.
+    /// Number of requests completed outside the main region of the target.
+    pub outside_main_region: usize,
+    /// Time to the first byte, in microseconds.
     pub first_byte: Histogram<u64>,
-    /// Time to the end, microseconds.
+    /// Time to the end of the response, in microseconds.
     pub total: Histogram<u64>,
-    /// Longest silence within each answer, microseconds.
-    pub gap: Histogram<u64>,
+    /// Longest time between two chunks of each response, in microseconds.
+    pub max_gap: Histogram<u64>,
 }
 
-/// Counts samples by target and kind.
-pub fn lines(samples: &[Sample], mix: &Mix) -> Vec<Line> {
+/// Summarizes samples by target and kind.
+pub fn summarize(samples: &[Sample], mix: &Mix) -> Vec<ReportRow> {
     let targets = samples.iter().map(|sample| sample.target + 1).max().unwrap_or(0);
-    let homes: Vec<String> = (0..targets).map(|target| home_region(samples, target)).collect();
-    let mut lines: BTreeMap<(usize, usize), Line> = BTreeMap::new();
+    let main_regions: Vec<String> =
+        (0..targets).map(|target| main_region(samples, target)).collect();
+    let mut rows: BTreeMap<(usize, usize), ReportRow> = BTreeMap::new();
     for sample in samples {
-        let line = lines
+        let row = rows
             .entry((sample.target, sample.kind))
-            .or_insert_with(|| empty(sample.target, mix.kinds[sample.kind].name));
-        line.sent += 1;
+            .or_insert_with(|| empty_row(sample.target, mix.kinds[sample.kind].name));
+        row.sent += 1;
         match sample.status {
             Some(status) if (200..300).contains(&status) => {
-                line.completed += 1;
-                line.elsewhere += usize::from(sample.region != homes[sample.target]);
-                record(&mut line.first_byte, sample.first_byte);
-                record(&mut line.total, sample.total);
-                record(&mut line.gap, sample.gap);
+                row.completed += 1;
+                row.outside_main_region +=
+                    usize::from(sample.region != main_regions[sample.target]);
+                record(&mut row.first_byte, sample.first_byte);
+                record(&mut row.total, sample.total);
+                record(&mut row.max_gap, sample.max_gap);
             }
-            Some(_) if sample.ran == "no" => line.refused += 1,
-            _ => line.failed += 1,
+            Some(_) if sample.ran_header == "no" => row.refused += 1,
+            _ => row.failed += 1,
         }
     }
-    lines.into_values().collect()
+    rows.into_values().collect()
 }
 
-fn home_region(samples: &[Sample], target: usize) -> String {
+/// Returns the region that executed most requests of a target.
+fn main_region(samples: &[Sample], target: usize) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for sample in samples.iter().filter(|sample| sample.target == target) {
         *counts.entry(&sample.region).or_default() += 1;
     }
-    let most = counts.into_iter().max_by_key(|(_, count)| *count);
-    most.map(|(region, _)| region.to_owned()).unwrap_or_default()
+    let main_region = counts.into_iter().max_by_key(|(_, count)| *count);
+    main_region.map(|(region, _)| region.to_owned()).unwrap_or_default()
 }
 
-fn empty(target: usize, kind: &'static str) -> Line {
+fn empty_row(target: usize, kind: &'static str) -> ReportRow {
     let histogram = || {
-        Histogram::new_with_max(MOST_MICROS, DIGITS)
+        Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             .unwrap_or_else(|_| unreachable!("the bounds are constants that fit"))
     };
-    Line {
+    ReportRow {
         target,
         kind,
         sent: 0,
         completed: 0,
         refused: 0,
         failed: 0,
-        elsewhere: 0,
+        outside_main_region: 0,
         first_byte: histogram(),
         total: histogram(),
-        gap: histogram(),
+        max_gap: histogram(),
     }
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    histogram.saturating_record(time.as_micros().try_into().unwrap_or(MOST_MICROS));
+    histogram.saturating_record(time.as_micros().try_into().unwrap_or(MAX_LATENCY_US));
 }
 
-/// The report for people.
-pub fn text(lines: &[Line], targets: &[String], length: Duration) -> String {
+/// Formats the report as a table.
+pub fn text(rows: &[ReportRow], targets: &[String], duration: Duration) -> String {
     let millis = |histogram: &Histogram<u64>, quantile: f64| {
         format!("{:.2}", histogram.value_at_quantile(quantile) as f64 / 1000.0)
     };
-    let rows: Vec<Vec<String>> = lines
+    let cells: Vec<Vec<String>> = rows
         .iter()
-        .map(|line| {
+        .map(|row| {
             vec![
-                targets[line.target].clone(),
-                line.kind.to_owned(),
-                line.sent.to_string(),
-                line.completed.to_string(),
-                line.refused.to_string(),
-                line.failed.to_string(),
-                line.elsewhere.to_string(),
-                format!("{:.0}", line.completed as f64 / length.as_secs_f64()),
-                millis(&line.first_byte, 0.5),
-                millis(&line.first_byte, 0.95),
-                millis(&line.first_byte, 0.99),
-                millis(&line.total, 0.5),
-                millis(&line.total, 0.99),
-                millis(&line.gap, 0.95),
+                targets[row.target].clone(),
+                row.kind.to_owned(),
+                row.sent.to_string(),
+                row.completed.to_string(),
+                row.refused.to_string(),
+                row.failed.to_string(),
+                row.outside_main_region.to_string(),
+                format!("{:.0}", row.completed as f64 / duration.as_secs_f64()),
+                millis(&row.first_byte, 0.5),
+                millis(&row.first_byte, 0.95),
+                millis(&row.first_byte, 0.99),
+                millis(&row.total, 0.5),
+                millis(&row.total, 0.99),
+                millis(&row.max_gap, 0.95),
             ]
         })
         .collect();
@@ -137,46 +141,47 @@
         "p99",
         "gap p95",
     ];
-    format!("{}\n\ntimes in ms\n", table(&header, &rows))
+    format!("{}\n\ntimes in ms\n", table(&header, &cells))
 }
 
-/// The report for programs; times in microseconds.
-pub fn json(lines: &[Line], targets: &[String]) -> serde_json::Value {
+/// Formats the report as JSON, with times in microseconds.
+pub fn json(rows: &[ReportRow], targets: &[String]) -> serde_json::Value {
     let quantiles = |histogram: &Histogram<u64>| {
-        let at = |quantile| histogram.value_at_quantile(quantile);
-        json!({"p50": at(0.5), "p95": at(0.95), "p99": at(0.99)})
+        let value_at = |quantile| histogram.value_at_quantile(quantile);
+        json!({"p50": value_at(0.5), "p95": value_at(0.95), "p99": value_at(0.99)})
     };
-    let rows = lines.iter().map(|line| {
+    let values = rows.iter().map(|row| {
         json!({
-            "target": targets[line.target],
-            "kind": line.kind,
-            "sent": line.sent,
-            "completed": line.completed,
-            "refused": line.refused,
-            "failed": line.failed,
-            "elsewhere": line.elsewhere,
-            "first_byte_us": quantiles(&line.first_byte),
-            "total_us": quantiles(&line.total),
-            "gap_us": quantiles(&line.gap),
+            "target": targets[row.target],
+            "kind": row.kind,
+            "sent": row.sent,
+            "completed": row.completed,
+            "refused": row.refused,
+            "failed": row.failed,
+            "elsewhere": row.outside_main_region,
+            "first_byte_us": quantiles(&row.first_byte),
+            "total_us": quantiles(&row.total),
+            "gap_us": quantiles(&row.max_gap),
         })
     });
-    rows.collect()
+    values.collect()
 }
 
-/// What the first target adds to the second, of the same kinds in the same run.
-pub fn added(lines: &[Line]) -> String {
+/// Formats how much longer the first byte takes at the first target than at the second, for each
+/// kind in the same run.
+pub fn latency_differences(rows: &[ReportRow]) -> String {
     let mut text = String::new();
-    for line in lines.iter().filter(|line| line.target == 0) {
-        let other = lines.iter().find(|other| other.target == 1 && other.kind == line.kind);
+    for row in rows.iter().filter(|row| row.target == 0) {
+        let other = rows.iter().find(|other| other.target == 1 && other.kind == row.kind);
         let Some(other) = other else { continue };
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-            let ours = line.first_byte.value_at_quantile(quantile) as f64;
-            let theirs = other.first_byte.value_at_quantile(quantile) as f64;
+            let first_us = row.first_byte.value_at_quantile(quantile) as f64;
+            let second_us = other.first_byte.value_at_quantile(quantile) as f64;
             text.push_str(&format!(
                 "{} {name} to the first byte: {:+.0} us, ratio {:.3}\n",
-                line.kind,
-                ours - theirs,
-                ours / theirs.max(1.0),
+                row.kind,
+                first_us - second_us,
+                first_us / second_us.max(1.0),
             ));
         }
     }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,10 +1,10 @@
-//! The `copperweir` command.
+//! The `copperweir` command-line tool.
 
 mod client;
 mod commands;
 mod error;
-mod journal;
 mod load;
+mod log_writer;
 mod output;
 
 use std::process::ExitCode;
@@ -14,11 +14,11 @@
 fn main() -> ExitCode {
     match commands::run(lexopt::Parser::from_env()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => report(&error),
+        Err(error) => print_error(&error),
     }
 }
 
-fn report(error: &CommandError) -> ExitCode {
+fn print_error(error: &CommandError) -> ExitCode {
     eprintln!("Error: {error}");
     if let Some(hint) = error.hint() {
         eprintln!("Hint: {hint}");
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,14 +1,14 @@
-//! Forms of output.
+//! Output formats and tables.
 
 use std::str::FromStr;
 
-/// How a command prints what it found.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Format {
-    /// For people.
+    /// Tables and sentences for people.
     #[default]
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A table with aligned columns.
+/// Formats a table with aligned columns.
 pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
@@ -32,12 +32,12 @@
             *width = (*width).max(cell.chars().count());
         }
     }
-    let line = |cells: &[String]| {
-        let padded = cells.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
-        padded.collect::<Vec<_>>().join("  ").trim_end().to_owned()
+    let format_line = |cells: &[String]| {
+        let padded_cells = cells.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
+        padded_cells.collect::<Vec<_>>().join("  ").trim_end().to_owned()
     };
     let header: Vec<String> = header.iter().map(ToString::to_string).collect();
-    let mut lines = vec![line(&header)];
-    lines.extend(rows.iter().map(|row| line(row)));
+    let mut lines = vec![format_line(&header)];
+    lines.extend(rows.iter().map(|row| format_line(row)));
     lines.join("\n")
 }
--- a/cli/tests/test_commands.rs
+++ b/cli/tests/test_commands.rs
@@ -1,4 +1,4 @@
-//! What the commands print, and how they end.
+//! Output and exit codes of the commands.
 
 use std::path::Path;
 use std::process::Command;
@@ -8,7 +8,7 @@
         .args(arguments)
         .current_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/files"))
         .output()
-        .expect("the binary runs");
+        .expect("the binary starts");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let code = output.status.code().unwrap_or(-1);
     format!("{}{}[exit {code}]", text(&output.stdout), text(&output.stderr))
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told_with_a_hint() {
+fn usage_errors_and_unreachable_boxes_print_a_hint() {
     insta::assert_snapshot!("unknown_command", copperweir(&["sreve"]));
     insta::assert_snapshot!("unknown_option", copperweir(&["serve", "--setings", "x"]));
     insta::assert_snapshot!("missing_option", copperweir(&["serve"]));
@@ -49,17 +49,18 @@
 }
 
 #[test]
-fn the_nine_boxes_of_the_example_are_well() {
+fn files_of_the_nine_boxes_example_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/nine-boxes");
-    let list = |folder: &str| {
-        let entries = std::fs::read_dir(root.join(folder)).expect("the example's files");
-        let paths = entries.map(|entry| entry.expect("an entry").path().display().to_string());
+    let list_files = |directory: &str| {
+        let entries = std::fs::read_dir(root.join(directory)).expect("files of the example");
+        let paths =
+            entries.map(|entry| entry.expect("a directory entry").path().display().to_string());
         paths.collect::<Vec<String>>()
     };
-    for settings in list("settings") {
+    for settings in list_files("settings") {
         assert_eq!(copperweir(&["serve", "--check", "--settings", &settings]), "[exit 0]");
     }
-    let files = list("configuration");
+    let files = list_files("configuration");
     let arguments: Vec<&str> =
         std::iter::once("check").chain(files.iter().map(String::as_str)).collect();
     insta::assert_snapshot!("check_example", copperweir(&arguments));
--- a/cli/tests/test_processes.rs
+++ b/cli/tests/test_processes.rs
@@ -1,5 +1,7 @@
-//! Nine boxes as processes, killed, frozen, cut off and restarted at random
-//! under load, with a ledger on the callers' side that checks what they were told.
+//! Runs nine boxes as processes under load while random faults occur: killed, frozen and stopped
+//! boxes, regions cut off, and a failing platform. The callers record what the responses said, and
+//! the records are compared with what the service executed. This guards against filings that run
+//! twice, and against responses that misreport whether a filing ran.
 
 #[path = "../../lib/tests/common/mod.rs"]
 mod common;
@@ -22,7 +24,7 @@
 use copperweir_standin::platform;
 use http::Method;
 use http::StatusCode;
-use processes::Boxes;
+use processes::BoxProcesses;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -30,34 +32,39 @@
 use serde_json::json;
 
 const SEED: u64 = 20261202;
-/// Rounds of faults; COPPERWEIR_ROUNDS makes a longer run.
-const ROUNDS: usize = 12;
-const CALLERS: usize = 12;
+/// Number of fault rounds, unless COPPERWEIR_ROUNDS sets another.
+const DEFAULT_ROUNDS: usize = 12;
+const CALLER_COUNT: usize = 12;
 
-/// What callers were told of each filing.
+/// What the callers observed.
 #[derive(Default)]
-struct Ledger {
-    told: Mutex<BTreeMap<String, Vec<Told>>>,
-    wrong: Mutex<Vec<String>>,
-    completions: Mutex<(u64, u64)>,
+struct CallerRecords {
+    /// Outcomes of all attempts of each filing, by id.
+    outcomes: Mutex<BTreeMap<String, Vec<Outcome>>>,
+    /// Descriptions of responses with wrong content.
+    wrong_responses: Mutex<Vec<String>>,
+    /// Numbers of complete and failed completions.
+    completion_counts: Mutex<(u64, u64)>,
 }
 
+/// What the response to a filing says about its execution.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Told {
-    Filed,
-    NotRun,
+enum Outcome {
+    Executed,
+    NotExecuted,
     Unknown,
 }
 
-fn told(reply: &Result<Reply, String>) -> Told {
+fn outcome(reply: &Result<Reply, String>) -> Outcome {
     match reply {
-        Ok(reply) if reply.status == StatusCode::CREATED => Told::Filed,
-        Ok(reply) if reply.header("copperweir-ran") == "no" => Told::NotRun,
-        _ => Told::Unknown,
+        Ok(reply) if reply.status == StatusCode::CREATED => Outcome::Executed,
+        Ok(reply) if reply.header("copperweir-ran") == "no" => Outcome::NotExecuted,
+        _ => Outcome::Unknown,
     }
 }
 
-async fn caller(plan: Plan, number: u64, ledger: Arc<Ledger>, stop: Arc<AtomicBool>) {
+/// Sends random requests until `stop` is set.
+async fn run_caller(plan: Plan, number: u64, records: Arc<CallerRecords>, stop: Arc<AtomicBool>) {
     let mut rng = SmallRng::seed_from_u64(SEED + number);
     let client = Client::default();
     let mut filing = 0;
@@ -65,24 +72,25 @@
         let at = plan
             .callers_address(rng.random_range(0..plan.regions), rng.random_range(0..plan.boxes));
         match rng.random_range(0..3) {
-            0 => complete(&client, at, &mut rng, &ledger).await,
+            0 => send_completion(&client, at, &mut rng, &records).await,
             _ => {
                 filing += 1;
                 let id = format!("f-{number}-{filing}");
-                file(&client, plan, at, &id, &mut rng, &ledger).await;
+                submit_filing(&client, plan, at, &id, &mut rng, &records).await;
             }
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..20))).await;
     }
 }
 
-async fn file(
+/// Sends a filing to a box. With a key, it is retried at other boxes.
+async fn submit_filing(
     client: &Client,
     plan: Plan,
     at: std::net::SocketAddr,
     id: &str,
     rng: &mut SmallRng,
-    ledger: &Ledger,
+    records: &CallerRecords,
 ) {
     let key = match rng.random_range(0..3) {
         0 => None,
@@ -92,64 +100,83 @@
             Err(_) => return,
         },
     };
-    // With a key the caller may try again, at any box.
-    let tries = if key.is_some() { 3 } else { 1 };
-    for attempt in 0..tries {
-        let elsewhere = plan.callers_address(rng.random_range(0..plan.regions), 0);
-        let to = if attempt == 0 { at } else { elsewhere };
+    // A filing with a key may be retried, at any box.
+    let attempts = if key.is_some() { 3 } else { 1 };
+    for attempt in 0..attempts {
+        let other_box = plan.callers_address(rng.random_range(0..plan.regions), 0);
+        let to = if attempt == 0 { at } else { other_box };
         let mut headers = vec![("copperweir-timeout-ms", "3000")];
         headers.extend(key.as_deref().map(|key| ("idempotency-key", key)));
         let body = json!({"id": id}).to_string();
         let reply =
             send(client, to, Method::POST, "/services/intake/filings", &headers, &body).await;
-        let told = told(&reply);
-        ledger.told.lock().expect("ledger").entry(id.to_owned()).or_default().push(told);
+        let outcome = outcome(&reply);
+        records
+            .outcomes
+            .lock()
+            .expect("the records")
+            .entry(id.to_owned())
+            .or_default()
+            .push(outcome);
         if let Ok(reply) = &reply
-            && told == Told::Filed
+            && outcome == Outcome::Executed
             && reply.json()["id"] != id
         {
-            ledger.wrong.lock().expect("ledger").push(format!("{id} got {reply:?}"));
+            records
+                .wrong_responses
+                .lock()
+                .expect("the records")
+                .push(format!("{id} got {reply:?}"));
         }
-        if told == Told::Filed {
+        if outcome == Outcome::Executed {
             return;
         }
     }
 }
 
-async fn complete(client: &Client, at: std::net::SocketAddr, rng: &mut SmallRng, ledger: &Ledger) {
-    let bound = rng.random_bool(0.5);
-    let model = if bound { "log-first" } else { "log" };
+/// Sends a completion request to a box and checks the tokens of the response.
+async fn send_completion(
+    client: &Client,
+    at: std::net::SocketAddr,
+    rng: &mut SmallRng,
+    records: &CallerRecords,
+) {
+    let is_restricted = rng.random_bool(0.5);
+    let model = if is_restricted { "log-first" } else { "log" };
     let (stream, tokens) = (rng.random_bool(0.5), rng.random_range(1..30));
     let prompt: u64 = rng.random();
     let body: Value = json!({"model": model, "messages": [], "stream": stream, "max_tokens": tokens, "prompt": prompt});
     let body = body.to_string();
     let headers = [("copperweir-timeout-ms", "3000")];
     let reply = send(client, at, Method::POST, "/v1/chat/completions", &headers, &body).await;
-    let Ok(reply) = reply else { return ledger.completions.lock().expect("ledger").1 += 1 };
+    let Ok(reply) = reply else {
+        return records.completion_counts.lock().expect("the records").1 += 1;
+    };
     if reply.status != StatusCode::OK {
-        return ledger.completions.lock().expect("ledger").1 += 1;
+        return records.completion_counts.lock().expect("the records").1 += 1;
     }
-    ledger.completions.lock().expect("ledger").0 += 1;
+    records.completion_counts.lock().expect("the records").0 += 1;
     let hash = engine::prompt_hash(body.as_bytes());
     let text = String::from_utf8_lossy(&reply.body);
-    let whole = (0..tokens).all(|index| text.contains(&engine::token_text(hash, index)));
-    let own = !text.contains(&engine::token_text(hash, tokens));
-    let home = !bound || reply.header("copperweir-region") == common::REGIONS[0];
-    if !(whole && own && home) {
-        ledger.wrong.lock().expect("ledger").push(format!("{body} got {reply:?}"));
+    let has_all_tokens = (0..tokens).all(|index| text.contains(&engine::token_text(hash, index)));
+    let has_no_extra_token = !text.contains(&engine::token_text(hash, tokens));
+    let ran_in_allowed_region =
+        !is_restricted || reply.header("copperweir-region") == common::REGIONS[0];
+    if !(has_all_tokens && has_no_extra_token && ran_in_allowed_region) {
+        records.wrong_responses.lock().expect("the records").push(format!("{body} got {reply:?}"));
     }
 }
 
-/// One round of trouble; ends with everything running again.
-fn trouble(fleet: &Fleet, boxes: &mut Boxes, rng: &mut SmallRng) {
+/// Injects one or two random faults, and returns once all of them have ended.
+fn inject_faults(fleet: &Fleet, boxes: &mut BoxProcesses, rng: &mut SmallRng) {
     let plan = fleet.plan;
     let at = (rng.random_range(0..plan.regions), rng.random_range(0..plan.boxes));
-    let pause = |rng: &mut SmallRng, most: u64| {
-        std::thread::sleep(Duration::from_millis(rng.random_range(100..most)));
+    let pause = |rng: &mut SmallRng, max_ms: u64| {
+        std::thread::sleep(Duration::from_millis(rng.random_range(100..max_ms)));
     };
-    // One fault, or a second one on top of it.
-    let second = rng.random_bool(0.4);
-    if second {
+    // In some rounds, the platform fails in addition to the main fault.
+    let platform_fails = rng.random_bool(0.4);
+    if platform_fails {
         let faults = match rng.random_range(0..3) {
             0 => platform::Faults { down: true, ..Default::default() },
             1 => platform::Faults { hang: true, ..Default::default() },
@@ -159,20 +186,20 @@
     }
     match rng.random_range(0..4) {
         0 => {
-            boxes.signal(at, "-KILL");
-            boxes.wait(at);
+            boxes.send_signal(at, "-KILL");
+            boxes.wait_for_exit(at);
             pause(rng, 1500);
-            boxes.start_one(at.0, at.1);
+            boxes.start_box(at.0, at.1);
         }
         1 => {
-            boxes.signal(at, "-STOP");
+            boxes.send_signal(at, "-STOP");
             pause(rng, 4000);
-            boxes.signal(at, "-CONT");
+            boxes.send_signal(at, "-CONT");
         }
         2 => {
-            boxes.signal(at, "-TERM");
-            assert_eq!(boxes.wait(at), Some(0), "a planned stop cut something");
-            boxes.start_one(at.0, at.1);
+            boxes.send_signal(at, "-TERM");
+            assert_eq!(boxes.wait_for_exit(at), Some(0), "a planned stop aborted requests");
+            boxes.start_box(at.0, at.1);
         }
         _ => {
             fleet.set_region_cut(at.0, true);
@@ -180,42 +207,45 @@
             fleet.set_region_cut(at.0, false);
         }
     }
-    if second {
+    if platform_fails {
         fleet.platform.set_faults(platform::Faults::default());
     }
     pause(rng, 1000);
 }
 
 #[test]
-fn nine_boxes_keep_their_promises_through_trouble() {
+fn filings_run_at_most_once_through_random_faults() {
     let mut plan = Plan::new(90);
     (plan.regions, plan.boxes, plan.engines) = (3, 3, 2);
     let fleet = Fleet::without_configuration(plan);
     fleet.apply("main", &plan.configuration()).expect("applied");
-    let mut boxes = Boxes::start(plan);
-    let ready = |region, number| {
+    let mut boxes = BoxProcesses::start(plan);
+    let is_ready = |region, number| {
         let at = plan.callers_address(region, number);
         let reply = fleet.block_on(send(&fleet.client, at, Method::GET, "/readyz", &[], ""));
         reply.is_ok_and(|reply| reply.status == StatusCode::OK)
     };
-    let all = || (0..plan.regions).flat_map(|region| (0..plan.boxes).map(move |n| (region, n)));
-    eventually("nine boxes are ready", || all().all(|(region, number)| ready(region, number)));
+    let all_boxes =
+        || (0..plan.regions).flat_map(|region| (0..plan.boxes).map(move |n| (region, n)));
+    eventually("nine boxes are ready", || {
+        all_boxes().all(|(region, number)| is_ready(region, number))
+    });
 
-    let (ledger, stop) = (Arc::new(Ledger::default()), Arc::new(AtomicBool::new(false)));
-    let callers: Vec<_> = (0..CALLERS as u64)
+    let (records, stop) = (Arc::new(CallerRecords::default()), Arc::new(AtomicBool::new(false)));
+    let callers: Vec<_> = (0..CALLER_COUNT as u64)
         .map(|number| {
-            fleet.runtime.spawn(caller(plan, number, Arc::clone(&ledger), Arc::clone(&stop)))
+            fleet.runtime.spawn(run_caller(plan, number, Arc::clone(&records), Arc::clone(&stop)))
         })
         .collect();
     let rounds = std::env::var("COPPERWEIR_ROUNDS").ok().and_then(|text| text.parse().ok());
     let mut rng = SmallRng::seed_from_u64(SEED);
-    for _ in 0..rounds.unwrap_or(ROUNDS) {
-        trouble(&fleet, &mut boxes, &mut rng);
+    for _ in 0..rounds.unwrap_or(DEFAULT_ROUNDS) {
+        inject_faults(&fleet, &mut boxes, &mut rng);
     }
-    // A change made now is in force everywhere, without anybody's help.
+    // A configuration change after the faults reaches every box without intervention.
     let version = fleet.apply("main", &plan.configuration()).expect("applied");
     eventually("the change is in force on nine boxes", || {
-        all().all(|(region, number)| {
+        all_boxes().all(|(region, number)| {
             let at = plan.operators_address(region, number);
             let reply = fleet.block_on(send(&fleet.client, at, Method::GET, "/status", &[], ""));
             reply.is_ok_and(|reply| reply.json()["version"] == version)
@@ -223,38 +253,38 @@
     });
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
-        fleet.block_on(caller).expect("a caller");
+        fleet.block_on(caller).expect("the caller task");
     }
-    verify(&fleet, &ledger);
-    let logs = boxes.logs();
+    check_records(&fleet, &records);
+    let logs = boxes.read_logs();
     let breaches: Vec<&str> =
         logs.lines().filter(|line| line.contains("invariant_breach")).collect();
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
 
-fn verify(fleet: &Fleet, ledger: &Ledger) {
-    let wrong = ledger.wrong.lock().expect("ledger");
-    assert!(wrong.is_empty(), "{wrong:#?}");
-    let runs = fleet.service.run_counts();
-    let told = ledger.told.lock().expect("ledger");
+fn check_records(fleet: &Fleet, records: &CallerRecords) {
+    let wrong_responses = records.wrong_responses.lock().expect("the records");
+    assert!(wrong_responses.is_empty(), "{wrong_responses:#?}");
+    let run_counts = fleet.service.run_counts();
+    let outcomes = records.outcomes.lock().expect("the records");
     let mut counts = (0, 0, 0);
-    for (id, told) in told.iter() {
-        let ran = runs.get(id).copied().unwrap_or(0);
-        assert!(ran <= 1, "{id} ran {ran} times; callers were told {told:?}");
-        if told.contains(&Told::Filed) {
+    for (id, outcomes) in outcomes.iter() {
+        let runs = run_counts.get(id).copied().unwrap_or(0);
+        assert!(runs <= 1, "{id} ran {runs} times; outcomes seen by callers: {outcomes:?}");
+        if outcomes.contains(&Outcome::Executed) {
             counts.0 += 1;
-            assert_eq!(ran, 1, "{id} was said to be filed");
-        } else if told.iter().all(|told| *told == Told::NotRun) {
+            assert_eq!(runs, 1, "{id} was reported as executed");
+        } else if outcomes.iter().all(|outcome| *outcome == Outcome::NotExecuted) {
             counts.1 += 1;
-            assert_eq!(ran, 0, "{id} was said not to have run");
+            assert_eq!(runs, 0, "{id} was reported as not executed");
         } else {
             counts.2 += 1;
         }
     }
-    let completions = *ledger.completions.lock().expect("ledger");
+    let completions = *records.completion_counts.lock().expect("the records");
     println!(
-        "filings (filed, not run, unknown): {counts:?}; completions (whole, failed): {completions:?}"
+        "filings (executed, not executed, unknown): {counts:?}; completions (complete, failed): {completions:?}"
     );
-    assert!(counts.0 > 100, "too few filings to prove anything");
-    assert!(completions.0 > 50, "too few completions to prove anything");
+    assert!(counts.0 > 100, "too few filings for a meaningful result");
+    assert!(completions.0 > 50, "too few completions for a meaningful result");
 }
