--- a/standin/src/http1.rs
+++ b/standin/src/http1.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that the stand-ins share.
+//! The HTTP/1 server that all stand-ins use.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,39 +24,39 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// Method.
+pub struct BufferedRequest {
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path without the query.
     pub path: String,
-    /// Query, without the question mark.
+    /// Query without the question mark.
     pub query: String,
-    /// Headers.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-impl Call {
-    /// A number from the query.
-    pub fn number(&self, name: &str) -> Option<u64> {
+impl BufferedRequest {
+    /// Returns the first numeric value of a query parameter.
+    pub fn query_number(&self, name: &str) -> Option<u64> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
     }
 }
 
-/// A body sent in parts; an error part breaks the connection off.
+/// The body of a response. An error in place of a chunk closes the connection.
 #[derive(Debug)]
-pub enum Reply {
-    /// All at once.
-    Whole(Option<Bytes>),
-    /// Part by part.
-    Parts(mpsc::Receiver<Result<Bytes, std::io::Error>>),
+pub enum ResponseBody {
+    /// Complete body; `None` for an empty one.
+    Full(Option<Bytes>),
+    /// Chunks, sent as they arrive.
+    Chunks(mpsc::Receiver<Result<Bytes, std::io::Error>>),
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -65,50 +65,53 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match &mut *self {
-            Reply::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Reply::Parts(parts) => {
-                parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data)))
+            ResponseBody::Chunks(chunks) => {
+                chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn size_hint(&self) -> http_body::SizeHint {
         match self {
-            Reply::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 http_body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Reply::Parts(_) => http_body::SizeHint::default(),
+            ResponseBody::Chunks(_) => http_body::SizeHint::default(),
         }
     }
 }
 
-/// An answer.
-pub type Answer = Response<Reply>;
+/// A response of a stand-in.
+pub type HttpResponse = Response<ResponseBody>;
 
-/// A JSON answer.
-pub fn json(status: StatusCode, value: &serde_json::Value) -> Answer {
-    let mut response = Response::new(Reply::Whole(Some(Bytes::from(value.to_string()))));
+/// Creates a JSON response.
+pub fn json(status: StatusCode, value: &serde_json::Value) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(value.to_string()))));
     *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
     response
 }
 
-/// An answer without a body.
-pub fn empty(status: StatusCode) -> Answer {
-    let mut response = Response::new(Reply::Whole(None));
+/// Creates a response without a body.
+pub fn empty(status: StatusCode) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::Full(None));
     *response.status_mut() = status;
     response
 }
 
-/// Answers a call that tells a stand-in how to fail.
-pub fn control<F: DeserializeOwned>(call: &Call, set: impl FnOnce(F)) -> Answer {
-    match serde_json::from_slice(&call.body) {
+/// Handles `POST /control`: parses the faults in the body and passes them to `set_faults`.
+pub fn handle_control<F: DeserializeOwned>(
+    request: &BufferedRequest,
+    set_faults: impl FnOnce(F),
+) -> HttpResponse {
+    match serde_json::from_slice(&request.body) {
         Ok(faults) => {
-            set(faults);
+            set_faults(faults);
             empty(StatusCode::OK)
         }
         Err(error) => {
@@ -117,25 +120,27 @@
     }
 }
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 4096;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 4096;
 
-/// A listening socket; its address is known before anything is served.
+/// Opens a listening socket and returns it with its actual address, which is then known before
+/// serving starts.
 pub fn bind(address: SocketAddr) -> std::io::Result<(TcpListener, SocketAddr)> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    let listener = socket.listen(BACKLOG)?;
+    let listener = socket.listen(LISTEN_BACKLOG)?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves for ever. A handler that gives `None` breaks the connection off without an answer. When the
-/// future is dropped, all connections break off with it.
+/// Accepts connections and passes their requests to `handler` until the future is dropped, which
+/// closes all connections. When the handler returns `None`, its connection is closed without a
+/// response.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
-    H: Fn(Call) -> F + Clone + Send + 'static,
-    F: Future<Output = Option<Answer>> + Send + 'static,
+    H: Fn(BufferedRequest) -> F + Clone + Send + 'static,
+    F: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -146,7 +151,7 @@
         let Ok((stream, _)) = accepted else { continue };
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
-        let service = service_fn(move |request| answer(handler.clone(), request));
+        let service = service_fn(move |request| handle(handler.clone(), request));
         let connection = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
         connections.spawn(async move {
@@ -155,19 +160,22 @@
     }
 }
 
-async fn answer<H, F>(handler: H, request: Request<Incoming>) -> Result<Answer, std::io::Error>
+async fn handle<H, F>(
+    handler: H,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, std::io::Error>
 where
-    H: Fn(Call) -> F,
-    F: Future<Output = Option<Answer>>,
+    H: Fn(BufferedRequest) -> F,
+    F: Future<Output = Option<HttpResponse>>,
 {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(std::io::Error::other)?.to_bytes();
-    let call = Call {
+    let request = BufferedRequest {
         method: parts.method,
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
         headers: parts.headers,
         body,
     };
-    handler(call).await.ok_or_else(|| std::io::Error::other("told to break off"))
+    handler(request).await.ok_or_else(|| std::io::Error::other("aborted by an injected fault"))
 }
