--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -1,8 +1,8 @@
 //! The result of sending a request to a backend server, in one form for all kinds of response.
 //!
-//! An attempt is reported when the head of its response has arrived, with everything that the
-//! server says about itself there, and again when the attempt has ended. All reports go to
-//! [`super::feedback`], so that every kind of response is evaluated in the same way.
+//! An attempt is reported when the head of its response has arrived, with the [`ServerStatus`] in
+//! that head, and again when the attempt has ended. All reports go to [`super::feedback`], so that
+//! every kind of response is evaluated in the same way.
 
 use super::candidate::Outcome;
 use crate::protocol::server_status::ServerStatus;
@@ -30,8 +30,8 @@
     Invalid,
     /// The server did not respond in time.
     TimedOut,
-    /// The request was not sent: meanwhile the server announced a state in which it gets no
-    /// requests.
+    /// The request was not sent: while the connection was being established, the server reported a
+    /// state in which it must get no requests.
     NotSent,
 }
 
@@ -68,7 +68,8 @@
 pub struct AttemptReport {
     /// Progress or final result.
     pub event: AttemptEvent,
-    /// What the server says about itself, if the head of a response has just arrived.
+    /// The status that the server reports in the head of its response; `None` if no head has just
+    /// arrived.
     pub server_status: Option<ServerStatus>,
 }
 
--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -21,8 +21,8 @@
 /// Factor by which a refusal lowers the request limit. The limit never falls below the number of
 /// slots.
 const LIMIT_DECREASE: f64 = 0.8;
-/// Prompt tokens that take as long to process as one running request delays the others by its part
-/// in each step.
+/// Delay that one running request causes to the others by its part in each step of the engine, as
+/// the number of prompt tokens that take as long to process.
 const RUNNING_REQUEST_TOKENS: f64 = 150.0;
 /// Cost factor for servers in another failure domain. Traffic between failure domains is expensive,
 /// but not so expensive that servers in this failure domain should queue much more work.
@@ -37,7 +37,7 @@
 /// host, and a quarter to a third fewer shared tokens were computed again.
 const DUPLICATE_PREFILL_COST: f64 = 10.0;
 
-/// How long a server counts as warm after it reported so, if nothing newer is known. The probing
+/// How long a server counts as warm after it reported so, if there is no newer report. The probing
 /// boxes have probed it three times by then, and reported the result twice.
 const WARM_REPORT_TTL: Duration = Duration::from_millis(600);
 
@@ -66,7 +66,7 @@
 /// Result of a request at a server, as far as it bears on the server's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A complete response, with success or blaming the request.
+    /// A complete response: the request succeeded or was invalid.
     Answered,
     /// A complete response: the server failed.
     Failed,
@@ -137,7 +137,8 @@
     rendezvous::weight(id, "")
 }
 
-/// Identifies one incarnation of a server; the server as such if its start time is unknown.
+/// Hash that identifies one incarnation of a server. If its start time is unknown, the hash is that
+/// of its id.
 pub fn incarnation_hash(server: &Server) -> u64 {
     let id_hash = server_hash(&server.id);
     let started =
@@ -146,8 +147,8 @@
 }
 
 impl Candidate {
-    /// Creates a candidate. Requests sent to the server before `unknown_before` are not known to
-    /// this box.
+    /// Creates a candidate. This box has no record of requests that were sent to the server before
+    /// `unknown_before`.
     pub fn new(
         state: ServerState,
         memory_tokens: Option<u64>,
@@ -276,7 +277,7 @@
     }
 
     /// Whether the server has capacity for another request.
-    pub fn has_room(&mut self, load: Load, stale: bool, now: Instant) -> bool {
+    pub fn has_capacity(&mut self, load: Load, stale: bool, now: Instant) -> bool {
         let share = self.state.cold_share.filter(|_| self.is_cold(stale, now));
         let is_within_cold_share = share.is_none_or(|share| self.warmup.admits(share, now));
         is_within_cold_share && f64::from(load.in_flight) < self.limit
--- a/lib/src/coordination/departures.rs
+++ b/lib/src/coordination/departures.rs
@@ -1,10 +1,10 @@
 //! Servers that announce in their responses that they are leaving.
 //!
-//! The store shows this too, but late or not at all while it is away or the server cannot reach it.
-//! An announcement therefore applies from the response in which it arrives, and in all boxes of the
-//! region: boxes without traffic of their own, and those that start meanwhile, receive it from
-//! others. It applies to one incarnation of a server, until the server's entry in the store is
-//! written anew and shows it as serving.
+//! The store shows this too, but late, or not at all while the store is unavailable or the server
+//! cannot reach it. An announcement therefore applies from the response in which it arrives, and in
+//! all boxes of the region: boxes without traffic of their own, and boxes that start later, receive
+//! it from other boxes. It applies to one incarnation of a server, until the server's entry in the
+//! store is written anew and shows it as serving.
 
 pub mod wire;
 
@@ -15,8 +15,8 @@
 use self::wire::DepartureNotice;
 use super::interrupted::ServerIncarnation;
 
-/// How long an announcement applies if nothing else is learned; the server has terminated long
-/// before.
+/// How long an announcement applies if no newer store entry overrides it; the server has terminated
+/// long before.
 const NOTICE_TTL: Duration = Duration::from_secs(600);
 /// Minimum age of a newer entry that shows a server as serving. After an outage of the store, an
 /// entry written before the announcement may be read after it; the server's own update follows a
@@ -109,7 +109,7 @@
 
     /// Ends announcements that a newer entry overrides, and drops old ones. `entry` looks up a
     /// server's entry in the store; it is called only for servers that are leaving, since there are
-    /// thousands of entries and a starting box sees them all. Returns whether a server serves
+    /// thousands of entries and a starting box sees them all. Returns whether a server is serving
     /// again.
     pub fn tick(
         &mut self,
@@ -186,7 +186,7 @@
             .collect()
     }
 
-    /// Takes in notices from another box. Returns the servers that are newly leaving.
+    /// Applies notices from another box. Returns the servers that are newly leaving.
     pub fn receive(&mut self, notices: &[DepartureNotice], now: Instant) -> Vec<ServerIncarnation> {
         notices
             .iter()
--- a/lib/src/coordination/feedback.rs
+++ b/lib/src/coordination/feedback.rs
@@ -1,9 +1,9 @@
 //! Evaluation of what servers report and of the results of requests.
 //!
 //! Every attempt report is handled here, whatever the kind of response, and so is every response to
-//! a probe. The parts decide what follows from it: which servers get requests, which rates apply,
-//! which servers are leaving or resting, which requests crash servers. The caller gets back which
-//! boxes to notify at once, and whether to probe the server.
+//! a probe. The tables that it updates decide which servers get requests, which rates apply, which
+//! servers are leaving or resting, which requests crash servers. The caller gets back which boxes
+//! to notify at once, and whether to probe the server.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -51,9 +51,9 @@
 pub enum Observation {
     /// The server is leaving.
     Leaving,
-    /// The server asked this box to send nothing for that time.
+    /// The server asked this box to send no requests for this long.
     RequestedRestPeriod(Duration),
-    /// The server turned cold, for that time.
+    /// The server turned cold and stays so for this long.
     TurnedCold(Duration),
     /// The server changed its rate limit.
     Rate {
@@ -113,7 +113,8 @@
         let SentRequest { place, service, request } = sent_request;
         let server_ref =
             ServerRef { server: &place.server, incarnation: place.incarnation, service };
-        // Another instance at the address says nothing about the server that was meant.
+        // A response from another instance at the address contains no status of the intended
+        // server.
         if let Some(status) =
             report.server_status.filter(|_| report.event != AttemptEvent::Replaced)
         {
@@ -146,8 +147,8 @@
         effects
     }
 
-    /// Applies what a server says about itself. If `is_complete`, a state that it does not mention
-    /// has ended.
+    /// Applies the status that a server reports. If `is_complete`, a state that the status does not
+    /// mention has ended.
     fn apply_status(
         &mut self,
         server_ref: ServerRef<'_>,
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -2,8 +2,8 @@
 //!
 //! A box that loses the store continues with its copy, and nothing in the copy shows that it is
 //! outdated. Each box therefore keeps the time until which its copy is known to have matched the
-//! store, and reports the version of its copy to the others. A box that knows no newer version
-//! confirms the copy of this one; a box that has a newer version can be asked for it.
+//! store, and reports the version of its copy to the others. A box without a newer version confirms
+//! the copy of this box; a box with a newer version can be queried for it.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -37,8 +37,8 @@
 const STALE_AGE: Duration = Duration::from_millis(2500);
 /// Boxes that probe each server. With only one, its failure would leave the others without reports.
 const PROBERS_PER_SERVER: usize = 2;
-/// Additional time that a box waits before it asks a box of another region: a round trip, and the
-/// time in which boxes of its own region receive the new state.
+/// Additional time that a box waits before it queries a box of another region: a round trip, and
+/// the time in which boxes of its own region receive the new state.
 const REMOTE_EXTRA_TIMEOUT: Duration = Duration::from_millis(300);
 /// Usual maximum latency of a datagram within a region and between regions. It is added to the
 /// reported age: if it were left out, the age would shrink with each report, and boxes without news
@@ -69,7 +69,7 @@
 pub struct PeerState {
     /// Hash of the box's name.
     pub sender: u64,
-    /// Address at which the box can be asked for its state.
+    /// Address at which the box can be queried for its state.
     pub address: SocketAddr,
     /// Version of its state.
     pub version: Version,
--- a/lib/src/coordination/health.rs
+++ b/lib/src/coordination/health.rs
@@ -8,7 +8,7 @@
 
 const FAILURES_TO_EJECT: u32 = 3;
 const FIRST_EJECTION: Duration = Duration::from_secs(2);
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 const RAMP_UP: Duration = Duration::from_secs(10);
 
 /// Health of one backend server as seen by one box.
@@ -20,7 +20,7 @@
 }
 
 impl Health {
-    /// Records an answered request.
+    /// Records a request to which the server responded.
     pub fn record_success(&mut self, now: Instant) {
         self.failures = 0;
         if self.ejected_until.is_some_and(|until| now >= until + RAMP_UP) {
@@ -38,7 +38,7 @@
     /// Ejects the server.
     pub fn eject(&mut self, now: Instant) {
         let duration = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(8));
-        self.ejected_until = Some(now + duration.min(LONGEST_EJECTION));
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION));
         self.ejections += 1;
         self.failures = 0;
     }
--- a/lib/src/coordination/ledger.rs
+++ b/lib/src/coordination/ledger.rs
@@ -59,7 +59,7 @@
     Unknown,
     /// The key was used with a different request.
     KeyReused,
-    /// The ledger has no room for another key.
+    /// The ledger has no capacity for another key.
     Full,
 }
 
--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -75,7 +75,7 @@
     /// state.
     #[prost(uint64, optional, tag = "15")]
     pub state_age_ms: Option<u64>,
-    /// Port at which the sender can be asked for that state.
+    /// Port at which the sender can be queried for that state.
     #[prost(uint32, tag = "16")]
     pub handover_port: u32,
     /// Hashes of servers that responded to a probe of the sender; sent only to boxes of its region.
@@ -110,8 +110,9 @@
     /// region.
     #[prost(message, optional, tag = "26")]
     pub throttle: Option<ThrottleReport>,
-    /// Hashes of services whose servers in the sender's region currently accept nothing by their
-    /// own statement; sent only to boxes of other regions.
+    /// Hashes of services whose servers in the sender's region currently accept no requests,
+    /// because they are leaving, resting or at their rate limit; sent only to boxes of other
+    /// regions.
     #[prost(fixed64, repeated, tag = "27")]
     pub closed: Vec<u64>,
     /// Servers that announced that they are leaving; sent only to boxes of the sender's region.
@@ -124,9 +125,9 @@
 
 impl BoxReport {
     /// Shortens the report to the maximum size of a datagram. A datagram that is cut off in transit
-    /// cannot be decoded, so that nothing of it is received. First to be removed is what later
-    /// reports repeat or other boxes have observed too; statements of servers about leaving, rate
-    /// limits and capacity are kept.
+    /// cannot be decoded, so that nothing of it is received. Data that later reports repeat or that
+    /// other boxes have observed too is removed first; what servers report about leaving, rate
+    /// limits and capacity is kept.
     pub fn truncate_to(&mut self, max_bytes: usize) {
         while self.encoded_len() > max_bytes {
             let half_lengths =
@@ -169,7 +170,7 @@
 }
 
 impl Loads {
-    /// Takes in a report, unless a newer one is known.
+    /// Applies a report, unless a newer one of its sender has been received.
     pub fn receive(&mut self, report: &BoxReport, now: Instant) {
         let latest = self.senders.get(&report.sender);
         let sequence = |sender: &Sender| (sender.incarnation, sender.number);
--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -44,7 +44,7 @@
     pub fan_out: usize,
     /// Timeout after which a member counts as dead, before the addition for the size of its region.
     pub dead_after: Duration,
-    /// Added to the timeout for each box of the region.
+    /// Addition to the timeout for each box of the region.
     pub dead_after_per_box: Duration,
     /// Number of calls in a row without a response after which a member is dead.
     pub failures: u32,
@@ -101,7 +101,7 @@
 
 /// Added to the last counter of a dead member, so that counters that are still in transit don't
 /// refute its death. A live member that learns of its death jumps above this counter, and otherwise
-/// exceeds it soon by itself.
+/// exceeds it soon by its regular heartbeats.
 const DEAD_BEAT_INCREMENT: u32 = 10;
 
 struct KnownMember {
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -69,11 +69,12 @@
 pub enum Eligible {
     /// Servers that have not failed recently.
     Healthy,
-    /// All servers: one that failed recently is better than a refusal.
+    /// All servers, including those that failed recently, since trying such a server is better than
+    /// refusing the request.
     Any,
 }
 
-/// A request's place on a server, given back by [`Placement::finish`].
+/// A request's place on a server, released by [`Placement::finish`].
 #[derive(Clone, Debug)]
 pub struct Place {
     /// Id of the server.
@@ -94,7 +95,7 @@
     pub at_home: bool,
     /// Whether the server is or may be cold.
     pub cold: bool,
-    /// When the place was taken.
+    /// When the place was reserved.
     pub taken_at: Instant,
     awaiting_first_byte: bool,
 }
@@ -194,7 +195,7 @@
             };
             self.servers.insert(id, candidate);
         }
-        // Requests that still run on a removed server have no place to give back.
+        // Requests that still run on a removed server have no place to release.
         self.removed_at.retain(|_, at| now < *at + REMOVED_RETENTION);
         self.removed_at.extend(previous.into_keys().map(|id| (id, now)));
     }
@@ -259,7 +260,7 @@
                 request.eligible == Eligible::Any || candidate.is_healthy(selection.now);
             if !has_connection
                 || !is_eligible
-                || !candidate.has_room(load, selection.stale, selection.now)
+                || !candidate.has_capacity(load, selection.stale, selection.now)
             {
                 continue;
             }
@@ -321,7 +322,7 @@
         (candidate.incarnation == place.incarnation).then_some(candidate)
     }
 
-    /// Gives a place back.
+    /// Releases a place and records the outcome of its request.
     pub fn finish(&mut self, place: &mut Place, outcome: Outcome, now: Instant) {
         let was_waiting = std::mem::take(&mut place.awaiting_first_byte);
         let Some(candidate) = self.server_of(place) else { return };
--- a/lib/src/coordination/placement/blocked.rs
+++ b/lib/src/coordination/placement/blocked.rs
@@ -43,11 +43,12 @@
                 continue;
             }
             let load = candidate.load(request.loads, selection.unreported_boxes);
-            let has_room = candidate.has_room(load, selection.stale, selection.now);
-            if !candidate.is_healthy(selection.now) && has_room {
+            let has_capacity = candidate.has_capacity(load, selection.stale, selection.now);
+            if !candidate.is_healthy(selection.now) && has_capacity {
                 return Blocked::Failing;
             }
-            let is_throttled = has_room && request.throttles.rate(candidate.incarnation).is_some();
+            let is_throttled =
+                has_capacity && request.throttles.rate(candidate.incarnation).is_some();
             blocked = match blocked {
                 Blocked::Throttled => blocked,
                 _ if is_throttled => Blocked::Throttled,
--- a/lib/src/coordination/placement/utilization.rs
+++ b/lib/src/coordination/placement/utilization.rs
@@ -40,8 +40,8 @@
         utilization
     }
 
-    /// Whether no server currently accepts anything by its own statement: it is leaving, backing
-    /// off, or its rate limit is used up.
+    /// Whether no server currently accepts requests by its own report: each server is leaving,
+    /// resting, or has its rate limit used up.
     pub fn is_closed(&mut self, loads: &Loads, throttles: &Throttles, now: Instant) -> bool {
         let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
         let (mut resting, mut throttled, mut saturated) = (false, false, false);
@@ -49,7 +49,7 @@
             let load = candidate.load(loads, unreported_boxes);
             if self.rest_periods.until(candidate.incarnation, now).is_some() {
                 resting = true;
-            } else if !candidate.is_healthy(now) || !candidate.has_room(load, false, now) {
+            } else if !candidate.is_healthy(now) || !candidate.has_capacity(load, false, now) {
                 saturated = true;
             } else if throttles.has_capacity(candidate.incarnation, now) {
                 return false;
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -74,7 +74,7 @@
 /// Where a request is sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// To this backend server. A slot is taken.
+    /// To this backend server, on which a slot is reserved.
     Server(ServerId, SocketAddr),
     /// To this region. A credit is used, or the own region has no server for the request.
     Region(RegionId),
@@ -103,7 +103,7 @@
 /// How an attempt on a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The server answered.
+    /// The server sent a complete response.
     Answered {
         /// Time from dispatch to the first byte.
         first_byte: Duration,
@@ -112,7 +112,7 @@
     },
     /// The attempt failed.
     Failed,
-    /// The server refused the request and asked this box to send nothing for this time.
+    /// The server refused the request and asked this box to send no requests for this long.
     Rests(Duration),
     /// The caller disconnected, or the server was not at fault.
     Cancelled,
@@ -395,7 +395,7 @@
                     self.eject(id, now);
                 }
             }
-            // A server that asks for rest has not failed.
+            // A server that asks for a rest period has not failed.
             Outcome::Rests(rest) => {
                 self.rest_periods.record(server.hash, rest, now);
                 log::info!("event=server_rests server={id} rest_ms={}", rest.as_millis());
--- a/lib/src/coordination/presence.rs
+++ b/lib/src/coordination/presence.rs
@@ -1,8 +1,8 @@
 //! Announcements of boxes in datagrams, in addition to their records in the store.
 //!
 //! While the store is unavailable, a stopping box cannot write that it is leaving, and a restarted
-//! one cannot write that it serves. Datagrams reach the others nevertheless. An announcement
-//! applies to one incarnation of a box; a newer incarnation in the store, or a later announcement,
+//! one cannot write that it serves. Datagrams still reach the other boxes. An announcement applies
+//! to one incarnation of a box; a newer incarnation in the store, or a later announcement,
 //! supersedes it.
 
 use std::collections::HashMap;
--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -1,15 +1,15 @@
 //! Requests that are refused because they crash every server that executes them.
 //!
-//! A crashing server breaks off all requests that it executes, so one crash says little about any
-//! of them. Three consecutive crashes do. A request that is answered is not the cause, whatever
-//! crashed around it. Requests that have seen two crashes are executed on different servers, so
-//! that the next crash tells them apart. If several requests have still seen the same crashes, the
-//! one that is executed on the fewest running servers is the cause; requests with equal counts are
-//! held back and admitted one after the other.
+//! A crashing server breaks off all requests that it executes, so one crash is weak evidence
+//! against any of them. Three consecutive crashes do. A request that succeeds is not the cause,
+//! whatever servers crashed while executing it. Requests that have seen two crashes are executed on
+//! different servers, so that the next crash tells them apart. If several requests have still seen
+//! the same crashes, the cause is the request that is executed on the fewest running servers;
+//! requests with equal counts are held back and admitted one after the other.
 //!
 //! Boxes report crashes to each other by datagram: each one within the region, and from the second
 //! consecutive one on to all boxes. A verdict is sent to all boxes at once, written to the store,
-//! and passed to starting boxes by those that they ask for their state.
+//! and passed to a starting box by the box that it queries for the state.
 //!
 //! All tables are bounded and evict the oldest entry.
 
@@ -41,8 +41,8 @@
 /// Consecutive crashes from which a request is taken to be the cause even if others have seen as
 /// many: callers try less often than that.
 const CRASHES_FOR_CERTAINTY: usize = 5;
-/// Consecutive crashes from which a request is executed on servers of its own and reported to all
-/// boxes.
+/// Consecutive crashes from which a request is isolated on servers without other suspects, and
+/// reported to all boxes.
 const CRASHES_FOR_ISOLATION: usize = 2;
 /// Time from a crash to the verdict: by then it is known what other boxes of the region were
 /// executing at the server.
@@ -50,8 +50,8 @@
 /// Time between the admission of requests that have seen the same crashes: an engine executes most
 /// requests within it.
 const STAGGER_INTERVAL: Duration = Duration::from_millis(500);
-/// Running servers that execute a request for this box, from which one more crash says little about
-/// the request.
+/// Number of running servers executing a request for this box from which one more crash is weak
+/// evidence against the request.
 const INDEPENDENT_SERVERS: usize = 2;
 /// Maximum number of intervals that a request is held back: a caller gives up after some seconds.
 const MAX_STAGGER_INTERVALS: u32 = 4;
@@ -105,14 +105,14 @@
 /// Crashes under a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Suspicion {
-    /// Consecutive crashes, whoever sent the request.
-    pub ends: usize,
+    /// Consecutive crashes under requests of any caller.
+    pub crashes: usize,
     /// Consecutive crashes under requests of this caller.
-    pub of_caller: usize,
+    pub crashes_of_caller: usize,
     /// Number of callers under whose requests servers crashed.
     pub callers: usize,
     /// Number of servers that currently execute the request for this box.
-    pub width: usize,
+    pub server_count: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -292,7 +292,7 @@
             return Some(time_left);
         }
         let suspect = self.suspects.get(&content)?;
-        if self.executions.width(content) >= INDEPENDENT_SERVERS {
+        if self.executions.server_count(content) >= INDEPENDENT_SERVERS {
             return None;
         }
         let until = suspect.evaluate_at?;
@@ -307,25 +307,26 @@
     pub fn suspicion(&self, request: Fingerprint) -> Option<Suspicion> {
         let evidence = &self.suspects.get(&request.content)?.evidence;
         Some(Suspicion {
-            ends: evidence.consecutive_crashes(None),
-            of_caller: evidence.consecutive_crashes(Some(request.caller)),
+            crashes: evidence.consecutive_crashes(None),
+            crashes_of_caller: evidence.consecutive_crashes(Some(request.caller)),
             callers: evidence.callers().len(),
-            width: self.executions.width(request.content),
+            server_count: self.executions.server_count(request.content),
         })
     }
 
-    /// Whether a request has seen so many crashes that it is executed on a server of its own.
+    /// Whether a request has seen so many crashes that it is isolated on a server without other
+    /// suspects.
     pub fn needs_isolation(&self, request: Fingerprint) -> bool {
         self.is_isolated(request.content)
     }
 
     fn is_isolated(&self, content: ContentHash) -> bool {
-        self.executions.width(content) < INDEPENDENT_SERVERS
+        self.executions.server_count(content) < INDEPENDENT_SERVERS
             && self.consecutive_crashes(content) >= CRASHES_FOR_ISOLATION
     }
 
     fn is_due_for_verdict(&self, content: ContentHash) -> bool {
-        self.executions.width(content) < INDEPENDENT_SERVERS
+        self.executions.server_count(content) < INDEPENDENT_SERVERS
             && self.consecutive_crashes(content) >= CRASHES_FOR_VERDICT
     }
 
@@ -461,16 +462,19 @@
         crashes: usize,
         now: Instant,
     ) -> Ranking {
-        let width = self.executions.width(content);
+        let server_count = self.executions.server_count(content);
         let contenders = self.equally_suspect(content, evidence, crashes);
         let is_likelier = |other: &ContentHash| {
-            self.executions.width(*other) < width || self.has_active_verdict(*other, now)
+            self.executions.server_count(*other) < server_count
+                || self.has_active_verdict(*other, now)
         };
         if contenders.iter().any(is_likelier) {
             return Ranking::Unlikely;
         }
-        let mut tied =
-            contenders.iter().filter(|other| self.executions.width(**other) == width).peekable();
+        let mut tied = contenders
+            .iter()
+            .filter(|other| self.executions.server_count(**other) == server_count)
+            .peekable();
         if tied.peek().is_none() {
             return Ranking::MostLikely;
         }
--- a/lib/src/coordination/quarantine/executions.rs
+++ b/lib/src/coordination/quarantine/executions.rs
@@ -49,7 +49,7 @@
     }
 
     /// Number of servers that currently execute a content for this box.
-    pub fn width(&self, content: ContentHash) -> usize {
+    pub fn server_count(&self, content: ContentHash) -> usize {
         self.own.get(&content).map_or(0, Vec::len)
     }
 
--- a/lib/src/coordination/queue.rs
+++ b/lib/src/coordination/queue.rs
@@ -10,7 +10,7 @@
 
 use crate::protocol::config::Priority;
 
-/// One in this many calls of [`Queue::pop`] serves the lowest waiting priority.
+/// One in this many calls of [`Queue::pop`] returns a request of the lowest waiting priority.
 const LOWEST_PRIORITY_INTERVAL: u64 = 16;
 
 /// Identifies a request within its pool.
--- a/lib/src/coordination/regions.rs
+++ b/lib/src/coordination/regions.rs
@@ -60,15 +60,15 @@
         self.reported.insert((service, region), (utilization, now));
     }
 
-    /// Records which services have no room in another region because their servers stated that they
-    /// accept no requests now.
+    /// Records which services have no capacity in another region, because their servers reported
+    /// that they accept no requests now.
     pub fn record_closed_services(&mut self, region: RegionId, services: Vec<u64>, now: Instant) {
         self.closed_services.insert(region, (services, now));
     }
 
-    /// Returns whether a service may have room in another region, according to the reports.
+    /// Returns whether a service may have capacity in another region, according to the reports.
     /// Requests that would be refused there after a network latency of 110 ms are not sent.
-    pub fn may_have_room(&self, service: u64, region: &str, now: Instant) -> bool {
+    pub fn may_have_capacity(&self, service: u64, region: &str, now: Instant) -> bool {
         let reported = self.closed_services.get(region).filter(|(_, at)| now < *at + REPORT_TTL);
         reported.is_none_or(|(services, _)| !services.contains(&service))
     }
--- a/lib/src/coordination/retries.rs
+++ b/lib/src/coordination/retries.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Part of the limit that is used. The box's window and the window of whoever checks the limit
-/// start at different times.
+/// Part of the limit that is used. The window of the box and the window over which compliance is
+/// measured start at different times.
 const USABLE_SHARE: f64 = 0.8;
 /// Number of slices that the window is divided into.
 const WINDOW_SLICES: usize = 10;
--- a/lib/src/coordination/store_rollback.rs
+++ b/lib/src/coordination/store_rollback.rs
@@ -1,8 +1,8 @@
 //! Transition after the store has returned to an older copy.
 //!
 //! The copy may show a server as serving that has left since, or a failure domain as evacuated that
-//! serves again. Whoever wrote the newer state writes it again within seconds, and until then it
-//! stays in force. After that, the contents of the store apply.
+//! serves again. The server or operator that wrote the newer state writes it again within seconds,
+//! and until then that state stays in force. After that, the contents of the store apply.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -65,7 +65,7 @@
         self.held_back.insert(subject, (fact, revision));
     }
 
-    /// Discards a held entry because the store now contains something else.
+    /// Discards a held entry because the store now contains a newer one.
     pub fn discard_held(&mut self, subject: &Subject) {
         self.held_back.remove(subject);
     }
--- a/lib/src/coordination/throttle.rs
+++ b/lib/src/coordination/throttle.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Time until the other boxes know what this box has done.
+    /// Time until a report of this box has reached each other box of the region.
     fn propagation_time(&self) -> Duration {
         REPORT_PERIOD * self.rounds
     }
@@ -194,14 +194,14 @@
         self.services.entry(service).or_insert_with(|| Demand::new(now)).record_request(now);
     }
 
-    /// Returns whether a request may be sent to a server now. `luck` is drawn evenly from 0 to 1
+    /// Returns whether a request may be sent to a server now. `random` is drawn evenly from 0 to 1
     /// for each request and server.
-    pub fn admits(&self, server: ServerIncarnation, luck: f64, now: Instant) -> bool {
+    pub fn admits(&self, server: ServerIncarnation, random: f64, now: Instant) -> bool {
         let Some(account) = self.servers.get(&server) else { return true };
         let remaining = account.remaining(now, self.propagation_time());
         let demand = self.services.get(&account.service);
         let others = demand.map_or(0.0, |demand| demand.other_boxes(now));
-        remaining > 0.0 && luck * others * self.propagation_time().as_secs_f64() <= remaining
+        remaining > 0.0 && random * others * self.propagation_time().as_secs_f64() <= remaining
     }
 
     /// Returns whether a whole request remains for a server, or the server states no rate.
@@ -221,9 +221,9 @@
 
     /// Returns when a caller should retry if nothing remains for any server of the service.
     ///
-    /// Callers are asked to retry one after the other, at the rate of this box's share of what the
+    /// Callers are asked to retry one after the other, at this box's share of the rate that the
     /// servers accept. In six simulated surges, callers were refused 19,763 times when each was
-    /// told to retry after half of a latency objective, and 5,464 times with this rule; as many
+    /// asked to retry after half of a latency objective, and 5,464 times with this rule; as many
     /// were served.
     pub fn retry_after(
         &mut self,
--- a/lib/src/coordination/unlisted.rs
+++ b/lib/src/coordination/unlisted.rs
@@ -1,7 +1,7 @@
 //! Boxes that send datagrams though the copy of the store's state does not list them.
 //!
 //! A box that loses the store before its record is written appears in no box's state. No box sends
-//! it anything, and two such boxes in a region would each use a limit in full. A box that receives
+//! it datagrams, and two such boxes in a region would each use a limit in full. A box that receives
 //! datagrams from an unlisted box replies to it and names that box in its own datagrams, so that
 //! unlisted boxes learn of each other.
 
--- a/lib/src/coordination/urgency.rs
+++ b/lib/src/coordination/urgency.rs
@@ -1,8 +1,8 @@
 //! Urgency of a request at the engines.
 //!
 //! The rank of the team comes before that of the route. Among requests of equally ranked teams the
-//! route decides: without that, short questions of 400 tokens waited behind prompts of 17,000
-//! wherever engines were scarce, and most teams have the same rank.
+//! route decides: without the route's rank, short prompts of 400 tokens waited behind prompts of
+//! 17,000 wherever engines were scarce, and most teams have the same rank.
 
 /// Number of ranks that an engine distinguishes; 0 is the most urgent.
 const ENGINE_RANKS: u8 = 10;
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -24,9 +24,10 @@
     pub slack: f64,
 }
 
-/// Longest interval between probes of one box that ask a server whether it is cold.
+/// Maximum interval between probes of one box that query whether a server is cold.
 pub const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// Shortest such interval: the time of several responses, so that probes do not occupy the server.
+/// Minimum interval between these probes: the time of several responses, so that probes do not
+/// occupy the server.
 pub const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(10);
 /// Fraction of a cold server's rate that may be sent between two probes; the rest is for the time
 /// until all boxes know the result.
--- a/lib/src/coordination/watchers.rs
+++ b/lib/src/coordination/watchers.rs
@@ -1,10 +1,10 @@
 //! Which boxes watch the platform's store on behalf of their region.
 //!
 //! If each box had a watch, each change would cost one call for each box. Instead, a few boxes of
-//! each region watch; the others learn from their reports that there is a change and ask them for
-//! it. Each box determines from the known records whether it watches. While two boxes disagree,
-//! both watch or neither does; the checks of [`freshness`](super::freshness) then find what was
-//! missed.
+//! each region watch; the other boxes learn from the watchers' reports that there is a change, and
+//! query a watcher for it. Each box determines from the known records whether it watches. While two
+//! boxes disagree, both watch or neither does; the checks of [`freshness`](super::freshness) then
+//! find changes that were missed.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
 /// third one still informs the others at once.
 const WATCHERS_PER_REGION: usize = 3;
 
-/// Whether a box is among the watchers of its region. The boxes with the highest weight are, since
-/// all others ask them; ties are resolved by rendezvous hashing.
+/// Whether a box is among the watchers of its region. The boxes with the highest weight are
+/// watchers, since all other boxes query them; ties are resolved by rendezvous hashing.
 pub fn is_watcher<'a>(own: &BoxRecord, others: impl Iterator<Item = &'a BoxRecord>) -> bool {
     let rank = |record: &BoxRecord| {
         let key = rendezvous::weight(&record.region, "watch");
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -62,13 +62,13 @@
 
 /// The outcome of one send.
 pub enum SendOutcome<A: Adapter> {
-    /// There is a response.
+    /// The receiver sent a response to forward.
     Answered(Reply<A>),
     /// The request was not sent, so it did not run.
     Unsent(Failure),
     /// The receiver refused the request; it did not run.
     Refused(Failure),
-    /// The server refused the request and asked to get none from this box for a while.
+    /// The server refused the request and asked this box for a rest period.
     RefusedWithRest(Failure),
     /// The request may have run.
     MaybeRan(Failure),
@@ -88,8 +88,8 @@
     let new_connection = !job.route.repeatable();
     let address = reservation.place.address;
     let server = reservation.place.server.clone();
-    // Takes into account what the server has reported since it was chosen, as connecting may take
-    // long.
+    // Checked again once connected: the server may have reported another status since it was
+    // chosen, as connecting may take long.
     let admits = || reservation.is_still_admitted();
     let response = send(&shared.servers, job, address, request, new_connection, admits).await;
     let mut reservation = Some(reservation);
@@ -175,12 +175,12 @@
     }
 }
 
-/// Whether the box that answered had sent the request to a server.
+/// Whether the box that responded had sent the request to a server.
 fn was_sent(response: &Response<PooledBody>) -> bool {
     response.headers().get(SENDS_HEADER).is_none_or(|sends| sends != "0")
 }
 
-/// The failure that another box answered with. `None` if it forwards a server's response.
+/// The failure in the response of another box; `None` if that box forwards a server's response.
 fn peer_failure(response: &Response<PooledBody>) -> Option<Failure> {
     let ran = response
         .headers()
@@ -227,7 +227,7 @@
     if let Some(reservation) =
         reservation.as_ref().filter(|_| metadata.server_status.reports_anything())
     {
-        decision_log::server_said(
+        decision_log::status_received(
             job,
             &reservation.place.server,
             &metadata.server_status,
@@ -291,7 +291,7 @@
     }
 }
 
-/// The event that the head of a response stands for.
+/// Classifies a response by its head.
 fn head_event(metadata: &ResponseMetadata) -> AttemptEvent {
     if metadata.instance_mismatch {
         AttemptEvent::Replaced
@@ -304,7 +304,7 @@
     }
 }
 
-/// The event that a complete response stands for.
+/// Classifies a complete response by its status.
 fn body_event(status: StatusCode) -> AttemptEvent {
     if status.is_success() {
         AttemptEvent::Answered
--- a/lib/src/gateway/box_reports.rs
+++ b/lib/src/gateway/box_reports.rs
@@ -42,11 +42,11 @@
 /// larger region is covered in rotation.
 const MAX_RECIPIENTS: usize = 32;
 /// Number of consecutive reports in which a change of this box's own status goes to all boxes of
-/// other regions, because some datagrams are lost. After that, they learn of it in rotation or from
-/// the store.
+/// other regions, because some datagrams are lost. After that, these boxes receive the status in
+/// rotation or from the store.
 const ANNOUNCEMENT_REPORTS: u32 = 5;
 /// Number of a datagram that replies to a box which has just started. It contains only rates and
-/// leaving servers, and has no place in the order of the sender's reports.
+/// leaving servers, and is not part of the sequence of the sender's reports.
 const REPLY_NUMBER: u64 = 0;
 /// Maximum size of a datagram in bytes: some hundred servers.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
@@ -145,7 +145,7 @@
     let age = match report.state_age_ms {
         Some(age_ms) => Duration::from_millis(age_ms),
         None if same_region => return,
-        // The report doesn't say how old the sender's state is, so it can't confirm that a state is
+        // The report lacks the age of the sender's state, so it can't confirm that a state is
         // recent.
         None => Duration::MAX,
     };
@@ -168,8 +168,8 @@
 }
 
 /// Records a datagram from a box, and the unlisted boxes that have sent datagrams to it. Two boxes
-/// that each took themselves for the only one of their region sent 28 requests in a second to a
-/// cold server where 17 are allowed.
+/// that each assumed to be the only one of their region sent 28 requests in a second to a cold
+/// server where 17 are allowed.
 fn apply_unlisted_boxes<A: Adapter>(
     shared: &Shared<A>,
     report: &BoxReport,
@@ -322,7 +322,7 @@
     } else {
         send(socket, &datagram, remote_boxes.iter().choose(&mut rand::rng()).into_iter());
     }
-    // Unlisted boxes of other regions learn from this report about each other, and whom to query
+    // This report tells unlisted boxes of other regions about each other, and which box to query
     // for a newer state. They get no reports for a long time while their datagrams do not arrive.
     // So this report doesn't confirm the age of their state, and they probe servers to learn
     // whether these are cold.
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -33,14 +33,14 @@
 use crate::protocol::routing::Service;
 use crate::protocol::routing::ServiceId;
 
-/// How long boxes whose records are gone still count among those that share a bound. They may be
-/// running and only have lost the store.
+/// How long boxes whose records are gone still count among the boxes that share a limit. They may
+/// be running and only have lost the store.
 const EXPIRED_BOX_RETENTION: Duration = Duration::from_secs(30);
 
 /// Location of a server of any region.
 #[derive(Clone, Debug)]
 pub struct ServerLocation {
-    /// Hash of the server's name, by which shared prompt texts are assigned to servers.
+    /// Hash of the server's name, for the choice of home servers of shared prefixes.
     pub hash: u64,
     /// Its region.
     pub region: RegionId,
@@ -56,10 +56,10 @@
     cold_until: Option<Instant>,
     /// Since when the entry is missing from the store, while it may still be written again.
     missing_since: Option<Instant>,
-    /// The incarnation of the server that the entry is about.
+    /// Incarnation of the server that the entry describes.
     incarnation: ServerIncarnation,
-    /// Whether the server said itself that it leaves.
-    said_leaving: bool,
+    /// Whether the server announced in a response that it is leaving.
+    announced_leaving: bool,
     /// When this box saw the entry change; `None` if it has seen only one version of it.
     changed_at: Option<Instant>,
 }
@@ -90,10 +90,10 @@
     /// Region of each known failure domain.
     regions: HashMap<FailureDomainId, RegionId>,
     store_recovered_at: Option<Instant>,
-    restored: StoreRollback,
+    rollback: StoreRollback,
 }
 
-/// The local box and its settings, which decide how bounds are shared.
+/// The local box and its settings, which decide how limits are shared.
 pub struct LocalContext<'a> {
     /// Record of this box.
     pub own_record: &'a BoxRecord,
@@ -112,12 +112,12 @@
         ClusterState { regions, ..ClusterState::default() }
     }
 
-    /// Records that the store answered again at `at` after an outage.
-    pub fn note_store_recovered(&mut self, at: Instant) {
+    /// Records that the store responded again at `at` after an outage.
+    pub fn record_store_recovered(&mut self, at: Instant) {
         self.store_recovered_at = self.store_recovered_at.max(Some(at));
     }
 
-    /// When the store last answered again after an outage.
+    /// When the store last responded again after an outage.
     pub fn store_recovered_at(&self) -> Option<Instant> {
         self.store_recovered_at
     }
@@ -127,10 +127,10 @@
         let subject = settling::subject(&fact);
         if self.is_outdated(&fact, &subject, revision, now) {
             log::info!("event=held_back subject={subject:?} revision={revision}");
-            self.restored.hold_back(subject, fact, revision);
+            self.rollback.hold_back(subject, fact, revision);
             return false;
         }
-        self.restored.discard_held(&subject);
+        self.rollback.discard_held(&subject);
         match fact {
             Fact::Routing(routing) => {
                 let known_version = self.routing.as_ref().map_or(0, |routing| routing.version);
@@ -159,9 +159,9 @@
         }
     }
 
-    /// An entry that was written again counts as a change even if it says the same. A server that
-    /// turns cold for the second time says "cold for 3 s" again, and a box that had lost the store
-    /// in between has seen nothing else.
+    /// Applies the entry of a server. An entry that was written again counts as a change even if
+    /// its contents are the same: a server that turns cold for the second time writes "cold for 3
+    /// s" again, and a box that lost the store in between has seen only the first write.
     fn apply_server(&mut self, server: Server, revision: Revision, now: Instant) -> bool {
         let before = self.servers.get_mut(&server.id);
         let previous_incarnation = before.as_ref().map(|entry| entry.incarnation);
@@ -181,7 +181,7 @@
         let mut changed_at = (previous_incarnation == Some(incarnation)).then_some(now);
         let mut cold_until = (!server.cold_left.is_zero()).then(|| now + server.cold_left);
         if let Some(before) = self.servers.get(&server.id)
-            && self.restored.is_settling(now)
+            && self.rollback.is_settling(now)
             && before.incarnation == incarnation
         {
             // The entry comes from the older copy of the store, and is older than what it replaces.
@@ -207,7 +207,7 @@
             revision,
             cold_until,
             missing_since: None,
-            said_leaving: false,
+            announced_leaving: false,
             changed_at,
         };
         self.servers.insert(id, entry);
@@ -239,7 +239,7 @@
         self.roster.insert((region.to_owned(), name.to_owned()));
     }
 
-    /// Number of boxes in all regions that share the bounds.
+    /// Number of boxes in all regions that share the limits.
     pub fn fleet_size(&self, context: &LocalContext<'_>) -> usize {
         let roster_size = if context.just_started { self.roster.len() } else { 0 };
         (self.other_boxes(context.own_record).len() + 1).max(roster_size)
@@ -255,7 +255,7 @@
 
     /// Removes an entry that is gone from the store.
     pub fn remove(&mut self, subject: &Subject, now: Instant) {
-        self.restored.discard_held(subject);
+        self.rollback.discard_held(subject);
         match subject {
             Subject::Server(id) => self.remove_server(id, now),
             Subject::Evacuation(domain) => self.remove_evacuation(domain, now),
@@ -282,7 +282,7 @@
         }
         if let Some(entry) = self.servers.remove(id) {
             log::info!("event=server_gone server={id}");
-            self.restored.record_removal(Subject::Server(id.clone()), entry.revision, now);
+            self.rollback.record_removal(Subject::Server(id.clone()), entry.revision, now);
         }
     }
 
@@ -363,7 +363,7 @@
     }
 
     /// Records the boxes of this region that sent datagrams to this one. A box that started during
-    /// a store outage may know them by nothing else, and would take all of a bound for itself: two
+    /// a store outage may have no other knowledge of them, and would use all of a limit itself: two
     /// such boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns
     /// whether any of them is new.
     pub fn record_senders(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
@@ -381,10 +381,10 @@
         Some(departures::StoreEntry { leaving: entry.server.leaving, changed_at: entry.changed_at })
     }
 
-    /// Updates which servers said themselves that they leave.
+    /// Updates which servers have announced in responses that they are leaving.
     pub fn set_leaving(&mut self, leaves: impl Fn(ServerIncarnation) -> bool) {
         for entry in self.servers.values_mut() {
-            entry.said_leaving = leaves(entry.incarnation);
+            entry.announced_leaving = leaves(entry.incarnation);
         }
     }
 
@@ -421,13 +421,13 @@
 
     fn is_usable(&self, entry: &Entry) -> bool {
         !entry.server.leaving
-            && !entry.said_leaving
+            && !entry.announced_leaving
             && !self.evacuated.contains_key(&entry.server.failure_domain)
     }
 
     /// Hashes of the boxes that share the servers of this region, including this one. Boxes that
-    /// start together don't see each other at first, so one that has just started counts every box
-    /// that was ever started.
+    /// start together don't see each other at first, so a box that has just started counts every
+    /// box that was ever started.
     pub fn sharing_boxes(&self, context: &LocalContext<'_>) -> BTreeSet<u64> {
         let own_record = context.own_record;
         let removed = self.expired_boxes.values().map(|(record, _)| record);
--- a/lib/src/gateway/cluster_state/settling.rs
+++ b/lib/src/gateway/cluster_state/settling.rs
@@ -14,14 +14,14 @@
 
 impl ClusterState {
     /// Records that the store was restored from an older copy at `at`.
-    pub fn note_store_restored(&mut self, at: Instant) {
-        self.restored.record_rollback(at);
-        self.note_store_recovered(at);
+    pub fn record_store_restored(&mut self, at: Instant) {
+        self.rollback.record_rollback(at);
+        self.record_store_recovered(at);
     }
 
     /// Whether writes that the store lost when it was restored may still be repeated.
     pub fn is_settling(&self, now: Instant) -> bool {
-        self.restored.is_settling(now)
+        self.rollback.is_settling(now)
     }
 
     /// Whether an entry comes from the older copy and has been superseded since: a leaving server
@@ -33,7 +33,7 @@
         revision: Revision,
         now: Instant,
     ) -> bool {
-        if !self.restored.is_settling(now) {
+        if !self.rollback.is_settling(now) {
             return false;
         }
         match fact {
@@ -44,10 +44,10 @@
                     let same_incarnation = entry.incarnation == candidate::incarnation_hash(server);
                     same_incarnation && entry.server.leaving && !server.leaving
                 }
-                None => self.restored.was_removed(subject, revision),
+                None => self.rollback.was_removed(subject, revision),
             },
             Fact::Evacuated(domain) => {
-                !self.evacuated.contains_key(domain) && self.restored.was_removed(subject, revision)
+                !self.evacuated.contains_key(domain) && self.rollback.was_removed(subject, revision)
             }
         }
     }
@@ -55,7 +55,7 @@
     /// Removes an evacuation that is gone from the store. While the store settles, it stays in
     /// force because it may be written again.
     pub(super) fn remove_evacuation(&mut self, domain: &FailureDomainId, now: Instant) {
-        if self.restored.is_settling(now) {
+        if self.rollback.is_settling(now) {
             if let Some(evacuation) = self.evacuated.get_mut(domain) {
                 log::info!("event=evacuation_missing failure_domain={domain}");
                 evacuation.missing_since.get_or_insert(now);
@@ -65,14 +65,15 @@
         if let Some(evacuation) = self.evacuated.remove(domain) {
             log::info!("event=evacuation_over failure_domain={domain}");
             let subject = Subject::Evacuation(domain.clone());
-            self.restored.record_removal(subject, evacuation.revision, now);
+            self.rollback.record_removal(subject, evacuation.revision, now);
             self.mark_domain_cold(domain, now);
         }
     }
 
-    /// Once the store has settled, accepts what it lists. Returns whether that changes anything.
+    /// Once the store has settled, accepts the entries that it lists. Returns whether that changes
+    /// anything.
     pub(super) fn settle(&mut self, now: Instant) -> bool {
-        if self.restored.is_settling(now) {
+        if self.rollback.is_settling(now) {
             return false;
         }
         let missing = |evacuation: &Evacuation| evacuation.missing_since.is_some();
@@ -85,7 +86,7 @@
         for domain in &missing {
             self.remove_evacuation(domain, now);
         }
-        let released = self.restored.release(now);
+        let released = self.rollback.release(now);
         let mut changed = !missing.is_empty();
         for (fact, revision) in released {
             changed |= self.apply(fact, revision, now);
--- a/lib/src/gateway/control.rs
+++ b/lib/src/gateway/control.rs
@@ -1,9 +1,9 @@
 //! The control thread. It maintains this box's record in the store, applies changes from the store,
 //! and publishes snapshots for the traffic thread.
 //!
-//! The store may be unavailable for any length of time. The last known state stays in force
-//! meanwhile, is updated from boxes that have a newer one, and is read again once the store
-//! responses.
+//! The store may be unavailable for any length of time. During an outage the last known state stays
+//! in force and is updated from boxes that have a newer one. Once the store responds, the state is
+//! read from it again.
 
 mod peer_sync;
 mod store_sync;
@@ -155,7 +155,7 @@
             match self.load_full_state().await {
                 Ok(()) => return true,
                 Err(error) => {
-                    self.note_store_failure(&error);
+                    self.record_store_failure(&error);
                     self.load_state_from_seeds().await;
                     if self.wait_before_retry(events).await {
                         return false;
@@ -218,11 +218,11 @@
     fn begin_era(&mut self, at: Instant, before: Position, position: Position) {
         log::warn!("event=store_restored position={position} before={before}");
         self.shared.counters.increment(Counter::StoreRestored);
-        self.cluster_state.note_store_restored(at);
+        self.cluster_state.record_store_restored(at);
         self.publish_store_recovery();
     }
 
-    fn note_store_failure(&mut self, error: &PlatformError) {
+    fn record_store_failure(&mut self, error: &PlatformError) {
         if self.store_down_since.is_none() {
             log::warn!("event=store_lost error=\"{error}\"");
             let now = clock::now();
@@ -231,12 +231,12 @@
         }
     }
 
-    fn note_store_success(&mut self) {
+    fn record_store_success(&mut self) {
         if let Some(down_since) = self.store_down_since.take() {
             let now = clock::now();
             let outage = now.saturating_duration_since(down_since);
             log::info!("event=store_regained away_ms={}", outage.as_millis());
-            self.cluster_state.note_store_recovered(now);
+            self.cluster_state.record_store_recovered(now);
             if outage >= MIN_OUTAGE {
                 self.publish_store_recovery();
             }
@@ -248,11 +248,11 @@
         match event {
             Event::Stop => self.begin_stop(),
             Event::Reload => log::info!("event=reload settings=\"count from the next start\""),
-            Event::StoreRecovered => self.cluster_state.note_store_recovered(clock::now()),
+            Event::StoreRecovered => self.cluster_state.record_store_recovered(clock::now()),
             // Boxes that start together read the store before the others' records are in it. Of any
-            // two, the one that writes later finds the other by polling again now, and the other
-            // receives its reports. Without this, two of them that lost the store right after their
-            // start sent 28 requests in a second to a cold server.
+            // two, the box that writes later finds the other by polling again now, and sends it
+            // reports. Without this, two of them that lost the store right after their start sent
+            // 28 requests in a second to a cold server.
             Event::RecordWritten => self.next_check_at = Some(clock::now()),
         }
     }
@@ -338,8 +338,8 @@
                 });
                 let servers = local_servers.remove(name).unwrap_or_default();
                 state.placement.update(servers, sharing_boxes, service, now);
-                // Locked while `services` is locked, so a report that arrives meanwhile is applied
-                // after this.
+                // Locked while `services` is locked, so a report that arrives during the update is
+                // applied after it.
                 let departures = lock(&self.shared.departures);
                 state.placement.set_leaving(|incarnation| departures.is_leaving(incarnation));
             }
--- a/lib/src/gateway/control/peer_sync.rs
+++ b/lib/src/gateway/control/peer_sync.rs
@@ -1,5 +1,5 @@
-//! Takes the store's state from other boxes: from those that watch the store, or from any that has
-//! a newer state than this one.
+//! Fetches the store's state from other boxes: from boxes that watch the store, or from any box
+//! that has a newer state than this one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,10 +52,10 @@
     }
 
     /// Queries the seeds if this box lost the store before it knew any other box; the queries make
-    /// it known to them. Otherwise it would send reports to nobody, and no box could pass its
-    /// address on. Two such boxes, the only ones of a region, sent cold servers 28 requests in a
-    /// second where 17 are allowed, and let a team send 356 requests in 8 s instead of 258, for the
-    /// 12 s until the store was back.
+    /// it known to them. Otherwise it would send no reports, and no box could pass its address on.
+    /// Two such boxes, the only ones of a region, sent cold servers 28 requests in a second where
+    /// 17 are allowed, and let a team send 356 requests in 8 s instead of 258, for the 12 s until
+    /// the store was back.
     pub(super) async fn discover_peers(&mut self, now: Instant) {
         let knows_no_box = {
             let snapshot = self.shared.snapshot.load();
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Takes the state of a box that has a newer one, because this box can't reach the store or its
-    /// watch has died unnoticed. Without this, boxes that lost the store sent to a failure domain
-    /// that had been evacuated 6 s before, and sent 22 requests in a second instead of 17 to
+    /// Fetches the state of a box that has a newer one, because this box can't reach the store or
+    /// its watch has died unnoticed. Without this, boxes that lost the store sent to a failure
+    /// domain that had been evacuated 6 s before, and sent 22 requests in a second instead of 17 to
     /// engines there that had turned cold. It happened with every kind of store outage that left
     /// other boxes connected.
     pub(super) async fn fetch_state_from(&mut self, address: SocketAddr) {
@@ -156,7 +156,7 @@
         if let Some(at) =
             recovered_ago.filter(|_| is_aging_here).and_then(|ago| now.checked_sub(ago))
         {
-            self.cluster_state.note_store_recovered(at);
+            self.cluster_state.record_store_recovered(at);
             self.publish_store_recovery();
         }
         if position.era != before.era && self.cluster_state.routing.is_some() {
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -69,21 +69,21 @@
 /// The effect of a response on the known state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ResponseEffect {
-    /// Nothing was new.
+    /// No change was applied.
     Unchanged,
     /// Changes or the complete contents were applied.
     Changed,
-    /// The store can't tell the changes since the known position. A full read is needed.
+    /// The store can't list the changes since the known position. A full read is needed.
     Superseded,
 }
 
 /// The call to the store that this box is waiting for.
 enum PendingCall {
-    /// None: other boxes provide the state, or the next call is not due.
+    /// No call: other boxes provide the state, or the next call is not due.
     Idle,
     /// Waits for changes.
     Watch(ChangesCall),
-    /// Asks whether there are changes, without waiting.
+    /// Queries whether there are changes, without waiting.
     Poll(ChangesCall),
     /// Reads the complete contents.
     FullRead(FullReadCall),
@@ -137,7 +137,7 @@
     }
 
     fn apply_full_state(&mut self, FullState { items, position }: FullState) {
-        self.note_store_success();
+        self.record_store_success();
         self.replace_state(items, position);
         self.mark_current();
         self.publish();
@@ -279,7 +279,7 @@
                 response: StoreResponse::Changes { changes, revision },
                 ..
             })) => {
-                self.note_store_success();
+                self.record_store_success();
                 let has_changes = !changes.is_empty();
                 changes.into_iter().for_each(|change| self.apply_change(change));
                 lock(&self.shared.replica).advance_to(Position { revision, ..known_position });
@@ -296,7 +296,7 @@
                 ResponseEffect::Superseded
             }
             Err(error) => {
-                self.note_store_failure(&error);
+                self.record_store_failure(&error);
                 ResponseEffect::Unchanged
             }
         }
@@ -310,7 +310,7 @@
     }
 
     /// Draws whether this box polls the store: a waiting watch may have died unnoticed, and no box
-    /// has reported lately that nothing changed. Without this, watches that died at all boxes at
+    /// has recently reported that nothing changed. Without this, watches that died at all boxes at
     /// once hid an evacuation for 11 s. It costs four calls a second over all boxes: 206 calls
     /// became 381 on a calm day with nine boxes, and 1,350 became 1,571 on one with 69.
     fn draw_poll(&self) -> bool {
--- a/lib/src/gateway/cross_region.rs
+++ b/lib/src/gateway/cross_region.rs
@@ -1,6 +1,6 @@
 //! Chooses boxes of other regions to forward requests to: because no server here may or can run a
-//! request, because its shared text has its home there, or because that region has room while this
-//! one is busy.
+//! request, because the home server of its shared prefix is there, or because that region has
+//! capacity while this one is busy.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 /// Why a request is forwarded to another region, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ForwardReason {
-    /// The engine assigned to the request's text is in that region.
+    /// The home server of the request's shared prefix is in that region.
     Home,
     /// The servers of this region are busy, and a share of the requests goes to another region.
     Overflow {
@@ -69,33 +69,36 @@
     boxes.filter(|other| other.region == region && presence.serves(other)).collect()
 }
 
-/// Whether the servers of another region have room for a request, according to its reports.
-fn has_room<A>(shared: &Shared<A>, job: &Job, region: &str) -> bool {
+/// Whether the servers of another region have capacity for a request, according to its reports.
+fn has_capacity<A>(shared: &Shared<A>, job: &Job, region: &str) -> bool {
     let service_hash = rendezvous::weight(&job.service, "");
-    lock(&shared.regions).may_have_room(service_hash, region, clock::now())
+    lock(&shared.regions).may_have_capacity(service_hash, region, clock::now())
 }
 
-/// A box near the engine assigned to the request's text, if that engine is in another region. Only
-/// the first send follows the text; later ones go to any server.
+/// A box near the home server of the request's shared prefix, if that server is in another region.
+/// Only the first send goes to the home; later ones go to any server.
 pub fn home_box<A: Adapter>(
     shared: &Shared<A>,
     job: &Job,
     history: &RequestHistory,
 ) -> Option<SocketAddr> {
-    let text = SharedPrefix::of(&job.metadata.segments)?;
-    if !is_first_send(job, history) || !text.crosses_regions() {
+    let prefix = SharedPrefix::of(&job.metadata.segments)?;
+    if !is_first_send(job, history) || !prefix.crosses_regions() {
         return None;
     }
     let servers = job.snapshot.servers.get(&job.service)?;
     let home_server = servers
         .iter()
         .filter(|server| job.is_allowed_in(&server.region))
-        .max_by_key(|server| text.weight(server.hash))?;
-    if home_server.region == shared.settings.region || !has_room(shared, job, &home_server.region) {
+        .max_by_key(|server| prefix.weight(server.hash))?;
+    if home_server.region == shared.settings.region
+        || !has_capacity(shared, job, &home_server.region)
+    {
         return None;
     }
     let region_boxes = serving_boxes(shared, job, &home_server.region);
-    // From a box in the engine's failure domain, the prompt doesn't have to cross another one.
+    // From a box in the failure domain of the home server, the prompt doesn't have to cross into
+    // another one.
     let same_domain =
         region_boxes.iter().filter(|other| other.failure_domain == home_server.failure_domain);
     let same_domain: Vec<&BoxRecord> = same_domain.copied().collect();
@@ -103,8 +106,9 @@
     candidates.choose(&mut rand::rng()).map(|other| other.peers)
 }
 
-/// A box of a region that has room while the servers here are busy, for a share of the requests.
-/// Requests whose text has a home go there instead, and later sends go to any server.
+/// A box of a region that has capacity while the servers of this one are busy, for a share of the
+/// requests. Requests whose prefix has a home in any region go there instead, and later sends go to
+/// any server.
 pub fn overflow_target<A: Adapter>(
     shared: &Shared<A>,
     job: &Job,
@@ -112,7 +116,7 @@
     now: Instant,
 ) -> Option<(SocketAddr, ForwardReason)> {
     let has_home =
-        SharedPrefix::of(&job.metadata.segments).is_some_and(|text| text.crosses_regions());
+        SharedPrefix::of(&job.metadata.segments).is_some_and(|prefix| prefix.crosses_regions());
     if !is_first_send(job, history) || has_home {
         return None;
     }
@@ -122,7 +126,7 @@
     let service_hash = rendezvous::weight(&job.service, "");
     let regions = lock(&shared.regions);
     let allowed = |region: &str| {
-        job.is_allowed_in(region) && regions.may_have_room(service_hash, region, now)
+        job.is_allowed_in(region) && regions.may_have_capacity(service_hash, region, now)
     };
     let (region, share) = regions.overflow_target(service_hash, own_utilization, allowed, now)?;
     if rand::rng().random::<f64>() >= share {
@@ -151,7 +155,7 @@
             && !tried.contains(&other.peers)
             && job.is_allowed_in(&other.region)
             && slots.get(&other.region).is_some_and(|slots| *slots > 0)
-            && regions.may_have_room(service_hash, &other.region, now)
+            && regions.may_have_capacity(service_hash, &other.region, now)
     };
     let boxes: Vec<&BoxRecord> = job.snapshot.boxes.iter().filter(eligible).collect();
     let in_region = |region: &str| boxes.iter().filter(|other| other.region == region).count();
--- a/lib/src/gateway/decision_log.rs
+++ b/lib/src/gateway/decision_log.rs
@@ -31,18 +31,18 @@
     job.team.as_ref().map_or("-", |team| team.name.as_str())
 }
 
-/// Id of the shared text of the prompt; 0 if there is none.
-fn text_id(job: &Job) -> u64 {
-    SharedPrefix::of(&job.metadata.segments).map_or(0, |text| text.id())
+/// Id of the shared prefix of the prompt; 0 if there is none.
+fn prefix_id(job: &Job) -> u64 {
+    SharedPrefix::of(&job.metadata.segments).map_or(0, |prefix| prefix.id())
 }
 
 /// A request that crashed servers before is sent to a server.
 pub fn on_trial(job: &Job, server: &str, suspicion: Suspicion, shares_server: bool) {
-    let Suspicion { ends, of_caller, callers, width } = suspicion;
+    let Suspicion { crashes, crashes_of_caller, callers, server_count } = suspicion;
     log::info!(
         target: TARGET,
-        "event=on_trial request={} content={} server={server} ends={ends} of_caller={of_caller} callers={callers} \
-         width={width} beside={shares_server}",
+        "event=on_trial request={} content={} server={server} ends={crashes} of_caller={crashes_of_caller} callers={callers} \
+         width={server_count} beside={shares_server}",
         job.metadata.id,
         job.fingerprint,
     );
@@ -66,7 +66,7 @@
         place.candidates,
         place.at_home,
         place.cold,
-        text_id(job),
+        prefix_id(job),
         job.fingerprint,
         job.version,
         job.snapshot.fleet_size,
@@ -83,7 +83,7 @@
         job.route.name,
         job.service,
         history.arrivals() + 1,
-        text_id(job),
+        prefix_id(job),
         job.fingerprint,
         job.version,
         job.time_left(clock::now()).as_millis(),
@@ -154,9 +154,8 @@
     );
 }
 
-/// The head of a response contains information about the server that affects which requests it
-/// gets.
-pub fn server_said(job: &Job, server: &str, server_status: &ServerStatus, status: StatusCode) {
+/// Logs the status in the head of a response, if it affects which requests the server gets.
+pub fn status_received(job: &Job, server: &str, server_status: &ServerStatus, status: StatusCode) {
     log::info!(
         target: TARGET,
         "event=server_said request={} route={} server={server} leaving={} rest_ms={} rate={} cold_ms={} status={} age_ms={}",
@@ -174,9 +173,9 @@
 /// Maximum number of requests listed in one line.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Something was learned about a server, or about a request that it ran.
-pub fn server_learned(server: &str, note: &Observation) {
-    match note {
+/// Logs an observation about a server, or about a request that it ran.
+pub fn observed(server: &str, observation: &Observation) {
+    match observation {
         Observation::Leaving => log::info!("event=server_leaves server={server} by=answer"),
         Observation::RequestedRestPeriod(rest) => {
             log::info!(target: TARGET, "event=server_rests server={server} rest_ms={}", rest.as_millis());
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -72,10 +72,10 @@
 /// host.
 ///
 /// The routes of a host may have different homes, so that no region may run all of them. Naming
-/// every box in that case led 71 of 804 requests with homes to a region that was none of theirs,
-/// where 40 are allowed (the seed in docs/findings.md replays it). For the same reason, boxes of
-/// those regions that have only just announced that they leave are preferred to serving boxes of
-/// others.
+/// every box in that case led 71 of 804 requests with homes to a region that was not one of their
+/// homes, where 40 are allowed (the seed in docs/findings.md replays it). For the same reason,
+/// boxes of those regions that have only just announced that they leave are preferred to serving
+/// boxes of others.
 pub fn addresses(
     snapshot: &Snapshot,
     presence: &Presence,
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -2,7 +2,7 @@
 //! it again where that is allowed.
 //!
 //! The response to the caller depends on what was sent. A failure says "not run" only if nothing
-//! was sent, or if every receiver said so.
+//! was sent, or if every receiver reported that it did not run the request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,9 +35,9 @@
 use crate::state::clock;
 use crate::state::counters::Counter;
 
-/// Maximum number of failed offers of a request to servers. Each may take as long as a connection
-/// timeout.
-const MAX_FAILED_OFFERS: usize = 4;
+/// Maximum number of failed sends of a request, as counted by
+/// [`RequestHistory::repeatable_failures`]. Each may take as long as a connection timeout.
+const MAX_REPEATABLE_FAILURES: usize = 4;
 /// Divides the latency objective into the delay after which a refused caller is asked to retry.
 const RETRY_AFTER_DIVISOR: u32 = 2;
 /// Delay after which a caller is asked to retry if all servers are leaving. Their replacements need
@@ -104,9 +104,9 @@
 
 /// Why a send led to no response.
 enum StepError {
-    /// Another send may lead to one.
+    /// Another send may get a response.
     Retry(Failure),
-    /// No other send will.
+    /// No other send would get a response.
     Final(Failure),
 }
 
@@ -191,9 +191,9 @@
     if job.origin == Origin::Peer {
         return Err(refusal(shared, job, blocked));
     }
-    // A healthy server in another region is preferred to one here that failed lately. When requests
-    // were offered to ten unresponsive servers first, each offer cost 400 ms, up to four times per
-    // request.
+    // A healthy server in another region is preferred to a local one that failed recently. When
+    // requests were sent to ten unresponsive servers first, each send cost 400 ms, up to four times
+    // per request.
     if let Some(address) = cross_region::fallback_target(shared, job, &history.boxes) {
         return Ok(Target::Peer(address, ForwardReason::NoPlace));
     }
@@ -268,7 +268,8 @@
     .with_retry_after(retry_after)
 }
 
-/// Refuses a request because all remaining servers asked to get no requests before `until`.
+/// Refuses a request because all remaining servers are in a rest period; the first one ends at
+/// `until`.
 fn resting_refusal<A: Adapter>(shared: &Shared<A>, job: &Job, until: Instant) -> Failure {
     let message = "the backend servers want no requests for a while";
     let failure = Failure::new(ErrorKind::QueueFull, message);
@@ -294,7 +295,7 @@
 /// refused at the first server that was full or had been replaced: 2,325 requests in 8 s while 22
 /// of 128 servers came back under new names.
 fn may_continue<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
-    if history.repeatable_failures() >= MAX_FAILED_OFFERS {
+    if history.repeatable_failures() >= MAX_REPEATABLE_FAILURES {
         return false;
     }
     history.arrivals() == 0 || take_retry(shared, job, history)
--- a/lib/src/gateway/feedback.rs
+++ b/lib/src/gateway/feedback.rs
@@ -68,7 +68,7 @@
         placement,
         throttles: &mut lock(&shared.throttles),
         departures: &mut lock(&shared.departures),
-        interrupted: &mut lock(&shared.broken),
+        interrupted: &mut lock(&shared.interrupted),
         quarantine: &mut lock(&shared.quarantine),
     })
 }
@@ -84,7 +84,7 @@
 /// Checks whether a server still accepts connections.
 async fn check_for_crash<A: Adapter>(shared: Arc<Shared<A>>, place: Place) {
     if !server_crash::has_crashed(place.address).await {
-        lock(&shared.broken).forget(place.incarnation);
+        lock(&shared.interrupted).forget(place.incarnation);
         return;
     }
     // No service is named: a crash concerns the requests that the server ran, whatever their
@@ -101,7 +101,7 @@
         if let Observation::Crashed(_) = observation {
             shared.counters.increment(Counter::ServersEnded);
         }
-        decision_log::server_learned(server, observation);
+        decision_log::observed(server, observation);
     }
     match effects.notify {
         Some(Audience::AllRegions) => {
--- a/lib/src/gateway/history.rs
+++ b/lib/src/gateway/history.rs
@@ -1,4 +1,4 @@
-//! The history of a request: which sends it has had so far. Retries, the response to the caller and
+//! The history of a request: the sends made for it so far. Retries, the response to the caller and
 //! the log depend on it.
 
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
     pub sends: usize,
     /// Number of sends that the receiver refused, so that they did not run.
     pub refused: usize,
-    /// The part of `refused` where the server asked to get no requests from this box for a while.
+    /// The part of `refused` in which the server asked this box for a rest period.
     pub rest_refusals: usize,
-    /// Number of offers that failed before anything was sent.
+    /// Number of sends that failed before the request was sent.
     pub unsent: usize,
     /// Whether a send may have run.
     pub maybe_ran: bool,
@@ -30,9 +30,10 @@
         self.sends + self.refused
     }
 
-    /// Number of failed offers that may happen to the next request as well. A server's request for
-    /// a pause is excluded because it affects only one request. When it was included, the first
-    /// requests after four servers had asked for a pause were refused while a fifth had room.
+    /// Number of failed sends whose cause may affect the next request as well. A refusal with a
+    /// rest period is excluded because it affects only one request. When it was included, the first
+    /// requests after four servers had asked for a rest period were refused while a fifth had
+    /// capacity.
     pub fn repeatable_failures(&self) -> usize {
         self.unsent + self.refused - self.rest_refusals
     }
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/ingress.rs
@@ -83,7 +83,7 @@
         Ok(reply) => reply_response(shared, job, history, reply, in_flight_guard),
         Err(failure) => {
             if history.sends == 0 && failure.executed() == Executed::No {
-                quotas::give_back(shared, charge);
+                quotas::refund(shared, charge);
             }
             failure_response(shared, &id, Some(&job), &history, &failure)
         }
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -50,7 +50,7 @@
 const KEY_HEADER: HeaderName = HeaderName::from_static("copperweir-key");
 /// Name of the caller's team, for another box.
 const TEAM_HEADER: HeaderName = HeaderName::from_static("copperweir-team");
-/// Version of the configuration in which the sender looked up key and team.
+/// Version of the configuration in which the forwarding box looked up key and team.
 const VERSION_HEADER: HeaderName = HeaderName::from_static("copperweir-version");
 /// Fingerprint of the caller's request, for another box.
 const FINGERPRINT_HEADER: HeaderName = HeaderName::from_static("copperweir-fingerprint");
@@ -84,7 +84,7 @@
     pub team: Option<Arc<Team>>,
     /// Version of the configuration that the request was routed by.
     pub version: u64,
-    /// Identifies the request if it is sent again.
+    /// Identifies the request also when its caller sends it again.
     pub fingerprint: Fingerprint,
     /// When its head was read.
     pub arrived: Instant,
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -162,7 +162,7 @@
             presence: Mutex::default(),
             unlisted: Mutex::default(),
             freshness: Mutex::default(),
-            broken: Mutex::default(),
+            interrupted: Mutex::default(),
             store_recovered_at: Mutex::default(),
             eras,
             quarantine: Mutex::default(),
@@ -319,7 +319,7 @@
     };
     let max_connections = |share: f64| (shared.settings.socket_descriptors as f64 * share) as usize;
     let state = Arc::clone(&shared);
-    let bounds = move || caller_bounds(&state);
+    let connection_limits = move || caller_limits(&state);
     let state = Arc::clone(&shared);
     let handle_caller = move |request| ingress::handle(Arc::clone(&state), Origin::Caller, request);
     let state = Arc::clone(&shared);
@@ -333,44 +333,44 @@
     let handle_metrics = move |request| metrics::handle(Arc::clone(&state), request);
     let state = Arc::clone(&shared);
     let handle_handover = move |request| state_transfer::handle(Arc::clone(&state), request);
-    let small_port_bounds =
+    let small_port_limits =
         || ConnectionLimits { max_header_bytes: 8 << 10, idle_timeout: Duration::from_secs(60) };
     tokio::join!(
         http1::serve(
             callers,
             max_connections(CALLER_DESCRIPTOR_SHARE),
-            bounds.clone(),
+            connection_limits.clone(),
             handle_caller,
             stop.clone()
         ),
         http1::serve(
             peers,
             max_connections(PEER_DESCRIPTOR_SHARE),
-            small_port_bounds,
+            small_port_limits,
             handle_peer,
             stop.clone()
         ),
-        http1::serve(ready, SMALL_PORT_CONNECTIONS, small_port_bounds, handle_ready, stop.clone()),
+        http1::serve(ready, SMALL_PORT_CONNECTIONS, small_port_limits, handle_ready, stop.clone()),
         http1::serve(
             directory,
             max_connections(DIRECTORY_DESCRIPTOR_SHARE),
-            small_port_bounds,
+            small_port_limits,
             handle_directory,
             stop.clone()
         ),
         http1::serve(
             handover,
             max_connections(HANDOVER_DESCRIPTOR_SHARE),
-            small_port_bounds,
+            small_port_limits,
             handle_handover,
             stop.clone()
         ),
-        http1::serve(metrics, SMALL_PORT_CONNECTIONS, small_port_bounds, handle_metrics, stop),
+        http1::serve(metrics, SMALL_PORT_CONNECTIONS, small_port_limits, handle_metrics, stop),
     );
 }
 
 /// The limits on callers' connections in the current configuration.
-fn caller_bounds<A: Adapter>(shared: &Shared<A>) -> ConnectionLimits {
+fn caller_limits<A: Adapter>(shared: &Shared<A>) -> ConnectionLimits {
     let limits = shared.snapshot.load().routing.as_ref().map(|routing| routing.limits);
     let limits = limits.unwrap_or_default();
     ConnectionLimits {
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -1,8 +1,9 @@
-//! Probes servers to learn whether they are cold, while neither the store nor another box can tell.
+//! Probes servers to find out whether they are cold, while neither the store nor another box
+//! reports it.
 //!
 //! If a region is cut off or the store is unavailable to all boxes, only the servers themselves
-//! know. A few boxes probe each server and report the responses to the others of the region. A
-//! server without a recent response counts as cold.
+//! have this information. A few boxes probe each server and report the responses to the others of
+//! the region. A server without a recent response counts as cold.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantines requests that crash every server that runs them. Such requests are refused here and
 //! reported to the other boxes. The verdicts are also kept in the store, for boxes that start when
-//! all others are gone.
+//! no other box is running.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     Err(Failure::new(ErrorKind::Quarantined, message).with_retry_after(remaining))
 }
 
-/// What is known about a request before it is sent, and about the servers that it must avoid.
+/// The crashes recorded for a request before it is sent, and the servers that it must avoid.
 #[derive(Debug, Default)]
 pub struct Trial {
     /// Crashes of servers that ran the request, if there were any.
@@ -80,7 +80,7 @@
     pub reserved: Vec<ServerId>,
 }
 
-/// Looks up a request before it is sent.
+/// Looks up the crashes of a request before it is sent, and the servers that it must avoid.
 pub fn trial<A: Adapter>(shared: &Shared<A>, job: &Job, now: Instant) -> Trial {
     let request = job.fingerprint;
     let quarantine = lock(&shared.quarantine);
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -1,5 +1,5 @@
-//! Admits callers' requests by the limits of their teams. The box that the caller asked decides; a
-//! box that a request is forwarded to relies on that.
+//! Admits callers' requests by the limits of their teams. The box that receives the request from
+//! the caller decides; a box that it is forwarded to relies on that decision.
 
 use super::job::Job;
 use super::job::Origin;
@@ -13,14 +13,14 @@
 use crate::protocol::team::Team;
 use crate::state::clock;
 
-/// What a request took from its team's account.
+/// The units that a request was charged to its team's account.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     team: TeamHash,
     cost: f64,
 }
 
-/// Identifies a team in accounts and datagrams.
+/// Hash that identifies a team in accounts and datagrams.
 pub fn team_hash(team: &Team) -> TeamHash {
     rendezvous::weight(&team.name, "")
 }
@@ -42,8 +42,8 @@
     })
 }
 
-/// Returns the charge of a request that did not run anywhere.
-pub fn give_back<A: Adapter>(shared: &Shared<A>, charge: Option<Charge>) {
+/// Refunds the charge of a request that did not run on any server.
+pub fn refund<A: Adapter>(shared: &Shared<A>, charge: Option<Charge>) {
     if let Some(Charge { team, cost }) = charge {
         lock(&shared.quotas).refund(team, cost);
     }
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -50,7 +50,7 @@
     /// Inserts or replaces a key.
     pub fn insert(&mut self, item: &KeyValue) {
         self.drop_entry(&item.key);
-        self.removals.note_written(key_hash(&item.key));
+        self.removals.record_written(key_hash(&item.key));
         let digest = digest(item);
         self.version.digest ^= digest;
         let entry = Entry { value: item.value.clone(), revision: item.revision, digest };
@@ -84,7 +84,7 @@
     /// Records that the replica contains everything written up to `position`.
     pub fn advance_to(&mut self, position: Position) {
         if position.era != self.version.position.era {
-            // Revisions of another history say nothing about removals in this one.
+            // Revisions of another history can't be compared with removals in this one.
             self.removals = Removals::default();
         }
         self.version.position = position;
@@ -135,7 +135,8 @@
         meant.cloned().collect()
     }
 
-    /// Hashes of all keys. From them, another box learns which of its keys were removed.
+    /// Hashes of all keys. Another box compares them with its own keys to find those that were
+    /// removed.
     pub fn key_hashes(&self) -> impl Iterator<Item = u64> {
         self.entries.keys().map(|key| key_hash(key))
     }
@@ -148,7 +149,7 @@
 }
 
 impl Removals {
-    fn note_written(&mut self, hash: u64) {
+    fn record_written(&mut self, hash: u64) {
         self.pending.retain(|removed| *removed != hash);
         self.log.retain(|(_, removed)| *removed != hash);
     }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Identifies a key between boxes.
+/// Hash that identifies a key in state transfers between boxes.
 pub fn key_hash(key: &str) -> u64 {
     rendezvous::weight(key, "")
 }
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -15,7 +15,7 @@
     pub callers: SocketAddr,
     /// Readiness checks.
     pub ready: SocketAddr,
-    /// Queries of callers that look for a box.
+    /// Directory queries of callers.
     pub directory: SocketAddr,
     /// Requests and datagrams of other boxes.
     pub peers: SocketAddr,
@@ -45,7 +45,7 @@
     pub weight: f64,
     /// Maximum number of file descriptors for sockets.
     pub socket_descriptors: usize,
-    /// Bound on retries.
+    /// Limit on retries.
     pub retries: retries::RetryLimit,
     /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
@@ -58,7 +58,7 @@
     pub max_key_age: Option<Duration>,
     /// Units by which a team may exceed its limit within the window over which it is measured.
     pub quota_slack: f64,
-    /// Maximum time until a change in the store takes effect here: the smallest of the bounds on
+    /// Maximum time until a change in the store takes effect here: the smallest of the limits for
     /// configuration, leaving servers and evacuated failure domains.
     pub propagation_limit: Duration,
     /// Reads a second that the store allows all boxes together.
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -54,7 +54,7 @@
     /// Boxes whose records are gone from the store. They may be running and only have lost the
     /// store.
     pub expired_boxes: Vec<BoxRecord>,
-    /// Number of boxes in all regions that share the bounds, including this one.
+    /// Number of boxes in all regions that share the limits, including this one.
     pub fleet_size: usize,
     /// Slots that may get requests, by service and region.
     pub slots: HashMap<ServiceId, HashMap<RegionId, u32>>,
@@ -88,12 +88,13 @@
     pub services: Mutex<HashMap<ServiceId, Service>>,
     /// Load of other boxes on these servers. Locked after `services`, never before.
     pub loads: Mutex<Loads>,
-    /// What teams have left of their limits.
+    /// The part of their rate limits that teams have left.
     pub quotas: Mutex<Quotas>,
     /// Request rates that servers of this region asked for. Locked after `services` and `loads`,
     /// never before.
     pub throttles: Mutex<Throttles>,
-    /// Servers that said that they leave. Locked after `services` and `throttles`, never before.
+    /// Servers that announced that they are leaving. Locked after `services` and `throttles`, never
+    /// before.
     pub departures: Mutex<Departures>,
     /// Load of the servers of other regions.
     pub regions: Mutex<RegionUtilization>,
@@ -103,11 +104,11 @@
     pub unlisted: Mutex<Unlisted>,
     /// How recent the state from the store is.
     pub freshness: Mutex<Freshness>,
-    /// Responses that broke off lately.
-    pub broken: Mutex<InterruptedRequests>,
+    /// Requests whose responses recently broke off.
+    pub interrupted: Mutex<InterruptedRequests>,
     /// Requests that crash servers.
     pub quarantine: Mutex<Quarantine>,
-    /// When the store answered this box again after an outage.
+    /// When the store responded to this box again after an outage.
     pub store_recovered_at: Mutex<Option<Instant>>,
     /// Eras that the store has reported to this box.
     pub eras: NewestEra,
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -1,7 +1,7 @@
-//! Transfers the store's state between boxes. A box that can't get it from the store requests what
-//! it lacks from another box. Without this, a box that starts during a store outage could serve
-//! nobody, and one that loses the store would act against what the operator and the servers have
-//! written since.
+//! Transfers the store's state between boxes. A box that can't read it from the store requests the
+//! missing part from another box. Without this, a box that starts during a store outage could serve
+//! no callers, and a box that loses the store would act against what the operator and the servers
+//! have written since.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -53,7 +53,7 @@
 /// Delay before the next box is queried as well: longer than one such round trip.
 const NEXT_SEED_DELAY: Duration = Duration::from_millis(150);
 
-/// What the requesting box has.
+/// The state that the requesting box already has.
 #[derive(Clone, PartialEq, prost::Message)]
 struct StateQuery {
     /// Position in the store's history at which its state was read.
@@ -82,7 +82,8 @@
     /// Entries written after the queried position, or whose digests were not in the query.
     #[prost(map = "string, message", tag = "4")]
     entries: HashMap<String, Entry>,
-    /// Hashes of all keys, unless the sender knows which ones were removed.
+    /// Hashes of all keys, unless the sender knows which keys were removed and lists them in
+    /// `removed`.
     #[prost(fixed64, repeated, tag = "5")]
     keys: Vec<u64>,
     /// Hashes of the keys removed after the queried position.
@@ -91,8 +92,8 @@
     /// Digest of the state.
     #[prost(fixed64, tag = "6")]
     digest: u64,
-    /// How long ago the store answered the sender again after an outage, in milliseconds; `None` if
-    /// that was long ago.
+    /// How long ago the store responded to the sender again after an outage, in milliseconds;
+    /// `None` if that was long ago.
     #[prost(uint64, optional, tag = "7")]
     returned_ms: Option<u64>,
     /// Requests that are refused because servers crash when they run them. Only for a box that has
@@ -124,8 +125,8 @@
     pub version: Version,
     /// How long ago this was the store's state.
     pub age: Duration,
-    /// How long ago the store answered that box again, if it had an outage shortly before. Entries
-    /// may be missing that will be written again.
+    /// How long ago the store responded to that box again, if it had an outage shortly before.
+    /// Entries may be missing that will be written again.
     pub recovered_ago: Option<Duration>,
     /// Entries that the requesting box lacks.
     pub written: Vec<KeyValue>,
@@ -141,7 +142,7 @@
 pub enum StateScope {
     /// All of it.
     All,
-    /// What was written after a position in the history that both boxes have.
+    /// Entries written after a position in the history that both boxes have.
     After(Position),
     /// All entries whose digests (of key, revision and value) are not among these.
     NotIn(HashSet<u64>),
@@ -253,7 +254,7 @@
 }
 
 /// Requests the full state from boxes in random order until one of them has any. The next box is
-/// queried when one has not answered for a while or has no state. The queries make `requester`
+/// queried when one has not responded for a while or has no state. The queries make `requester`
 /// known to the boxes.
 pub async fn fetch_from_any(
     client: &backend::Client,
--- a/lib/src/gateway/throttle.rs
+++ b/lib/src/gateway/throttle.rs
@@ -1,5 +1,5 @@
-//! Refuses requests for which the servers' rate limits leave no room, and keeps these rates in the
-//! store.
+//! Refuses requests for which the servers' rate limits leave no capacity, and keeps these rates in
+//! the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 /// Interval of the checks for rates to write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Identifies a service between boxes.
+/// Hash that identifies a service in datagrams.
 pub fn service_hash(service: &str) -> ServiceHash {
     rendezvous::weight(service, "")
 }
--- a/lib/tests/test_cluster_state.rs
+++ b/lib/tests/test_cluster_state.rs
@@ -151,7 +151,7 @@
     let mut cluster_state = cluster_state();
     let now = Instant::now();
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
-    cluster_state.note_store_recovered(now);
+    cluster_state.record_store_recovered(now);
     cluster_state.retain_listed(&BTreeSet::new(), &BTreeSet::new(), now);
     assert_eq!(cluster_state.slots()["s"]["r"], 4, "the entry may be written again");
     assert!(!cluster_state.expire(now + Duration::from_millis(1900)));
@@ -250,7 +250,7 @@
     let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let leaving = Server { leaving: true, ..server(Duration::ZERO) };
     cluster_state.apply(Fact::Server(leaving.clone()), 9, now);
-    cluster_state.note_store_restored(now);
+    cluster_state.record_store_restored(now);
     let usable = |cluster_state: &ClusterState| {
         cluster_state.local_servers(&context(&own_record, false))["s"][0].usable
     };
@@ -262,7 +262,7 @@
     let settled = now + Duration::from_millis(2500);
     assert!(cluster_state.expire(settled), "no newer entry was written");
     assert!(usable(&cluster_state));
-    cluster_state.note_store_restored(settled);
+    cluster_state.record_store_restored(settled);
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, settled);
     cluster_state.apply(Fact::Server(leaving), 6, settled);
     cluster_state.expire(settled + Duration::from_secs(3));
@@ -275,7 +275,7 @@
     let subject = Subject::Server("i-1".to_owned());
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now);
     cluster_state.remove(&subject, now);
-    cluster_state.note_store_restored(now);
+    cluster_state.record_store_restored(now);
     assert!(
         !cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now),
         "the entry comes from the older copy"
@@ -283,7 +283,7 @@
     cluster_state.remove(&subject, now);
     cluster_state.expire(now + Duration::from_secs(3));
     assert!(cluster_state.slots().is_empty(), "removed again");
-    cluster_state.note_store_restored(now);
+    cluster_state.record_store_restored(now);
     assert!(
         cluster_state.apply(Fact::Server(server(Duration::ZERO)), 6, now),
         "the entry is newer than the removal"
@@ -297,7 +297,7 @@
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 1, now);
     cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
     cluster_state.remove(&Subject::Evacuation("z".to_owned()), now);
-    cluster_state.note_store_restored(now);
+    cluster_state.record_store_restored(now);
     cluster_state.apply(Fact::Evacuated("z".to_owned()), 2, now);
     assert_eq!(cluster_state.slots()["s"]["r"], 4);
     cluster_state.expire(now + Duration::from_secs(3));
@@ -309,7 +309,7 @@
     let (mut cluster_state, now, own_record) = (cluster_state(), Instant::now(), record("b1"));
     let cold_left = Duration::from_secs(5);
     cluster_state.apply(Fact::Server(server(cold_left)), 9, now);
-    cluster_state.note_store_restored(now);
+    cluster_state.record_store_restored(now);
     cluster_state.apply(Fact::Server(server(Duration::ZERO)), 5, now);
     assert_eq!(
         cluster_state.local_servers(&context(&own_record, false))["s"][0].cold_until,
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -51,7 +51,7 @@
     placement: Placement,
     throttles: Throttles,
     departures: Departures,
-    broken: InterruptedRequests,
+    interrupted: InterruptedRequests,
     quarantine: Quarantine,
     now: Instant,
     rng: SmallRng,
@@ -85,7 +85,7 @@
             placement,
             throttles: Throttles::new(0.0),
             departures: Departures::default(),
-            broken: InterruptedRequests::default(),
+            interrupted: InterruptedRequests::default(),
             quarantine: Quarantine::default(),
             now,
             rng: SmallRng::seed_from_u64(1),
@@ -110,7 +110,7 @@
             placement: Some(&mut self.placement),
             throttles: &mut self.throttles,
             departures: &mut self.departures,
-            interrupted: &mut self.broken,
+            interrupted: &mut self.interrupted,
             quarantine: &mut self.quarantine,
         }
     }
--- a/lib/tests/test_overflow.rs
+++ b/lib/tests/test_overflow.rs
@@ -97,17 +97,17 @@
 fn closed_region_has_no_room_until_it_reports_otherwise() {
     let now = Instant::now();
     let mut regions = RegionUtilization::default();
-    assert!(regions.may_have_room(SERVICE, "idle", now), "no report yet");
+    assert!(regions.may_have_capacity(SERVICE, "idle", now), "no report yet");
     regions.record_closed_services("idle".to_owned(), vec![SERVICE], now);
-    assert!(!regions.may_have_room(SERVICE, "idle", now));
+    assert!(!regions.may_have_capacity(SERVICE, "idle", now));
     assert!(
-        regions.may_have_room(SERVICE + 1, "idle", now)
-            && regions.may_have_room(SERVICE, "half", now)
+        regions.may_have_capacity(SERVICE + 1, "idle", now)
+            && regions.may_have_capacity(SERVICE, "half", now)
     );
     assert!(
-        regions.may_have_room(SERVICE, "idle", now + Duration::from_secs(3)),
+        regions.may_have_capacity(SERVICE, "idle", now + Duration::from_secs(3)),
         "the report has expired"
     );
     regions.record_closed_services("idle".to_owned(), Vec::new(), now);
-    assert!(regions.may_have_room(SERVICE, "idle", now));
+    assert!(regions.may_have_capacity(SERVICE, "idle", now));
 }
