--- a/lib/src/daemon/control/configuration.rs
+++ b/lib/src/daemon/control/configuration.rs
@@ -136,7 +136,7 @@
         });
     }
 
-    /// Fetches a version from any member that is known to have it.
+    /// Fetches a version from any member that has announced it or a newer one.
     pub(super) fn fetch_version(&mut self, version: Version) {
         if version <= self.rollout.version() {
             return;
--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -33,10 +33,10 @@
 const ANNOUNCEMENTS_PER_INTERVAL: u32 = 16;
 /// Maximum duration of a heartbeat call while this box is running.
 const MAX_HEARTBEAT_CALL_DURATION: Duration = Duration::from_secs(4);
-/// Number of boxes that receive urgent news at once instead of in the next
-/// period.
+/// Number of boxes that receive an urgent change immediately instead of in the
+/// next period.
 const URGENT_HEARTBEAT_TARGETS: usize = 4;
-/// Number of boxes that are told at once that this box is leaving.
+/// Number of boxes that are notified immediately that this box is leaving.
 const LEAVING_NOTICE_TARGETS: usize = 16;
 
 impl Control {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends heartbeats to a few boxes at once.
+    /// Sends heartbeats to a few boxes immediately, to spread an urgent change.
     pub(super) fn send_urgent_heartbeats(&mut self) {
         let now = clock::now();
         let mut targets = Vec::new();
@@ -139,8 +139,8 @@
         if succeeded {
             return self.gossip.membership.call_succeeded(peer);
         }
-        // A call that ended later than any call can was delayed by a suspension of this
-        // box, not by the peer.
+        // Calls time out earlier than this, so the delay was caused by a suspension of
+        // this box, not by the peer.
         let was_suspended = now.saturating_duration_since(sent_at) > MAX_HEARTBEAT_CALL_DURATION;
         if !was_suspended && self.gossip.membership.call_failed(peer, now) {
             self.log_members(now);
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Announces this box in the directory if it is due.
+    /// Announces this box in the directory if its announcement is due. The
+    /// incarnation spreads the announcements of a region over several intervals.
     pub(super) fn announce_if_due(&mut self) {
         let factor = self.announcement_interval_factor();
         self.announce_tick = self.announce_tick.wrapping_add(1);
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -95,7 +95,7 @@
     /// A source returned its stored configuration, or `None` if it failed or
     /// has none that is newer.
     ConfigurationOffered(Option<Bytes>),
-    /// A source that was queried at the start answered or failed.
+    /// A source that was queried at the start responded or failed.
     ConfigurationSourceDone,
     /// A forwarded request is based on this version, which is newer than this
     /// box's.
@@ -144,7 +144,7 @@
     rollout: Rollout,
     configuration: Arc<Configuration>,
     drain: Drain,
-    lease_holder: LeaseClient,
+    lease_client: LeaseClient,
     lease_id: Option<LeaseId>,
     lenders: BTreeMap<PoolId, Lender>,
     peers: Arc<peer::Client>,
@@ -186,7 +186,7 @@
             rollout: Rollout::new(now, INITIAL_CONFIGURATION_TIMEOUT),
             configuration: Arc::new(Configuration::default()),
             drain: Drain::new(timeouts),
-            lease_holder: LeaseClient::new(lease::Timing::default()),
+            lease_client: LeaseClient::new(lease::Timing::default()),
             lease_id: None,
             lenders: BTreeMap::new(),
             peers: Arc::new(peers),
@@ -313,7 +313,7 @@
         self.shared.keyed_requests.expire(now);
         let configuration = Arc::clone(&self.configuration);
         let servers = || configuration.pools.values().flat_map(|pool| &pool.servers);
-        self.gossip.load.retain(|id| servers().any(|(known, _)| name_hash(known) == *id), now);
+        self.gossip.load.retain(|id| servers().any(|(name, _)| name_hash(name) == *id), now);
         let addresses: BTreeSet<SocketAddr> = servers().map(|(_, server)| server.address).collect();
         self.backend.retain(|address| addresses.contains(address));
         self.shared.backend.retain(|address| addresses.contains(address));
--- a/lib/src/daemon/control/orders.rs
+++ b/lib/src/daemon/control/orders.rs
@@ -1,10 +1,11 @@
 //! Orders to model engines. One box per region, the lease holder, tells the
 //! engines which models to load.
 //!
-//! Each order contains the complete wanted state and the holder's epoch. The
+//! Each order contains the complete target state and the holder's epoch. The
 //! holder checks its lease again immediately before each order. Engines that
 //! check epochs reject orders from earlier holders. For engines that do not, a
-//! new holder first waits until its predecessor's last order must have arrived.
+//! new holder first waits until no order of its predecessor can still be in
+//! transit.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,8 +60,8 @@
             .any(|server| server.region == self.shared.settings.region);
         let serving = self.drain.stage() == Stage::Serving;
         let may_hold = serving && has_engines && self.is_candidate(now);
-        if may_hold || self.lease_holder.epoch(now).is_some() {
-            let actions = self.lease_holder.handle(lease::Event::Tick(now));
+        if may_hold || self.lease_client.epoch(now).is_some() {
+            let actions = self.lease_client.handle(lease::Event::Tick(now));
             self.perform_actions(actions);
         }
     }
@@ -83,7 +84,7 @@
     /// Handles the result of a lease call.
     pub(super) fn handle_lease_event(&mut self, event: lease::Event, lease: Option<LeaseId>) {
         self.lease_id = lease.or(self.lease_id);
-        let actions = self.lease_holder.handle(event);
+        let actions = self.lease_client.handle(event);
         self.perform_actions(actions);
     }
 
@@ -126,9 +127,9 @@
 
     /// Sends an order to each engine of this region that may receive one now.
     pub(super) fn send_orders(&mut self, now: Instant) {
-        let Some(epoch) = self.lease_holder.epoch(now) else { return };
-        let may_order_unchecked = self.lease_holder.exclusive_epoch(now).is_some();
-        let Some(lease_valid_until) = self.lease_holder.held_until() else { return };
+        let Some(epoch) = self.lease_client.epoch(now) else { return };
+        let may_order_without_fencing = self.lease_client.exclusive_epoch(now).is_some();
+        let Some(lease_valid_until) = self.lease_client.held_until() else { return };
         let region = &self.shared.settings.region;
         for (pool_id, pool) in &self.configuration.pools {
             if self.configuration.services.contains_key(pool_id) {
@@ -136,11 +137,11 @@
             }
             let models = models_to_load(&self.configuration, pool_id);
             for (id, server) in pool.servers.iter().filter(|(_, server)| server.region == *region) {
-                if server.checks_epochs || may_order_unchecked {
+                if server.checks_epochs || may_order_without_fencing {
                     let order = Order {
                         server: id.clone(),
                         address: server.address,
-                        wanted_state: LoadedModels { epoch, models: models.clone() },
+                        target_state: LoadedModels { epoch, models: models.clone() },
                         lease_valid_until,
                     };
                     let counters = Arc::clone(&self.shared.counters);
@@ -192,14 +193,14 @@
 struct Order {
     server: ServerId,
     address: SocketAddr,
-    wanted_state: LoadedModels,
+    target_state: LoadedModels,
     lease_valid_until: Instant,
 }
 
 impl Order {
     async fn send(self, engine: backend::Client, counters: Arc<Counters>) {
-        match engine.loaded(self.address).await {
-            Ok(loaded) if loaded.models == self.wanted_state.models => return,
+        match engine.loaded_models(self.address).await {
+            Ok(loaded) if loaded.models == self.target_state.models => return,
             Ok(_) => {}
             Err(_) => return,
         }
@@ -209,12 +210,12 @@
             return;
         }
         invariant::check(Invariant::OrderUnderLease, clock::now() < self.lease_valid_until, || {
-            format!("server={} epoch={}", self.server, self.wanted_state.epoch)
+            format!("server={} epoch={}", self.server, self.target_state.epoch)
         });
         counters.increment(Counter::Orders);
         let timeout = lease::Timing::default().max_order_delay;
-        let epoch: Epoch = self.wanted_state.epoch;
-        match engine.order(self.address, &self.wanted_state, timeout).await {
+        let epoch: Epoch = self.target_state.epoch;
+        match engine.order(self.address, &self.target_state, timeout).await {
             Ok(()) => log::info!("event=order_done server={} epoch={epoch}", self.server),
             Err(OrderError::Fenced) => {
                 counters.increment(Counter::OrdersFailed);
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -48,7 +48,8 @@
     /// Creates the pools that the configuration declares.
     pub(super) fn configure_pools(&mut self) {
         let boxes = self.region_box_count(clock::now());
-        let pools = self.configuration.pools.iter().map(|(id, pool)| (id, limits(pool, boxes)));
+        let pools =
+            self.configuration.pools.iter().map(|(id, pool)| (id, pool_limits(pool, boxes)));
         self.shared.pools.replace(pools, self.shared.incarnation);
         self.pools_dirty = true;
         self.assign_probes(clock::now());
@@ -66,7 +67,7 @@
                 self.log_servers(&server_states);
                 let regions = pool.servers.values().map(|server| server.region.clone()).collect();
                 pool_handle.with(|pool_state| {
-                    pool_state.update(limits(pool, boxes), server_states, regions)
+                    pool_state.update(pool_limits(pool, boxes), server_states, regions)
                 });
             }
             pool_handle.place_waiting(now);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Determines which servers of this region this box probes. This must be
-    /// repeated only when the region's boxes or the configuration change.
+    /// Determines which servers of this region this box probes. The result
+    /// depends only on the region's boxes and the configuration.
     pub(super) fn assign_probes(&mut self, now: Instant) {
         let region = &self.shared.settings.region;
         let own = &self.shared.settings.name;
@@ -223,7 +224,7 @@
     }
 }
 
-fn limits(pool: &config::Pool, boxes: usize) -> pool::Limits {
+fn pool_limits(pool: &config::Pool, boxes: usize) -> pool::Limits {
     pool::Limits { max_queued: pool.queue_limit, max_queued_bytes: pool.queue_bytes, boxes }
 }
 
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -4,8 +4,8 @@
 //! The request is awaited at three points before the first byte of the
 //! response, and may be dropped at each of them. Dropped in the queue, it gives
 //! up its place. Dropped while connecting, it releases its slot. Dropped after
-//! sending, it closes the connection, which tells the backend server that
-//! nobody waits for the response.
+//! sending, it closes the connection, which tells the backend server that the
+//! response is no longer needed.
 
 use http::HeaderMap;
 use http::Request;
@@ -285,7 +285,7 @@
         && response
             .headers()
             .get(caller::RAN_HEADER)
-            .is_some_and(|ran| ran == Executed::No.as_str())
+            .is_some_and(|value| value == Executed::No.as_str())
 }
 
 fn build_backend_request(
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -199,7 +199,7 @@
     accounting: super::relay::RequestAccounting,
     region: &RegionId,
 ) -> Result<RelayedResponse, SendError> {
-    let may_have_run = |text: &str| {
+    let may_have_run_error = |text: &str| {
         SendError::Failed(
             Failure::new(ErrorKind::BackendFailed, text).with_executed(Executed::Unknown),
         )
@@ -208,19 +208,20 @@
         Some(Frame::Head(head)) => {
             let status =
                 u16::try_from(head.status).ok().and_then(|code| StatusCode::from_u16(code).ok());
-            let Some(status) = status else { return Err(may_have_run("a malformed head")) };
+            let Some(status) = status else { return Err(may_have_run_error("a malformed head")) };
             let mut headers = decode_headers(&head.headers);
             let is_event_stream = request.stream
                 && headers
                     .get(header::CONTENT_TYPE)
                     .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-            let ran_in = headers.remove(caller::REGION_HEADER);
-            let ran_in = ran_in.and_then(|value| value.to_str().map(str::to_owned).ok());
+            let executing_region = headers.remove(caller::REGION_HEADER);
+            let executing_region =
+                executing_region.and_then(|value| value.to_str().map(str::to_owned).ok());
             let source = ResponseSource::Peer { frames: Box::new(frames), ended: false };
             Ok(RelayedResponse {
                 status,
                 headers,
-                region: ran_in.unwrap_or_else(|| region.clone()),
+                region: executing_region.unwrap_or_else(|| region.clone()),
                 relay: Relay::new(source, accounting, is_event_stream),
             })
         }
@@ -231,7 +232,7 @@
             }
             Err(SendError::Failed(failure))
         }
-        _ => Err(may_have_run("the other box ended without an answer")),
+        _ => Err(may_have_run_error("the other box ended without an answer")),
     }
 }
 
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -293,36 +293,36 @@
     needs_claim: bool,
 ) -> Result<GatewayResponse, Failure> {
     let (head_sender, head_receiver) = oneshot::channel();
-    let run = RunGuard { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
-    tokio::spawn(execute_run(run, request, needs_claim, head_sender));
+    let run_guard = RunGuard { shared: Arc::clone(shared), key, conclusion: Conclusion::Unknown };
+    tokio::spawn(execute_run(run_guard, request, needs_claim, head_sender));
     head_receiver.await.unwrap_or_else(|_| {
         Err(Failure::new(ErrorKind::Internal, "the run was lost").with_executed(Executed::Unknown))
     })
 }
 
 async fn execute_run(
-    mut run: RunGuard,
+    mut run_guard: RunGuard,
     mut request: ValidatedRequest,
     needs_claim: bool,
     head_sender: oneshot::Sender<Result<GatewayResponse, Failure>>,
 ) {
-    let shared = Arc::clone(&run.shared);
+    let shared = Arc::clone(&run_guard.shared);
     let result = match needs_claim {
         false => dispatch::run(&shared, &request).await.map(GatewayResponse::from),
-        true => claim_and_run(&shared, &mut request, &run.key).await,
+        true => claim_and_run(&shared, &mut request, &run_guard.key).await,
     };
     let mut response = match result {
         Ok(response) => response,
         Err(failure) => {
             let not_run_here = needs_claim && request.send_deadline.is_none();
-            run.conclusion = match failure.executed() {
+            run_guard.conclusion = match failure.executed() {
                 // The box that owns the key records whether the request ran.
                 _ if not_run_here => Conclusion::NotRun,
                 Executed::No => Conclusion::NotRun,
                 Executed::Unknown => Conclusion::Unknown,
                 Executed::Yes => Conclusion::Answered(None),
             };
-            drop(run);
+            drop(run_guard);
             let _ = head_sender.send(Err(failure));
             return;
         }
@@ -332,9 +332,9 @@
     let (status, headers) = (response.status, response.headers.clone());
     let _ = head_sender.send(Ok(response));
     if let Some(body) = relay_body(body, &part_sender).await {
-        run.conclusion = Conclusion::Answered(kept_response(status, &headers, body));
+        run_guard.conclusion = Conclusion::Answered(kept_response(status, &headers, body));
     }
-    drop(run);
+    drop(run_guard);
     let _ = part_sender.send(None).await;
 }
 
--- a/lib/src/daemon/mod.rs
+++ b/lib/src/daemon/mod.rs
@@ -314,7 +314,7 @@
     Ok(std::thread::Builder::new().name(format!("traffic-{index}")).spawn(run)?)
 }
 
-/// Accepts connections on all ports until the stop is complete.
+/// Accepts connections on all ports until the box shuts down.
 async fn accept_connections(
     ports: Vec<(TcpListener, Vec<mpsc::Sender<TcpStream>>)>,
     stopping: watch::Receiver<Shutdown>,
@@ -328,8 +328,8 @@
     Ok(())
 }
 
-/// Serves one traffic thread's share of the connections until the stop is
-/// complete.
+/// Serves one traffic thread's share of the connections until the box shuts
+/// down.
 async fn serve(
     shared: Arc<SharedState>,
     input: TrafficThreadInput,
--- a/lib/src/daemon/operator_api.rs
+++ b/lib/src/daemon/operator_api.rs
@@ -33,7 +33,7 @@
 
 type OperatorResponse = Response<Full<Bytes>>;
 
-/// State of a box, including what it knows about other boxes.
+/// State of a box, with its view of the other boxes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Status {
     /// Name of the box.
@@ -65,7 +65,7 @@
     pub breaches: Vec<(String, u64)>,
 }
 
-/// Another box, as known to this one.
+/// Another box, according to the membership records of this box.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct BoxStatus {
     /// Name of the box.
@@ -74,7 +74,7 @@
     pub region: String,
     /// Address for callers.
     pub callers: String,
-    /// Phase of the box's life.
+    /// Lifecycle phase: `starting`, `serving`, `leaving` or `dead`.
     pub phase: String,
     /// Version of the configuration in force on that box.
     pub version: u64,
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -32,7 +32,7 @@
 use crate::coordination::pool::Outcome;
 use crate::protocol::PoolId;
 use crate::protocol::peer::wire;
-use crate::protocol::peer::wire::forward_frame::Frame as Kind;
+use crate::protocol::peer::wire::forward_frame::Frame as PeerFrame;
 use crate::state::clock;
 use crate::state::counters::Counter;
 use crate::state::snapshot::Snapshot;
@@ -44,7 +44,7 @@
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 const STREAM_END_MARKER: &[u8] = b"data: [DONE]";
 /// Number of trailing bytes of a stream that are kept to search for the end
-/// marker.
+/// marker: the marker itself and the line ends that may follow it.
 const TAIL_BYTES: usize = STREAM_END_MARKER.len() + 8;
 
 /// Where a response comes from.
@@ -95,7 +95,7 @@
     tail: Vec<u8>,
     bytes_relayed: u64,
     first_byte: Option<Duration>,
-    idle_limit: Duration,
+    idle_timeout: Duration,
     last_data_at: Instant,
     idle_timer: Pin<Box<Sleep>>,
     pending_error: Option<PendingError>,
@@ -111,7 +111,7 @@
         is_event_stream: bool,
     ) -> Relay {
         let now = clock::now();
-        let idle_limit = accounting.snapshot.configuration.limits.stream_idle_timeout;
+        let idle_timeout = accounting.snapshot.configuration.limits.stream_idle_timeout;
         Relay {
             source,
             accounting,
@@ -119,9 +119,9 @@
             tail: Vec::new(),
             bytes_relayed: 0,
             first_byte: None,
-            idle_limit,
+            idle_timeout,
             last_data_at: now,
-            idle_timer: Box::pin(tokio::time::sleep(idle_limit.min(IDLE_CHECK_INTERVAL))),
+            idle_timer: Box::pin(tokio::time::sleep(idle_timeout.min(IDLE_CHECK_INTERVAL))),
             pending_error: None,
             ended: false,
         }
@@ -160,7 +160,7 @@
 
     fn poll_idle_timeout(&mut self, context: &mut Context<'_>) -> bool {
         while self.idle_timer.as_mut().poll(context).is_ready() {
-            let deadline = self.last_data_at + self.idle_limit;
+            let deadline = self.last_data_at + self.idle_timeout;
             if clock::now() >= deadline {
                 return true;
             }
@@ -303,21 +303,21 @@
         Poll::Ready(Some(Ok(frame))) => frame.frame,
     };
     match frame {
-        Some(Kind::Data(data)) => Poll::Ready(Some(Ok(data))),
-        Some(Kind::End(end)) if end.bytes == bytes => {
+        Some(PeerFrame::Data(data)) => Poll::Ready(Some(Ok(data))),
+        Some(PeerFrame::End(end)) if end.bytes == bytes => {
             *ended = true;
             Poll::Ready(None)
         }
-        Some(Kind::End(end)) => {
+        Some(PeerFrame::End(end)) => {
             invariant::check(Invariant::WholeAnswer, end.bytes == bytes, || {
                 format!("sent={} received={bytes}", end.bytes)
             });
             Poll::Ready(Some(Err(BodyError::ConnectionLost("bytes are missing".to_owned()))))
         }
-        Some(Kind::Failure(failure)) => {
+        Some(PeerFrame::Failure(failure)) => {
             Poll::Ready(Some(Err(BodyError::ConnectionLost(failure.message))))
         }
-        Some(Kind::Head(_)) | None => {
+        Some(PeerFrame::Head(_)) | None => {
             Poll::Ready(Some(Err(BodyError::ConnectionLost("a frame out of order".to_owned()))))
         }
     }
@@ -333,9 +333,9 @@
     bytes.windows(marker.len()).any(|window| window == marker)
 }
 
-fn error_event(error: &BodyError) -> Bytes {
-    let body = json!({"error": {
-        "message": error.to_string(), "type": "backend_error", "code": "backend_failed",
+fn error_event(body_error: &BodyError) -> Bytes {
+    let error = json!({"error": {
+        "message": body_error.to_string(), "type": "backend_error", "code": "backend_failed",
     }});
-    Bytes::from(format!("\n\ndata: {body}\n\n"))
+    Bytes::from(format!("\n\ndata: {error}\n\n"))
 }
--- a/lib/src/daemon/request.rs
+++ b/lib/src/daemon/request.rs
@@ -1,4 +1,4 @@
-//! A validated request: what it asks for, where it may run and its deadline.
+//! A validated request: its target, the regions that may run it and its deadline.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -103,6 +103,7 @@
     exchange_count: AtomicU32,
 }
 
+/// What the path and body of a request refer to, according to the configuration.
 struct Target {
     pool: PoolId,
     residency: Option<String>,
@@ -204,7 +205,9 @@
         Ok(())
     }
 
-    /// Marks an exchange as in progress until the returned guard is dropped.
+    /// Marks an exchange as in progress until the returned guard is dropped. An
+    /// exchange is one attempt on a backend server or one forwarding to another
+    /// region; a request has at most one at a time.
     pub fn begin_exchange(&self) -> ExchangeGuard<'_> {
         let previous_exchanges = self.exchange_count.fetch_add(1, Ordering::AcqRel);
         invariant::check(Invariant::OneExchange, previous_exchanges == 0, || {
@@ -225,12 +228,14 @@
         failure
     }
 
-    /// Takes back one recorded send, because nothing was written.
+    /// Undoes one [`record_send`](Self::record_send) of a request of which nothing
+    /// was written or that the receiver did not run.
     pub fn undo_send(&self) {
         self.send_count.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Whether any attempt may have written part of the request.
+    /// Whether any attempt may have written part of the request. Attempts that
+    /// were undone do not count.
     pub fn may_have_been_sent(&self) -> bool {
         self.send_count.load(Ordering::Acquire) > 0
     }
--- a/lib/src/daemon/shared.rs
+++ b/lib/src/daemon/shared.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// Locks a mutex. Ignores poisoning, so a panic in another holder does not stop
-/// the box.
+/// Locks a mutex. Ignores poisoning, so that the box continues after a thread
+/// panics while it holds the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -63,7 +63,7 @@
 type IdleConnections = Arc<Mutex<HashMap<(usize, SocketAddr), Vec<Connection>>>>;
 
 /// An open connection. It is closed immediately when it is dropped, which tells the server that
-/// nobody waits for a response.
+/// the response is no longer needed.
 struct Connection {
     sender: Sender,
     task: AbortHandle,
@@ -135,7 +135,7 @@
         Client { idle: IdleConnections::default(), connect_timeout }
     }
 
-    /// Sends a request and waits for the head of the response. `fresh` demands a new connection.
+    /// Sends a request and waits for the head of the response. If `fresh` is set, uses a new connection.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -67,7 +67,7 @@
     fn load(&self, address: SocketAddr) -> impl Future<Output = Option<EngineLoad>> + Send;
 
     /// Queries the loaded models.
-    fn loaded(
+    fn loaded_models(
         &self,
         address: SocketAddr,
     ) -> impl Future<Output = Result<LoadedModels, OrderError>> + Send;
@@ -87,7 +87,7 @@
         serde_json::from_slice(&body.await.ok()?).ok()
     }
 
-    async fn loaded(&self, address: SocketAddr) -> Result<LoadedModels, OrderError> {
+    async fn loaded_models(&self, address: SocketAddr) -> Result<LoadedModels, OrderError> {
         let path = "/engine/models";
         let body = call(self, address, Method::GET, path, Bytes::new(), PROBE_TIMEOUT).await?;
         serde_json::from_slice(&body).map_err(|error| OrderError::Failed(error.to_string()))
--- a/lib/src/transport/http1.rs
+++ b/lib/src/transport/http1.rs
@@ -46,7 +46,7 @@
 pub struct ClientIp(pub IpAddr);
 
 /// Serves a port until shutdown. Then it accepts no new connections, closes idle ones, and closes
-/// the others after their responses; [`Shutdown::Immediate`] ends it at once.
+/// the others after their responses; [`Shutdown::Immediate`] closes all connections immediately.
 pub async fn serve<H, F, B>(
     listener: TcpListener,
     max_connections: usize,
--- a/lib/src/transport/peer.rs
+++ b/lib/src/transport/peer.rs
@@ -69,8 +69,8 @@
     }
 
     async fn client_for(&self, address: SocketAddr) -> Result<PeerClient<Channel>, CallError> {
-        let known = self.lock().get(&(traffic_thread::index(), address)).cloned();
-        let channel = match known {
+        let cached = self.lock().get(&(traffic_thread::index(), address)).cloned();
+        let channel = match cached {
             Some(channel) => channel,
             None => {
                 let route = self.routes.get(&address).copied().unwrap_or(address);
@@ -151,7 +151,7 @@
     endpoint.connect().await.map_err(|error| format!("{address}: {error}"))
 }
 
-/// Accepts only calls with the correct shared secret.
+/// Returns an error if a call does not have the correct shared secret.
 pub fn authorize<T>(request: &Request<T>, secret: &str) -> Result<(), Status> {
     let received = request.metadata().get(SECRET_HEADER).map(MetadataValue::as_bytes);
     let equal = received.is_some_and(|received| bool::from(received.ct_eq(secret.as_bytes())));
--- a/lib/src/transport/store.rs
+++ b/lib/src/transport/store.rs
@@ -96,7 +96,7 @@
 
     /// Executes an operation.
     pub async fn call(&self, operation: &Operation) -> Result<StoreResponse, PlatformError> {
-        self.call_with_era(operation).await.map(|reply| reply.response)
+        self.call_with_era(operation).await.map(|result| result.response)
     }
 
     /// Executes an operation whose response is valid only within one era of the store.
--- a/lib/src/transport/timer.rs
+++ b/lib/src/transport/timer.rs
@@ -1,7 +1,7 @@
 //! The timer service: components subscribe to periodic ticks.
 //!
 //! Each tick has its lateness. A large lateness means that the process was frozen or starved, and
-//! that its knowledge about others is outdated.
+//! that its view of the other boxes is out of date.
 //!
 //! All waits in the process use this module. The time for which the machine was suspended counts
 //! towards a wait, so waits that have expired meanwhile end when the machine resumes.
@@ -86,16 +86,16 @@
 
 /// Checks for suspensions for the lifetime of the runtime.
 pub async fn watch_for_suspensions() {
-    let mut seen = clock::total_suspension();
+    let mut previous_total = clock::total_suspension();
     loop {
         tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
-        let suspended = clock::total_suspension();
-        let added = suspended.saturating_sub(seen);
-        if added < MIN_SUSPENSION {
+        let total = clock::total_suspension();
+        let suspension = total.saturating_sub(previous_total);
+        if suspension < MIN_SUSPENSION {
             continue;
         }
-        seen = suspended;
-        log::warn!("event=resumed suspended_ms={}", added.as_millis());
+        previous_total = total;
+        log::warn!("event=resumed suspended_ms={}", suspension.as_millis());
         RESUMED.notify_waiters();
     }
 }
