--- a/lib/src/protocol/adapter.rs
+++ b/lib/src/protocol/adapter.rs
@@ -39,7 +39,7 @@
     pub timeout: Option<Duration>,
     /// The segments of the prompt, in order. The last one is specific to this request.
     pub segments: Vec<PromptSegment>,
-    /// The last event that the caller has already received.
+    /// The ID of the last event that the caller has already received.
     pub last_event: Option<u64>,
     /// The digest of the caller's key, if it sent one.
     pub key: Option<KeyDigest>,
@@ -52,11 +52,12 @@
 pub struct OutboundMetadata<'a> {
     /// The time left until the deadline.
     pub time_left: Duration,
-    /// The instance that the request is for. Any other instance rejects it.
+    /// The name of the backend server that the request is for. A server with another name rejects
+    /// it.
     pub instance: &'a str,
     /// The priority, 0 to 9; 0 is admitted first.
     pub priority: u8,
-    /// The event after which the stream is to continue.
+    /// The ID of the event after which the stream is to continue.
     pub last_event: Option<u64>,
     /// The name of the caller's team, if it has one.
     pub team: Option<&'a str>,
@@ -72,7 +73,7 @@
     pub has_seal: bool,
     /// Whether the server states that it did not execute the request.
     pub not_run: bool,
-    /// Whether another instance now has the address.
+    /// Whether the request was rejected because another backend server now has the address.
     pub instance_mismatch: bool,
     /// The name of the server that responded, if given.
     pub instance: Option<String>,
@@ -85,7 +86,7 @@
 /// A caller's query for a box.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryQuery {
-    /// The host that the caller wants to reach.
+    /// The host that the caller will send requests to.
     pub host: String,
     /// The region of the caller.
     pub region: String,
@@ -155,7 +156,7 @@
     Watch {
         /// The key prefix.
         prefix: String,
-        /// The last known revision.
+        /// The revision after which changes are returned.
         after: Revision,
         /// The longest wait.
         wait: Duration,
@@ -230,7 +231,7 @@
     Routing(Box<Routing>),
     /// A backend server.
     Server(Server),
-    /// The evacuation of a failure domain, which must get no requests.
+    /// The evacuation of a failure domain: its servers must get no requests.
     Evacuated(FailureDomainId),
 }
 
@@ -249,7 +250,7 @@
 
 /// Translates the requests, responses and values of the store.
 pub trait StoreCodec: Clone + Send + Sync + 'static {
-    /// An HTTP request to the store.
+    /// Encodes an operation as an HTTP request to the store.
     fn encode(&self, operation: &Operation) -> StoreRequest;
 
     /// Decodes the response to an operation.
@@ -263,7 +264,7 @@
     /// Returns the era of the store from the headers of a response; `None` if they do not give it.
     fn era(&self, headers: &HeaderMap) -> Option<Era>;
 
-    /// The kind of object that a key refers to.
+    /// Returns the kind of object that a key refers to.
     fn subject(&self, key: &str) -> Subject;
 
     /// Decodes a value written by the operator or by a backend server.
--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -38,7 +38,7 @@
 pub const BOX_HEADER: &str = "copperweir-box";
 /// The version of the configuration that the request was handled with.
 pub const CONFIG_VERSION_HEADER: &str = "copperweir-config-version";
-/// Whether a failed request was executed.
+/// Whether a failed request was executed, as a value of [`Executed`](crate::error::Executed).
 pub const RAN_HEADER: &str = "copperweir-ran";
 
 /// Maximum length of an idempotency key.
--- a/lib/src/protocol/config/check.rs
+++ b/lib/src/protocol/config/check.rs
@@ -117,12 +117,12 @@
         &mut self,
         document: &Document<'_>,
         path: &[&str],
-        what: &str,
+        kind: &str,
         name: &str,
-        known: impl Iterator<Item = &'a str>,
+        declared: impl Iterator<Item = &'a str>,
     ) {
-        let hint = suggestion(name, known);
-        let message = format!("{what} \"{name}\" is not declared");
+        let hint = suggestion(name, declared);
+        let message = format!("{kind} \"{name}\" is not declared");
         self.problems.push(document.problem(path, message, hint));
     }
 
@@ -160,13 +160,13 @@
 
     fn require_region(&mut self, document: &Document<'_>, path: &[&str], region: &str) {
         if !self.configuration.regions.contains_key(region) {
-            let known: Vec<String> = self.configuration.regions.keys().cloned().collect();
+            let declared: Vec<String> = self.configuration.regions.keys().cloned().collect();
             self.report_undeclared(
                 document,
                 path,
                 "region",
                 region,
-                known.iter().map(String::as_str),
+                declared.iter().map(String::as_str),
             );
         }
     }
@@ -179,13 +179,13 @@
     ) {
         let Some(rule) = rule else { return };
         if !self.configuration.residency.contains_key(rule) {
-            let known: Vec<String> = self.configuration.residency.keys().cloned().collect();
+            let declared: Vec<String> = self.configuration.residency.keys().cloned().collect();
             self.report_undeclared(
                 document,
                 path,
                 "residency rule",
                 rule,
-                known.iter().map(String::as_str),
+                declared.iter().map(String::as_str),
             );
         }
     }
@@ -306,8 +306,14 @@
 
     fn require_pool(&mut self, document: &Document<'_>, path: &[&str], pool: &str) {
         if !self.configuration.pools.contains_key(pool) {
-            let known: Vec<String> = self.configuration.pools.keys().cloned().collect();
-            self.report_undeclared(document, path, "pool", pool, known.iter().map(String::as_str));
+            let declared: Vec<String> = self.configuration.pools.keys().cloned().collect();
+            self.report_undeclared(
+                document,
+                path,
+                "pool",
+                pool,
+                declared.iter().map(String::as_str),
+            );
         }
     }
 
@@ -389,19 +395,19 @@
     fn check_team_access(&mut self, document: &Document<'_>, name: &str, team: &raw::Team) {
         let models: Vec<String> = self.configuration.models.keys().cloned().collect();
         for model in team.models.iter().filter(|model| *model != "*" && !models.contains(model)) {
-            let known = models.iter().map(String::as_str);
-            self.report_undeclared(document, &["teams", name, "models"], "model", model, known);
+            let declared = models.iter().map(String::as_str);
+            self.report_undeclared(document, &["teams", name, "models"], "model", model, declared);
         }
         let services: Vec<String> = self.configuration.services.keys().cloned().collect();
         let undeclared = |service: &&String| *service != "*" && !services.contains(service);
         for service in team.services.iter().filter(undeclared) {
-            let known = services.iter().map(String::as_str);
+            let declared = services.iter().map(String::as_str);
             self.report_undeclared(
                 document,
                 &["teams", name, "services"],
                 "service",
                 service,
-                known,
+                declared,
             );
         }
     }
--- a/lib/src/protocol/config/mod.rs
+++ b/lib/src/protocol/config/mod.rs
@@ -194,7 +194,8 @@
     }
 }
 
-/// A service-level objective: the share of requests that should be answered within a given time.
+/// A service-level objective: the share of requests whose response should begin within a given
+/// time.
 #[derive(Clone, Debug)]
 pub struct Objective {
     /// The pool whose requests are counted.
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -42,7 +42,7 @@
     Serving,
     /// The box completes its requests before it stops.
     Leaving,
-    /// The box does not respond to calls, as another box found.
+    /// Another box found that this box does not respond to calls.
     Dead,
 }
 
@@ -69,7 +69,7 @@
     pub configuration_version: Version,
     /// The number of requests in progress on the box.
     pub in_flight: u32,
-    /// The number of boxes that it knows in its region, including itself.
+    /// The number of live boxes of its region in its own view, including itself.
     pub region_boxes: u32,
 }
 
--- a/lib/src/protocol/platform.rs
+++ b/lib/src/protocol/platform.rs
@@ -1,4 +1,5 @@
-//! The services of the platform: a key-value store, a directory and a list of boxes.
+//! The services of the platform: a key-value store, a directory, and a list of boxes and backend
+//! servers.
 //!
 //! Each service is one small trait, so that supporting another platform takes one adapter. The JSON
 //! bodies here are those of the HTTP adapter in [`transport::platform`](crate::transport::platform)
@@ -13,17 +14,17 @@
 
 /// The revision of a key; increases with each write. 0 means that the key is absent.
 pub type Revision = u64;
-/// The number of the store's history. It increases when the store is restored from an older copy
-/// and assigns revisions again. 0 for a store that does not report it.
+/// The era of a store: a number that increases when the store is restored from an older copy and
+/// assigns revisions again. 0 for a store that does not report it.
 pub type Era = u64;
 
 /// A position in the history of a store. Every position of a later era is newer than every position
 /// of an earlier one.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Position {
-    /// The number of the history.
+    /// The era.
     pub era: Era,
-    /// The revision in that history.
+    /// The revision within the era.
     pub revision: Revision,
 }
 
@@ -142,32 +143,32 @@
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 }
 
-/// The state of a box in the platform's list.
+/// The state of an entry of the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BoxListState {
-    /// The box is running.
+    /// The box or backend server is running.
     Live,
-    /// The box will be stopped soon.
+    /// The box or backend server will be stopped soon.
     Leaving,
 }
 
-/// An entry of the platform's list: either one of our boxes, or a box that runs backend servers.
+/// An entry of the platform's list: a box or a backend server.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxListEntry {
-    /// The name of the box or of the backend server on it.
+    /// The name of the box or backend server.
     pub name: String,
-    /// The state, which lags behind.
+    /// The state, which may be out of date.
     pub state: BoxListState,
-    /// The peer address, if this is one of our boxes.
+    /// The peer address, if the entry is a box.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<String>,
-    /// The region, if this is one of our boxes.
+    /// The region, if the entry is a box.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<String>,
 }
 
-/// The platform's list of boxes, which lags behind the actual state.
+/// The platform's list of boxes and backend servers, which may be out of date.
 pub trait BoxList: Send + Sync + 'static {
     /// Reads the list.
     fn list(&self) -> impl Future<Output = Result<Vec<BoxListEntry>, PlatformError>> + Send;
--- a/lib/src/protocol/routing.rs
+++ b/lib/src/protocol/routing.rs
@@ -67,8 +67,8 @@
         self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 
-    /// Returns the service for a request. `point` is mapped to the services in proportion to their
-    /// weights.
+    /// Returns the service for a request. Each service gets a share of the values of `point` in
+    /// proportion to its weight.
     pub fn pick_service(&self, point: u64) -> Option<&ServiceId> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut remaining = point % total.max(1);
@@ -112,7 +112,7 @@
 }
 
 impl Default for Limits {
-    /// The limits that apply before the first configuration is known.
+    /// The limits that apply until the first configuration is loaded.
     fn default() -> Limits {
         Limits {
             max_header_bytes: 16 << 10,
--- a/lib/src/protocol/schema.rs
+++ b/lib/src/protocol/schema.rs
@@ -1,6 +1,6 @@
 //! Schemas of files: the fields, their types and their meaning.
 //!
-//! A [`Shape`] finds all misplaced values of a file in one pass. The reference page for operators
+//! A [`Shape`] finds all unknown, missing and wrongly typed fields of a file in one pass. The reference page for operators
 //! is generated from the same shape, so the two cannot diverge. What a shape cannot express (names
 //! that must exist elsewhere, ranges) is checked by the `TryFrom` implementation of the type that
 //! the file is converted to.
@@ -203,16 +203,17 @@
     path.truncate(length);
 }
 
-/// Returns a hint that suggests the most similar known word, or lists all known words.
-pub fn suggestion<'a>(given: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
-    let known: Vec<&str> = known.collect();
-    let closest = known.iter().min_by_key(|word| edit_distance(given, word))?;
+/// Returns a hint for an invalid name: the most similar valid name, or else all valid names.
+pub fn suggestion<'a>(given: &str, valid_names: impl Iterator<Item = &'a str>) -> Option<String> {
+    let valid_names: Vec<&str> = valid_names.collect();
+    let closest = valid_names.iter().min_by_key(|name| edit_distance(given, name))?;
     if edit_distance(given, closest) <= 2 {
         return Some(format!("did you mean \"{closest}\"?"));
     }
-    Some(format!("known here: {}", known.join(", ")))
+    Some(format!("known here: {}", valid_names.join(", ")))
 }
 
+/// Returns the Levenshtein distance.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/lib/src/protocol/server_status.rs
+++ b/lib/src/protocol/server_status.rs
@@ -12,7 +12,8 @@
     pub rest: Option<Duration>,
     /// The rate limit, in requests per second from all boxes together, if the server gives one.
     pub rate: Option<f64>,
-    /// How long the server will remain cold, if it reports this.
+    /// How long the server will remain cold, that is, limited to the warm-up rate of its service;
+    /// `None` if the server does not report this.
     pub cold_left: Option<Duration>,
 }
 
--- a/lib/src/protocol/settings.rs
+++ b/lib/src/protocol/settings.rs
@@ -124,7 +124,7 @@
     pub stop_limit: Duration,
     /// The time for which a leaving box still accepts requests.
     pub stop_grace: Duration,
-    /// The log levels.
+    /// The log filter, such as `info`.
     pub log: String,
     /// The statsd address that counters are sent to.
     pub statsd: Option<SocketAddr>,
--- a/lib/src/protocol/team.rs
+++ b/lib/src/protocol/team.rs
@@ -112,7 +112,7 @@
 }
 
 impl Team {
-    /// Creates a team of which only the name is known.
+    /// Creates a team with defaults for everything except its name.
     pub fn with_name(name: &str) -> Team {
         Team { name: name.to_owned(), priority: None, home_regions: Vec::new(), limit: None }
     }
--- a/lib/src/state/load.rs
+++ b/lib/src/state/load.rs
@@ -1,10 +1,10 @@
 //! The latest observation of each backend server of a region.
 //!
 //! Observations come from probes by this box, from reports by other boxes and from the outcomes of
-//! requests. The younger observation wins. Messages contain ages instead of times, so that clocks
+//! requests. The newest observation is kept. Messages contain ages instead of times, so that clocks
 //! need not agree. The servers that the platform's list names as leaving are stored separately,
-//! because a probe of the server says nothing about the list. Such an entry expires when no box has
-//! read it in the list for some time.
+//! because a probe of a server does not show what the list contains. Such an entry expires when no
+//! box has read it from the list for `LISTED_TTL`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -54,11 +54,12 @@
         if report.listed {
             return self.observe_listed_leaving(report.server, observed_at, now);
         }
-        let known = self.servers.get(&report.server);
-        if known.is_some_and(|known| known.observed_at >= observed_at) {
+        let current = self.servers.get(&report.server);
+        if current.is_some_and(|current| current.observed_at >= observed_at) {
             return false;
         }
-        let before = known.map_or((true, false), |known| (known.reachable, known.leaving));
+        let previous_state =
+            current.map_or((true, false), |current| (current.reachable, current.leaving));
         let observation = Observation {
             load: report.load,
             reachable: report.reachable,
@@ -66,7 +67,7 @@
             observed_at,
         };
         self.servers.insert(report.server, observation);
-        before != (report.reachable, report.leaving)
+        previous_state != (report.reachable, report.leaving)
     }
 
     /// Records that the platform's list names a server as leaving. `at` is the time at which the
@@ -75,9 +76,9 @@
         if now.saturating_duration_since(at) >= LISTED_TTL {
             return false;
         }
-        let known = self.listed.entry(server).or_insert(at);
-        let is_new = *known == at;
-        *known = at.max(*known);
+        let newest = self.listed.entry(server).or_insert(at);
+        let is_new = *newest == at;
+        *newest = at.max(*newest);
         is_new
     }
 
@@ -86,14 +87,14 @@
         self.servers.get(&name_hash(server))
     }
 
-    /// Returns whether a server is known to be leaving.
+    /// Returns whether the last observation or the platform's list shows a server as leaving.
     pub fn is_leaving(&self, server: &ServerId, now: Instant) -> bool {
         let listed = self.listed.get(&name_hash(server));
         let listed = listed.is_some_and(|at| now.saturating_duration_since(*at) < LISTED_TTL);
         listed || self.get(server).is_some_and(|observation| observation.leaving)
     }
 
-    /// Returns the reports to send to other boxes: leaving servers first, then the youngest.
+    /// Returns the reports to send to other boxes: leaving servers first, then the newest.
     pub fn reports_to_share(
         &self,
         limit: usize,
