--- a/lib/benches/admission.rs
+++ b/lib/benches/admission.rs
@@ -63,8 +63,9 @@
     let started = Instant::now();
     for number in 0..REQUESTS as usize {
         let digest = KeyDigest::of(&keys[number % count]);
-        let claim = Credentials { key: Some(digest), forwarded: None };
-        let team = identity::resolve_team(&claim, &routing, &route, false).expect("held");
+        let credentials = Credentials { key: Some(digest), forwarded: None };
+        let team =
+            identity::resolve_team(&credentials, &routing, &route, false).expect("a known key");
         let team = team.expect("a team");
         let now = after_start + Duration::from_micros(number as u64);
         let admitted = quotas.admit(rendezvous::weight(&team.name, ""), limit, 1000.0, now);
--- a/lib/benches/capacity.rs
+++ b/lib/benches/capacity.rs
@@ -3,8 +3,8 @@
 //! Runs the daemon's own gossip code (composing, encoding, decoding and
 //! applying heartbeats) for every box of a fleet, with the delays of a wide
 //! area network. Prints calls, message bytes and processor time per box and
-//! second; then the time until a dead box is removed, until a new configuration
-//! is known everywhere, and until a leaving server is known to be leaving.
+//! second; then the time until a dead box is removed, until all boxes have a new
+//! configuration, and until all boxes of a region learn that a server is leaving.
 //!
 //! `cargo bench -p copperweir-lib --bench capacity [-- boxes…]`
 
@@ -263,8 +263,8 @@
         let region = self.nodes[to].gossip.membership.own().region.clone();
         let started_at = Instant::now();
         let gossip = &self.nodes[node].gossip;
-        let known = gossip.membership.live(now).any(|member| member.region == region);
-        let receiver = known.then_some(&region);
+        let has_live_member = gossip.membership.live(now).any(|member| member.region == region);
+        let receiver = has_live_member.then_some(&region);
         let heartbeat = gossip.compose(receiver, extra, now, &mut self.rng);
         let bytes = wire::Heartbeat::from(&heartbeat).encode_to_vec();
         self.nodes[node].cpu_time += started_at.elapsed();
@@ -310,7 +310,7 @@
         self.nodes[node].cpu_time += started_at.elapsed();
         if let Some((newer, _)) = effects.newer {
             // Fetching the configuration takes a round trip; then the box notifies others
-            // at once.
+            // immediately.
             self.nodes[node].version = newer;
             self.nodes[node].gossip.membership.update_own(|own| own.configuration_version = newer);
             self.send_urgent_heartbeats(node);
@@ -415,18 +415,18 @@
     simulation.nodes[0].version = 2;
     simulation.nodes[0].gossip.membership.update_own(|own| own.configuration_version = 2);
     simulation.send_urgent_heartbeats(0);
-    let configuration_known = simulation.run_until_all(|_, node| node.version == 2);
+    let configuration_time = simulation.run_until_all(|_, node| node.version == 2);
 
     let server = simulation.servers[0][0].clone();
     simulation.leaving = Some(name_hash(&server));
-    let leaving_known = simulation.run_until_all(|simulation, node| {
+    let leaving_time = simulation.run_until_all(|simulation, node| {
         node.region != 0 || node.gossip.load.is_leaving(&server, simulation.current_instant())
     });
 
     let dead_index = simulation.nodes.iter().position(|node| node.region == 0).unwrap_or_default();
     let dead_name = simulation.nodes[dead_index].gossip.membership.own().name.clone();
     simulation.nodes[dead_index].dead = true;
-    let box_detected = simulation.run_until_all(|simulation, node| {
+    let box_removal_time = simulation.run_until_all(|simulation, node| {
         node.gossip
             .membership
             .live(simulation.current_instant())
@@ -437,7 +437,7 @@
     for node in &mut simulation.nodes {
         node.dead |= node.gossip.membership.own().failure_domain == failure_domain_name;
     }
-    let domain_detected = simulation.run_until_all(|simulation, node| {
+    let domain_removal_time = simulation.run_until_all(|simulation, node| {
         let now = simulation.current_instant();
         node.gossip.membership.live(now).all(|member| member.failure_domain != failure_domain_name)
     });
@@ -449,10 +449,10 @@
         cpu_time.as_secs_f64() * 1e6 / count as f64 / seconds,
         memory_kib / count as u64,
         false_deaths,
-        format_seconds(configuration_known),
-        format_seconds(leaving_known),
-        format_seconds(box_detected),
-        format_seconds(domain_detected),
+        format_seconds(configuration_time),
+        format_seconds(leaving_time),
+        format_seconds(box_removal_time),
+        format_seconds(domain_removal_time),
     );
 }
 
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -25,23 +25,24 @@
 const ROUNDS: usize = 5;
 const SERVER_COUNTS: [usize; 5] = [12, 40, 150, 316, 600];
 
-fn lanes(count: usize, now: Instant) -> BTreeMap<String, ServerSnapshot> {
-    let lane = |index: usize| ServerSnapshot {
+fn server_snapshots(count: usize, now: Instant) -> BTreeMap<String, ServerSnapshot> {
+    let server_snapshot = |index: usize| ServerSnapshot {
         address: SocketAddr::from(([127, 0, 0, 1], 9000)),
         slots: 8,
         leaving: false,
         reachable: true,
         report: Some(((index % 7) as u32, now)),
     };
-    (0..count).map(|index| (format!("engine-{index:03}"), lane(index))).collect()
+    (0..count).map(|index| (format!("engine-{index:03}"), server_snapshot(index))).collect()
 }
 
+/// Returns the microseconds per decision and per refresh of the pool.
 fn measure(count: usize) -> (f64, f64) {
     let now = Instant::now();
     let limits = Limits { max_queued: 256, max_queued_bytes: 1 << 30, boxes: 3 };
     let mut pool = Pool::new(PrefixAffinity, limits, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    pool.update(limits, lanes(count, now), BTreeSet::new());
+    pool.update(limits, server_snapshots(count, now), BTreeSet::new());
     let outcome = Outcome::Answered {
         first_byte: Duration::from_millis(20),
         total: Duration::from_millis(100),
@@ -66,7 +67,7 @@
     let decision = started.elapsed() / DECISIONS;
     let started = Instant::now();
     for _ in 0..REFRESHES {
-        pool.update(limits, lanes(count, now), BTreeSet::new());
+        pool.update(limits, server_snapshots(count, now), BTreeSet::new());
     }
     let refresh = started.elapsed() / REFRESHES;
     (decision.as_secs_f64() * 1e6, refresh.as_secs_f64() * 1e6)
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -94,8 +94,8 @@
     id: u64,
     kind: usize,
     prefix: u64,
-    arrived: f64,
-    dispatched: f64,
+    arrived_s: f64,
+    dispatched_s: f64,
     owner: usize,
 }
 
@@ -103,7 +103,7 @@
 struct Engine {
     running: u32,
     waiting: VecDeque<Job>,
-    prefill_free_at: f64,
+    prefill_free_at_s: f64,
     cache: VecDeque<u64>,
     load_history: VecDeque<(f64, u32)>,
 }
@@ -117,17 +117,19 @@
 
 #[derive(Default)]
 struct Statistics {
-    first: Vec<f64>,
-    urgent: Vec<f64>,
+    /// Times to the first token, of all requests and of those with high priority.
+    first_token_s: Vec<f64>,
+    urgent_first_token_s: Vec<f64>,
     completed: usize,
     refused: usize,
     refused_urgent: usize,
     hits: usize,
     lookups: usize,
-    work: f64,
+    /// Processing time of engines, with the time of a decode step shared among all slots.
+    work_s: f64,
     /// Slot-seconds in use, and those of them spent waiting for a prefill to end.
-    busy: f64,
-    stalled: f64,
+    busy_slot_s: f64,
+    stalled_slot_s: f64,
 }
 
 struct Simulation<'a, P> {
@@ -184,7 +186,7 @@
 
     fn run(mut self, arrivals: &[Job]) -> Statistics {
         for job in arrivals {
-            self.schedule(job.arrived, Event::Arrive(job.clone()));
+            self.schedule(job.arrived_s, Event::Arrive(job.clone()));
         }
         while let Some(Reverse((time, number))) = self.queue.pop() {
             self.now = time as f64 / 1e9;
@@ -200,7 +202,7 @@
     }
 
     fn is_measured(&self, job: &Job) -> bool {
-        job.arrived >= WARM_UP_S
+        job.arrived_s >= WARM_UP_S
     }
 
     fn arrive(&mut self, job: Job) {
@@ -260,14 +262,14 @@
             let prefill = (kind.own + if hit { 0.0 } else { kind.prefix }) * PREFILL_S_PER_TOKEN;
             let ahead = (engine.running + engine.waiting.len() as u32) as f64 / f64::from(SLOTS);
             let queued = (ahead - 1.0 + 1.0 / f64::from(SLOTS)).max(0.0);
-            (engine.prefill_free_at - self.now).max(0.0) + prefill + queued + 0.02 * ahead
+            (engine.prefill_free_at_s - self.now).max(0.0) + prefill + queued + 0.02 * ahead
         };
         let costs = self.engines.iter().map(cost).enumerate();
         costs.min_by(|a, b| a.1.total_cmp(&b.1)).map_or(0, |(index, _)| index)
     }
 
     fn dispatch(&mut self, engine: usize, mut job: Job) {
-        job.dispatched = self.now;
+        job.dispatched_s = self.now;
         self.schedule(self.now + 0.001, Event::ReachEngine(engine, job));
     }
 
@@ -298,17 +300,17 @@
         }
         let prefill =
             (kind.own + if hit.is_some() { 0.0 } else { kind.prefix }) * PREFILL_S_PER_TOKEN;
-        let prefilled = engine.prefill_free_at.max(now) + prefill;
-        engine.prefill_free_at = prefilled;
+        let prefilled = engine.prefill_free_at_s.max(now) + prefill;
+        engine.prefill_free_at_s = prefilled;
         let step = DECODE_STEP_S + DECODE_STEP_S_PER_REQUEST * f64::from(engine.running);
         let first = prefilled + step;
         let end = prefilled + step * kind.tokens;
-        if job.arrived >= WARM_UP_S {
+        if job.arrived_s >= WARM_UP_S {
             self.statistics.lookups += 1;
             self.statistics.hits += usize::from(hit.is_some());
-            self.statistics.work += prefill + step * kind.tokens / f64::from(SLOTS);
-            self.statistics.busy += end - now;
-            self.statistics.stalled += prefilled - now;
+            self.statistics.work_s += prefill + step * kind.tokens / f64::from(SLOTS);
+            self.statistics.busy_slot_s += end - now;
+            self.statistics.stalled_slot_s += prefilled - now;
         }
         self.schedule(end, Event::Done(index, job, first));
     }
@@ -318,17 +320,17 @@
         self.admit(engine);
         if self.is_measured(&job) {
             self.statistics.completed += 1;
-            self.statistics.first.push(first - job.arrived);
+            self.statistics.first_token_s.push(first - job.arrived_s);
             if self.kinds[job.kind].priority == Priority::High {
-                self.statistics.urgent.push(first - job.arrived);
+                self.statistics.urgent_first_token_s.push(first - job.arrived_s);
             }
         }
         if self.oracle {
             return;
         }
         let outcome = Outcome::Answered {
-            first_byte: Duration::from_secs_f64(first - job.dispatched),
-            total: Duration::from_secs_f64(self.now - job.dispatched),
+            first_byte: Duration::from_secs_f64(first - job.dispatched_s),
+            total: Duration::from_secs_f64(self.now - job.dispatched_s),
         };
         let now = self.instant();
         let wakes = self.pools[job.owner].finish(&name(engine), outcome, now, &mut self.rng);
@@ -342,7 +344,7 @@
         }
         self.schedule(self.now + REPORT_PERIOD_S, Event::Report);
         let now = self.now;
-        let mut lanes = BTreeMap::new();
+        let mut server_snapshots = BTreeMap::new();
         for (index, engine) in self.engines.iter_mut().enumerate() {
             let load = engine.running + engine.waiting.len() as u32;
             engine.load_history.push_back((now, load));
@@ -350,18 +352,18 @@
                 engine.load_history.pop_front();
             }
             let (at, load) = engine.load_history[0];
-            let lane = ServerSnapshot {
+            let server_snapshot = ServerSnapshot {
                 address: SocketAddr::from(([127, 0, 0, 1], index as u16)),
                 slots: SLOTS,
                 leaving: false,
                 reachable: true,
                 report: Some((load, self.start + Duration::from_secs_f64(at))),
             };
-            lanes.insert(name(index), lane);
+            server_snapshots.insert(name(index), server_snapshot);
         }
         let now = self.instant();
         for index in 0..BOXES {
-            self.pools[index].update(LIMITS, lanes.clone(), BTreeSet::new());
+            self.pools[index].update(LIMITS, server_snapshots.clone(), BTreeSet::new());
             let wakes = self.pools[index].dispatch_queued(now, &mut self.rng);
             self.handle_wakes(wakes);
         }
@@ -385,8 +387,8 @@
             id: jobs.len() as u64,
             kind,
             prefix,
-            arrived: now,
-            dispatched: now,
+            arrived_s: now,
+            dispatched_s: now,
             owner: rng.random_range(0..BOXES),
         });
     }
@@ -405,6 +407,7 @@
     ENGINES as f64 * f64::from(SLOTS) / busy
 }
 
+/// Returns a quantile of times in seconds, in milliseconds.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     if times.is_empty() {
         return f64::NAN;
@@ -413,7 +416,7 @@
     times[((times.len() - 1) as f64 * share).round() as usize] * 1000.0
 }
 
-/// [`PrefixAffinity`] without the prefix.
+/// [`PrefixAffinity`] that ignores the prefix of a request.
 #[derive(Default)]
 struct NoPrefix(PrefixAffinity);
 
@@ -440,17 +443,17 @@
         let mut statistics = Simulation::<P>::new(kinds, oracle, seed).run(&jobs);
         let total = (statistics.completed + statistics.refused) as f64;
         seeds.push([
-            quantile(&mut statistics.first.clone(), 0.5),
-            quantile(&mut statistics.first, 0.95),
-            quantile(&mut statistics.urgent.clone(), 0.95),
-            quantile(&mut statistics.urgent, 0.99),
+            quantile(&mut statistics.first_token_s.clone(), 0.5),
+            quantile(&mut statistics.first_token_s, 0.95),
+            quantile(&mut statistics.urgent_first_token_s.clone(), 0.95),
+            quantile(&mut statistics.urgent_first_token_s, 0.99),
             statistics.refused as f64 / total * 100.0,
             statistics.refused_urgent as f64 / total * 100.0,
             statistics.hits as f64 / statistics.lookups as f64 * 100.0,
-            statistics.work / statistics.completed as f64 * 1000.0,
-            statistics.busy / ((DURATION_S - WARM_UP_S) * ENGINES as f64 * f64::from(SLOTS))
+            statistics.work_s / statistics.completed as f64 * 1000.0,
+            statistics.busy_slot_s / ((DURATION_S - WARM_UP_S) * ENGINES as f64 * f64::from(SLOTS))
                 * 100.0,
-            statistics.stalled / statistics.busy * 100.0,
+            statistics.stalled_slot_s / statistics.busy_slot_s * 100.0,
         ]);
     }
     let column = |index: usize| {
--- a/lib/examples/balancer.rs
+++ b/lib/examples/balancer.rs
@@ -24,15 +24,18 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let limits = Limits { max_queued: 2, max_queued_bytes: 1 << 20, boxes: 1 };
     let mut pool = Pool::new(PrefixAffinity, limits, now);
-    let lane = |port| ServerSnapshot {
+    let server_snapshot = |port| ServerSnapshot {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         slots: 1,
         leaving: false,
         reachable: true,
         report: None,
     };
-    let lanes = BTreeMap::from([("one".to_owned(), lane(9001)), ("two".to_owned(), lane(9002))]);
-    pool.update(limits, lanes, BTreeSet::new());
+    let servers = BTreeMap::from([
+        ("one".to_owned(), server_snapshot(9001)),
+        ("two".to_owned(), server_snapshot(9002)),
+    ]);
+    pool.update(limits, servers, BTreeSet::new());
 
     let mut running = Vec::new();
     for id in 0..5 {
--- a/lib/examples/lease_holder.rs
+++ b/lib/examples/lease_holder.rs
@@ -12,38 +12,38 @@
 
 fn main() {
     let timing = Timing::default();
-    let mut holders = [LeaseClient::new(timing), LeaseClient::new(timing)];
+    let mut clients = [LeaseClient::new(timing), LeaseClient::new(timing)];
     let mut now = Instant::now();
-    let mut stored: Option<(usize, Instant)> = None;
+    let mut stored_lease: Option<(usize, Instant)> = None;
     let mut epoch = 0;
     for second in 0..30 {
         now += Duration::from_secs(1);
-        stored = stored.filter(|(_, until)| now < *until);
-        for (index, holder) in holders.iter_mut().enumerate() {
+        stored_lease = stored_lease.filter(|(_, until)| now < *until);
+        for (index, client) in clients.iter_mut().enumerate() {
             // The first process freezes after ten seconds.
             if index == 0 && second >= 10 {
                 continue;
             }
-            for action in holder.handle(Event::Tick(now)) {
+            for action in client.handle(Event::Tick(now)) {
                 let event = match action {
-                    Action::Acquire if stored.is_none() => {
+                    Action::Acquire if stored_lease.is_none() => {
                         epoch += 1;
-                        stored = Some((index, now + timing.ttl));
+                        stored_lease = Some((index, now + timing.ttl));
                         Event::Acquired { epoch, asked_at: now }
                     }
                     Action::Acquire => Event::AcquireFailed(now),
                     Action::Renew => {
-                        stored = Some((index, now + timing.ttl));
+                        stored_lease = Some((index, now + timing.ttl));
                         Event::Renewed { asked_at: now }
                     }
                     Action::StartLeading(_) | Action::StopLeading(_) => continue,
                 };
-                holder.handle(event);
+                client.handle(event);
             }
         }
-        let epochs: Vec<_> = holders.iter().map(|holder| holder.epoch(now)).collect();
+        let epochs: Vec<_> = clients.iter().map(|client| client.epoch(now)).collect();
         assert!(epochs.iter().flatten().count() <= 1, "two processes hold the lease");
         println!("second {second}: {epochs:?}");
     }
-    assert_eq!(holders[1].epoch(now), Some(2), "the second process took over");
+    assert_eq!(clients[1].epoch(now), Some(2), "the second process took over");
 }
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -344,10 +344,10 @@
         });
     }
 
-    /// Waits until every box knows every other box.
+    /// Waits until every box lists every other box.
     pub fn wait_for_members(&self) {
         let plan = self.plan;
-        eventually("all boxes know each other", || {
+        eventually("all boxes list each other", || {
             self.boxes.keys().all(|(region, number)| {
                 let boxes = self.list_boxes(plan.callers_address(*region, *number)).boxes;
                 boxes.len() == self.boxes.len()
@@ -371,7 +371,7 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Reply {
-        self.block_on(send(&self.client, to, method, path, headers, body)).expect("an answer")
+        self.block_on(send(&self.client, to, method, path, headers, body)).expect("a response")
     }
 
     pub fn get(&self, to: SocketAddr, path: &str) -> Reply {
--- a/lib/tests/common/propagation.rs
+++ b/lib/tests/common/propagation.rs
@@ -24,7 +24,7 @@
 use rand::seq::IteratorRandom;
 
 const REGIONS: usize = 3;
-/// Interval of reports, and number of boxes of the region that get each.
+/// Interval of reports, and number of boxes of the region that receive each report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 const REPORT_RECIPIENTS: usize = 32;
 /// Minimum time between two state queries.
@@ -32,7 +32,7 @@
 /// One-way latency within a region, and between two.
 const SAME_REGION_LATENCY: Duration = Duration::from_micros(500);
 const CROSS_REGION_LATENCY: Duration = Duration::from_millis(55);
-/// Time that the store or a box takes to answer.
+/// Time that the store or a box takes to respond.
 const RESPONSE_TIME: Duration = Duration::from_millis(4);
 /// Time after which lost bytes of a connection are retransmitted.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -46,7 +46,7 @@
 pub struct Setting {
     /// Number of boxes in all regions.
     pub boxes: usize,
-    /// Share of the datagrams that are lost, and of the answers that are delayed.
+    /// Share of the datagrams that are lost, and of the responses that are delayed.
     pub loss: f64,
     /// Datagrams have the maximum size, and are lost if any of their six packets is.
     pub full: bool,
@@ -73,7 +73,7 @@
 enum Event {
     SendReport { from: usize, number: usize },
     ReceiveReport { from: usize, to: usize, version: usize, age: Duration },
-    DrawPoll(usize),
+    DecidePoll(usize),
     QueryPeer(usize),
     PeerResponse { from: usize, to: usize },
     StoreResponse { by: usize, at: Instant, revision: u64 },
@@ -168,7 +168,7 @@
             let phase = REPORT_INTERVAL.mul_f64(simulation.rng.random());
             simulation.schedule(phase, Event::SendReport { from: number, number: 0 });
             let phase = CHECK_INTERVAL.mul_f64(simulation.rng.random());
-            simulation.schedule(phase, Event::DrawPoll(number));
+            simulation.schedule(phase, Event::DecidePoll(number));
         }
         simulation
     }
@@ -182,7 +182,7 @@
         if from % REGIONS == to % REGIONS { SAME_REGION_LATENCY } else { CROSS_REGION_LATENCY }
     }
 
-    /// Time until an answer of the store arrives. The store is in the first region.
+    /// Time until a response of the store arrives. The store is in the first region.
     fn response_time(&mut self, to: usize) -> Duration {
         let is_delayed = self.rng.random_bool(self.setting.loss);
         self.latency(0, to) * 2
@@ -271,14 +271,14 @@
                     self.query_peer(to);
                 }
             }
-            Event::DrawPoll(number) => {
+            Event::DecidePoll(number) => {
                 let probability =
                     self.boxes[number].freshness.check_probability(self.boxes.len(), self.now);
                 if self.rng.random::<f64>() < probability {
                     self.call_store(number);
                 }
                 self.query_peer(number);
-                self.schedule(CHECK_INTERVAL, Event::DrawPoll(number));
+                self.schedule(CHECK_INTERVAL, Event::DecidePoll(number));
             }
             Event::QueryPeer(number) => self.query_peer(number),
             Event::PeerResponse { from, to } => {
@@ -292,7 +292,7 @@
                 }
             }
             Event::StoreResponse { by, at, revision } => {
-                // The answer contains what the store held when it was asked.
+                // The response has the contents of the store at the time of the call.
                 let now = self.store.version().position.revision;
                 let store = if revision == now { self.store.clone() } else { self.before.clone() };
                 self.apply_store_response(by, at, &store);
@@ -342,13 +342,13 @@
     }
 }
 
-/// Applies the entries that differ.
+/// Makes the replica of a box equal to `ahead`, which was current `at` that time.
 fn apply_differences(node: &mut SimulatedBox, ahead: &Replica, at: Option<Instant>, now: Instant) {
-    let held: HashSet<u64> = node.replica.digests().collect();
+    let own_digests: HashSet<u64> = node.replica.digests().collect();
     for key in node.replica.keys_not_in(&ahead.key_hashes().collect()) {
         node.replica.remove(&key);
     }
-    let written: Vec<KeyValue> = ahead.items_not_in(&held).collect();
+    let written: Vec<KeyValue> = ahead.items_not_in(&own_digests).collect();
     written.iter().for_each(|item| node.replica.insert(item));
     node.replica.advance_to(ahead.version().position);
     node.freshness.record_state(node.replica.version(), at, now);
--- a/lib/tests/test_once.rs
+++ b/lib/tests/test_once.rs
@@ -61,7 +61,7 @@
             }
             let mut replies = Vec::new();
             for reply in tasks {
-                replies.push(reply.await.expect("a task").expect("an answer"));
+                replies.push(reply.await.expect("a task").expect("a response"));
             }
             replies
         });
@@ -143,7 +143,7 @@
     plan.regions = 2;
     plan.boxes = 2;
     let fleet = Fleet::start(plan);
-    eventually("the boxes know each other", || {
+    eventually("the boxes list each other", || {
         fleet.list_boxes(plan.callers_address(0, 0)).boxes.len() == 4
     });
     for (key, id) in [("bare", "f1"), (fleet.ticket(plan.callers_address(0, 0)).as_str(), "f2")] {
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -187,7 +187,7 @@
     plan.boxes = 2;
     plan.speed.token = Duration::from_millis(20);
     let mut fleet = Fleet::start(plan);
-    eventually("the boxes know each other", || {
+    eventually("the boxes list each other", || {
         fleet.list_boxes(plan.callers_address(0, 1)).boxes.len() == 2
     });
     let address = plan.callers_address(0, 0);
@@ -214,7 +214,7 @@
         reply.code() == "leaving" && reply.header("copperweir-ran") == "no"
     });
     for stream in streams {
-        let reply = fleet.block_on(stream).expect("a task").expect("a whole answer");
+        let reply = fleet.block_on(stream).expect("a task").expect("a complete response");
         assert!(reply.body.ends_with(b"data: [DONE]\n\n"));
     }
     assert_eq!(stopping.join().expect("a stop"), StopOutcome::Done);
