--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -4,12 +4,12 @@
 //! The request is awaited at three points before the first byte of the
 //! response, and may be dropped at each of them. Dropped in the queue, it gives
 //! up its place. Dropped while connecting, it releases its slot. Dropped after
-//! sending, it closes the connection, which tells the backend server that
-//! nobody waits for the response.
-
-use std::sync::Arc;
-use std::time::Instant;
+//! sending, it closes the connection, which tells the backend server that the
+//! response is no longer needed.
 
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -17,15 +17,14 @@
 use http::Uri;
 use http::header;
 use http_body_util::Full;
+use std::sync::Arc;
+use std::time::Instant;
 
 use super::forward;
 use super::pools;
 use super::pools::Grant;
 use super::pools::Slot;
 use super::relay::Relay;
-use super::relay::RequestAccounting;
-use super::relay::ResponseSource;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::request::is_forwarded_header;
 use super::shared::InFlightGuard;
@@ -285,7 +284,7 @@
         && response
             .headers()
             .get(caller::RAN_HEADER)
-            .is_some_and(|ran| ran == Executed::No.as_str())
+            .is_some_and(|value| value == Executed::No.as_str())
 }
 
 fn build_backend_request(
