--- a/lib/src/gateway/cluster_state/settling.rs
+++ b/lib/src/gateway/cluster_state/settling.rs
@@ -2,10 +2,10 @@
 //! repeated, the state keeps some entries that the store lacks, and holds back others that it
 //! lists.
 
-use super::Evacuation;
 use std::time::Instant;
 
 use super::ClusterState;
+use super::Evacuation;
 use crate::coordination::candidate;
 use crate::protocol::adapter::Fact;
 use crate::protocol::adapter::Subject;
