--- a/lib/src/coordination/loads.rs
+++ b/lib/src/coordination/loads.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use prost::Message;
+
+use super::departures::wire::DepartureNotice;
 use super::quarantine::wire;
 use super::quota::BoxUsage;
 use super::quota::RegionUsage;
 use super::throttle::wire::ThrottleReport;
 use super::unlisted::NeighborRecord;
-use prost::Message;
-
-use super::departures::wire::DepartureNotice;
 
 /// Age at which a report expires: several have been lost by then, or the box is gone.
 const REPORT_TTL: Duration = Duration::from_millis(1500);
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -11,6 +11,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use rand::Rng;
+
 use super::invariant;
 use super::invariant::Invariant;
 use super::lending::Borrower;
@@ -19,14 +21,12 @@
 use super::queue::Queue;
 use super::queue::QueuedRequest;
 use super::queue::RequestId;
-use super::token_bucket::TokenBucket;
-use rand::Rng;
-
 use super::rest_period::RestPeriods;
 use super::retry_spread::RetrySpread;
 use super::server::Server;
 pub use super::server::ServerSnapshot;
 use super::server::smooth;
+use super::token_bucket::TokenBucket;
 use crate::error::ErrorKind;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/attempt.rs
@@ -3,9 +3,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::job::Job;
-use super::job::SENDS_HEADER;
-use super::job::forwarded_headers;
 use bytes::Bytes;
 use http::HeaderMap;
 use http::Request;
@@ -18,6 +15,9 @@
 
 use super::decision_log;
 use super::feedback;
+use super::job::Job;
+use super::job::SENDS_HEADER;
+use super::job::forwarded_headers;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::stream::Stream;
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -42,14 +42,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use self::control::Control;
-use self::control::Event;
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
 use self::cluster_state::ClusterState;
+use self::control::Control;
+use self::control::Event;
 use self::job::Origin;
 use self::settings::Listen;
 use self::settings::Settings;
