--- a/lib/src/coordination/attempt.rs
+++ b/lib/src/coordination/attempt.rs
@@ -36,7 +36,7 @@
 }
 
 impl AttemptEvent {
-    /// What the event means for the health of the server.
+    /// The outcome of the event with regard to the health of the server.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptEvent::HeadReceived | AttemptEvent::NotSent => Outcome::Abandoned,
--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -20,7 +20,7 @@
 const MAX_REQUESTS_PER_SLOT: f64 = 3.0;
 /// Factor by which a refusal lowers the request limit. The limit never falls below the number of
 /// slots.
-const LIMIT_DECREASE: f64 = 0.8;
+const LIMIT_DECREASE_FACTOR: f64 = 0.8;
 /// Delay that one running request causes to the others by its part in each step of the engine, as
 /// the number of prompt tokens that take as long to process.
 const RUNNING_REQUEST_TOKENS: f64 = 150.0;
@@ -337,7 +337,7 @@
             }
             Outcome::Shed => {
                 let floor = f64::from(self.state.server.slots.max(1));
-                self.limit = (self.limit * LIMIT_DECREASE).max(floor);
+                self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(floor);
             }
             Outcome::Unreachable => self.ejection.record_unreachable(now),
             Outcome::Lost | Outcome::TimedOut => self.ejection.record_lost_response(now),
--- a/lib/src/coordination/departures.rs
+++ b/lib/src/coordination/departures.rs
@@ -25,8 +25,8 @@
 /// Consecutive reports that repeat a new notice, in addition to those needed to reach all boxes:
 /// some datagrams are lost.
 const EXTRA_REPORTS: u32 = 5;
-/// Every how many reports an old notice is repeated.
-const REPEAT_INTERVAL: usize = 5;
+/// Number of reports between repetitions of an old notice.
+const REPEAT_INTERVAL_REPORTS: usize = 5;
 /// Maximum number of notices in a report, some 15 bytes each.
 const MAX_NOTICES: usize = 32;
 /// Maximum number of servers whose announcements are stored.
@@ -166,9 +166,10 @@
         // A box may have missed all earlier reports with this notice.
         if notices.is_empty()
             && !active.is_empty()
-            && self.report_number.is_multiple_of(REPEAT_INTERVAL)
+            && self.report_number.is_multiple_of(REPEAT_INTERVAL_REPORTS)
         {
-            let (server, departure) = &active[self.report_number / REPEAT_INTERVAL % active.len()];
+            let (server, departure) =
+                &active[self.report_number / REPEAT_INTERVAL_REPORTS % active.len()];
             notices.push(wire::notice(*server, departure.announced_at, now));
         }
         notices
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -39,7 +39,7 @@
 const PROBERS_PER_SERVER: usize = 2;
 /// Additional time that a box waits before it queries a box of another region: a round trip, and
 /// the time in which boxes of its own region receive the new state.
-const REMOTE_EXTRA_TIMEOUT: Duration = Duration::from_millis(300);
+const REMOTE_EXTRA_LAG: Duration = Duration::from_millis(300);
 /// Usual maximum latency of a datagram within a region and between regions. It is added to the
 /// reported age: if it were left out, the age would shrink with each report, and boxes without news
 /// from the store would confirm each other's state until none of them checks.
@@ -123,7 +123,7 @@
 #[derive(Debug, Default)]
 pub struct Freshness {
     version: Version,
-    /// Newest era of the store that is known.
+    /// Newest era of the store that was reported to this box.
     newest_era: Era,
     /// When the state was last known to match the store.
     confirmed_at: Option<Instant>,
@@ -131,7 +131,7 @@
     confirmed_by: Option<u64>,
     /// The preferred box among those with a newer state.
     newer_peer: Option<PeerState>,
-    /// Since when newer states are known without this box having received one.
+    /// Since when this box knows of a newer state without having received one.
     behind_since: Option<Instant>,
     /// Boxes of this region that probe servers because their state is aging, and when they last
     /// reported.
@@ -197,14 +197,15 @@
         }
     }
 
-    /// Address of a box with a newer state, once this box has been behind for `timeout`. The wait
-    /// is longer if only boxes of other regions have one: traffic between regions is expensive, and
-    /// boxes of this region will have the state soon.
-    pub fn peer_to_ask(&self, timeout: Duration, now: Instant) -> Option<SocketAddr> {
+    /// Address of a box with a newer state, once this box has been behind for `allowed_lag`. The
+    /// lag is longer if only boxes of other regions have one: traffic between regions is expensive,
+    /// and boxes of this region will have the state soon.
+    pub fn peer_to_query(&self, allowed_lag: Duration, now: Instant) -> Option<SocketAddr> {
         let since = self.behind_since?;
         let peer = self.newer_peer?;
-        let timeout = if peer.is_same_region { timeout } else { timeout + REMOTE_EXTRA_TIMEOUT };
-        (now >= since + timeout).then_some(peer.address)
+        let allowed_lag =
+            if peer.is_same_region { allowed_lag } else { allowed_lag + REMOTE_EXTRA_LAG };
+        (now >= since + allowed_lag).then_some(peer.address)
     }
 
     /// Drops the box with the newer state because it does not respond; another one may.
--- a/lib/src/coordination/gossip.rs
+++ b/lib/src/coordination/gossip.rs
@@ -23,7 +23,7 @@
 /// Maximum number of member records requested at once.
 const MAX_WANTED_RECORDS: usize = 32;
 
-/// What has changed with a heartbeat.
+/// Changes that a received heartbeat caused.
 #[derive(Debug, Default)]
 pub struct Received {
     /// A member joined, left or changed its phase.
--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -15,7 +15,7 @@
 use crate::protocol::team::KeyDigest;
 use crate::protocol::team::Team;
 
-/// What a request carries to identify its caller.
+/// Data in a request that identifies its caller.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
     /// Digest of the caller's key.
@@ -35,8 +35,9 @@
 
 /// Returns the team of a request; `None` if the request needs no key.
 ///
-/// `stale` says that a newer configuration, with keys unknown here, may exist. A caller with an
-/// unknown key is then asked to retry instead of getting the error that the key does not exist.
+/// `stale` is true if there may be a newer configuration, with keys that this box does not have. A
+/// caller with an unknown key is then asked to retry instead of getting the error that the key does
+/// not exist.
 pub fn resolve_team(
     credentials: &Credentials,
     routing: &Routing,
--- a/lib/src/coordination/interrupted.rs
+++ b/lib/src/coordination/interrupted.rs
@@ -37,7 +37,7 @@
     pub interrupted_at: Instant,
 }
 
-/// What the caller has to do after an interruption.
+/// The action that an interruption requires.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextStep {
     /// Probe whether the server has crashed.
@@ -56,7 +56,7 @@
 }
 
 impl InterruptedRequests {
-    /// Records an interruption.
+    /// Records an interruption. Returns the action that it requires.
     pub fn record(
         &mut self,
         server: ServerIncarnation,
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -37,12 +37,12 @@
 use crate::protocol::routing::Service;
 
 /// Fraction of a server's connections that requests may use; others are idle or closing.
-const MAX_CONNECTION_USE: f64 = 0.8;
+const MAX_CONNECTION_FRACTION: f64 = 0.8;
 /// Number of servers compared for one request. Boxes act on reports that are some tenths of a
 /// second old; comparing only a random sample keeps them from all choosing the same server.
 const SAMPLE_SIZE: usize = 4;
-/// Number of servers up to which all are compared.
-const COMPARE_ALL_UP_TO: usize = 6;
+/// Maximum number of servers for which all are compared, without a sample.
+const COMPARE_ALL_MAX_SERVERS: usize = 6;
 
 /// How long the removal of a server is remembered; requests sent to it are forgotten sooner.
 const REMOVED_RETENTION: Duration = Duration::from_secs(5);
@@ -175,7 +175,7 @@
         self.sharers = sharers;
         self.health_path.clone_from(&service.health_path);
         self.cold_rate = service.warmup_rate;
-        self.max_connections = service.max_connections as f64 * MAX_CONNECTION_USE;
+        self.max_connections = service.max_connections as f64 * MAX_CONNECTION_FRACTION;
         let mut previous = std::mem::take(&mut self.servers);
         for state in states {
             let id = state.server.id.clone();
@@ -351,7 +351,7 @@
             .filter(accepts_requests)
             .map(|candidate| candidate.hash)
             .collect();
-        if usable.len() <= COMPARE_ALL_UP_TO {
+        if usable.len() <= COMPARE_ALL_MAX_SERVERS {
             return None;
         }
         let sampled = usable.choose_multiple(rng, SAMPLE_SIZE).copied();
--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -44,8 +44,8 @@
 /// Consecutive crashes from which a request is isolated on servers without other suspects, and
 /// reported to all boxes.
 const CRASHES_FOR_ISOLATION: usize = 2;
-/// Time from a crash to the verdict: by then it is known what other boxes of the region were
-/// executing at the server.
+/// Time from a crash to the verdict: by then the other boxes of the region have reported the
+/// requests that they were executing at the server.
 const EVALUATION_DELAY: Duration = Duration::from_millis(100);
 /// Time between the admission of requests that have seen the same crashes: an engine executes most
 /// requests within it.
--- a/lib/src/coordination/quota/account.rs
+++ b/lib/src/coordination/quota/account.rs
@@ -42,7 +42,7 @@
     pub demand: f64,
 }
 
-/// What remains of a team's limit.
+/// The units that remain of a team's limit, and the demand on it.
 #[derive(Debug)]
 pub struct Account {
     /// The limit; `None` before the first request.
--- a/lib/src/coordination/server.rs
+++ b/lib/src/coordination/server.rs
@@ -13,7 +13,7 @@
 /// Age at which a load report has no weight any more.
 const REPORT_TTL: Duration = Duration::from_secs(10);
 /// Weight of the latest observation in smoothed times.
-const SMOOTHING: f64 = 0.1;
+const SMOOTHING_WEIGHT: f64 = 0.1;
 
 /// Configured and observed state of a backend server.
 #[derive(Clone, Debug)]
@@ -102,6 +102,8 @@
 pub(super) fn smooth(previous: Option<Duration>, latest: Duration) -> Duration {
     match previous {
         None => latest,
-        Some(previous) => previous.mul_f64(1.0 - SMOOTHING) + latest.mul_f64(SMOOTHING),
+        Some(previous) => {
+            previous.mul_f64(1.0 - SMOOTHING_WEIGHT) + latest.mul_f64(SMOOTHING_WEIGHT)
+        }
     }
 }
--- a/lib/src/coordination/store_rollback.rs
+++ b/lib/src/coordination/store_rollback.rs
@@ -12,9 +12,9 @@
 use crate::protocol::adapter::Subject;
 use crate::protocol::platform::Revision;
 
-/// Time after the store's return within which lost entries are written again.
+/// Time after the rollback within which lost entries are written again.
 pub const ROLLBACK_GRACE: Duration = Duration::from_millis(2200);
-/// Maximum age of a copy that the store returns to: some seconds, and the same again for drills in
+/// Maximum age of a copy that the store returns to: some seconds, and as much again for drills in
 /// close succession.
 pub const MAX_ROLLBACK_AGE: Duration = Duration::from_secs(30);
 /// Maximum number of removals remembered.
@@ -28,7 +28,8 @@
     at: Instant,
 }
 
-/// Removals from before the rollback, and entries of the copy that are held back.
+/// Removals from before the rollback, and entries of the older copy that are held back until lost
+/// entries have been written again.
 #[derive(Debug, Default)]
 pub struct StoreRollback {
     rolled_back_at: Option<Instant>,
--- a/lib/src/coordination/throttle/account.rs
+++ b/lib/src/coordination/throttle/account.rs
@@ -8,7 +8,7 @@
 /// Minimum number of requests per second sent to a server, whatever it states. A server that gets
 /// no requests can't state that it accepts more again. One request in two seconds is enough to
 /// notice that quickly.
-const MIN_RATE: f64 = 0.5;
+const MIN_RATE_PER_SECOND: f64 = 0.5;
 /// Requests that may accumulate, as a factor of the rate times the propagation time of reports.
 const BURST_FACTOR: f64 = 1.5;
 /// Maximum debt of a server, in seconds of its rate, but at least one request. When a rate is first
@@ -20,7 +20,7 @@
 const STORED_RATE_TOLERANCE: f64 = 1.5;
 /// Relative decrease of a rate from which it is reported at once. Smaller changes wait for the next
 /// report.
-const MAJOR_DECREASE: f64 = 0.1;
+const MAJOR_DECREASE_FRACTION: f64 = 0.1;
 
 /// A rate that a server stated, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,7 +42,7 @@
     Major,
 }
 
-/// What remains of a server's rate.
+/// The requests that remain under a server's rate.
 #[derive(Debug)]
 pub struct Account {
     /// Service of the server.
@@ -111,7 +111,7 @@
         let differs = match (self.stored, self.stated.rate) {
             (None, None) => false,
             (Some(stored), Some(rate)) => {
-                rate.max(stored) > STORED_RATE_TOLERANCE * rate.min(stored).max(MIN_RATE)
+                rate.max(stored) > STORED_RATE_TOLERANCE * rate.min(stored).max(MIN_RATE_PER_SECOND)
             }
             _ => true,
         };
@@ -124,7 +124,7 @@
 
     /// Returns the requests per second for this box and the reachable ones; `None` without a limit.
     pub fn rate(&self) -> Option<f64> {
-        self.stated.rate.map(|rate| rate.max(MIN_RATE) * self.reachable_share)
+        self.stated.rate.map(|rate| rate.max(MIN_RATE_PER_SECOND) * self.reachable_share)
     }
 
     /// Updates the stated rate. A rate older than the current one is ignored.
@@ -144,7 +144,9 @@
         }
         match (previous.rate, stated.rate) {
             (previous, current) if previous == current => RateChange::Unchanged,
-            (Some(previous), Some(current)) if current > previous * (1.0 - MAJOR_DECREASE) => {
+            (Some(previous), Some(current))
+                if current > previous * (1.0 - MAJOR_DECREASE_FRACTION) =>
+            {
                 RateChange::Minor
             }
             _ => RateChange::Major,
--- a/lib/src/coordination/throttle/demand.rs
+++ b/lib/src/coordination/throttle/demand.rs
@@ -7,10 +7,10 @@
 
 /// Smoothing time of the recent demand. It spans several reports and follows the traffic of a
 /// region.
-const SMOOTHING: Duration = Duration::from_secs(1);
+const SMOOTHING_TIME: Duration = Duration::from_secs(1);
 /// Smoothing time of the usual demand. It is longer than a lull, after which all boxes get requests
 /// at once.
-const USUAL_SMOOTHING: Duration = Duration::from_secs(20);
+const USUAL_SMOOTHING_TIME: Duration = Duration::from_secs(20);
 /// Number of standard deviations by which the recent demand must exceed the usual demand to count
 /// as an increase.
 const SIGNIFICANT_DEVIATIONS: f64 = 2.0;
@@ -41,8 +41,8 @@
     /// Creates the state without any demand.
     pub fn new(now: Instant) -> Demand {
         Demand {
-            recent: Rate::new(SMOOTHING, now),
-            usual: Rate::new(USUAL_SMOOTHING, now),
+            recent: Rate::new(SMOOTHING_TIME, now),
+            usual: Rate::new(USUAL_SMOOTHING_TIME, now),
             others: DemandRate::default(),
             unreported: 0,
             last_retry_at: now,
@@ -78,8 +78,8 @@
     if own.usual <= 0.0 {
         return 1.0;
     }
-    let one_request = 1.0 / SMOOTHING.as_secs_f64();
-    let deviation = (own.usual / SMOOTHING.as_secs_f64()).sqrt();
+    let one_request = 1.0 / SMOOTHING_TIME.as_secs_f64();
+    let deviation = (own.usual / SMOOTHING_TIME.as_secs_f64()).sqrt();
     let significant = own.recent - one_request - SIGNIFICANT_DEVIATIONS * deviation;
     (own.recent / own.usual).min(1.0).max(significant / own.usual)
 }
--- a/lib/src/coordination/throttle/region.rs
+++ b/lib/src/coordination/throttle/region.rs
@@ -7,8 +7,8 @@
 use super::ServiceHash;
 use super::demand::DemandRate;
 
-/// Part of a rate that boxes share evenly while some are unreachable. The demand on those changes
-/// without being reported.
+/// Part of a rate that boxes share evenly while some are unreachable. The demand on unreachable
+/// boxes changes without being reported.
 const EVEN_SHARE: f64 = 0.3;
 
 /// The last reports of another box of the region.
--- a/lib/src/coordination/unlisted.rs
+++ b/lib/src/coordination/unlisted.rs
@@ -20,7 +20,7 @@
 /// lists all of it by then, and none need be named.
 const LISTING_GRACE: Duration = Duration::from_secs(1);
 /// Maximum number of boxes named in a datagram: some 700 bytes, which fit one packet.
-pub const MAX_NAMED: usize = 16;
+pub const MAX_NAMED_BOXES: usize = 16;
 
 /// A box that sends datagrams.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -121,7 +121,7 @@
             self.neighbors.values().filter(|entry| now >= entry.first_received_at + LISTING_GRACE);
         let mut newest: Vec<&NeighborEntry> = unlisted.collect();
         newest.sort_by_key(|entry| std::cmp::Reverse(entry.last_received_at));
-        let records = newest.into_iter().take(MAX_NAMED).map(
+        let records = newest.into_iter().take(MAX_NAMED_BOXES).map(
             |NeighborEntry { neighbor, last_received_at, .. }| NeighborRecord {
                 box_hash: neighbor.box_hash,
                 region: neighbor.region.clone(),
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -56,16 +56,16 @@
 /// and the requests of that time count.
 #[derive(Clone, Debug)]
 pub struct Warmup {
-    /// Until when requests may count that this box does not know of.
+    /// Until when requests may count that this box sent before its start and has no record of.
     unknown_until: Option<Instant>,
     sent: VecDeque<Instant>,
 }
 
 impl Warmup {
-    /// Creates the record. Requests before `unknown_before`, the start of the box, are not known. A
-    /// killed box serves again within half a second; with a full share for each incarnation, a
-    /// server that may get 6 requests in a second from all boxes got 7 when these were killed twice
-    /// within a second.
+    /// Creates the record. The box has no record of requests before `unknown_before`, its start. A
+    /// killed box serves again within half a second. With a full share for each incarnation of a
+    /// box, a server that may get 6 requests in a second from all boxes got 7 when the boxes were
+    /// killed twice within a second.
     pub fn new(unknown_before: Option<Instant>) -> Warmup {
         let unknown_until = unknown_before.map(|before| before + RATE_WINDOW);
         Warmup { unknown_until, sent: VecDeque::new() }
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -303,14 +303,14 @@
     /// Removes everything that a full read of the store doesn't list.
     pub fn retain_listed(
         &mut self,
-        seen: &BTreeSet<Subject>,
+        seen_subjects: &BTreeSet<Subject>,
         boxes: &BTreeSet<BoxId>,
         now: Instant,
     ) {
         let servers = self.servers.keys().cloned().map(Subject::Server);
         let evacuated = self.evacuated.keys().cloned().map(Subject::Evacuation);
         let removed: Vec<Subject> =
-            servers.chain(evacuated).filter(|subject| !seen.contains(subject)).collect();
+            servers.chain(evacuated).filter(|subject| !seen_subjects.contains(subject)).collect();
         for subject in removed {
             self.remove(&subject, now);
         }
@@ -367,9 +367,9 @@
     /// such boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns
     /// whether any of them is new.
     pub fn record_senders(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
-        let known = self.senders.len();
+        let previous_len = self.senders.len();
         self.senders.extend(senders.map(|sender| (sender, now)));
-        self.senders.len() != known
+        self.senders.len() != previous_len
     }
 
     /// The store's entry about an incarnation of a server.
--- a/lib/src/gateway/control/peer_sync.rs
+++ b/lib/src/gateway/control/peer_sync.rs
@@ -111,8 +111,8 @@
     }
 
     /// Address of a box whose state is newer than that of this one. A box that doesn't watch the
-    /// store gets it at once, and a watching one only after a lag that following the store doesn't
-    /// explain.
+    /// store gets the address at once. A watching box gets it only if its lag is longer than the
+    /// gap between two watches and some slow calls explain.
     pub(super) fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
         if self.last_peer_query_at.is_some_and(|at| now < at + MIN_QUERY_GAP) {
             return None;
@@ -121,7 +121,7 @@
             None if self.watching => self.watch_gap() + WATCH_LAG_ALLOWANCE,
             _ => Duration::ZERO,
         };
-        lock(&self.shared.freshness).peer_to_ask(allowed_lag, now)
+        lock(&self.shared.freshness).peer_to_query(allowed_lag, now)
     }
 
     /// Applies the state of another box. Returns whether this box then has the same state.
--- a/lib/src/gateway/decision_log.rs
+++ b/lib/src/gateway/decision_log.rs
@@ -36,7 +36,7 @@
     SharedPrefix::of(&job.metadata.segments).map_or(0, |prefix| prefix.id())
 }
 
-/// A request that crashed servers before is sent to a server.
+/// Logs that a request that crashed servers before is sent to a server.
 pub fn on_trial(job: &Job, server: &str, suspicion: Suspicion, shares_server: bool) {
     let Suspicion { crashes, crashes_of_caller, callers, server_count } = suspicion;
     log::info!(
@@ -48,7 +48,7 @@
     );
 }
 
-/// A backend server was chosen.
+/// Logs that a backend server was chosen.
 pub fn placed(job: &Job, history: &RequestHistory, place: &Place, state: StateSummary) {
     log::info!(
         target: TARGET,
@@ -74,7 +74,7 @@
     );
 }
 
-/// The request is forwarded to a box of another region.
+/// Logs that the request is forwarded to a box of another region.
 pub fn passed_on(job: &Job, history: &RequestHistory, address: SocketAddr, reason: ForwardReason) {
     log::info!(
         target: TARGET,
@@ -90,7 +90,7 @@
     );
 }
 
-/// A send got no response.
+/// Logs that a send got no response to forward.
 pub fn attempt_failed(job: &Job, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
@@ -105,7 +105,7 @@
     );
 }
 
-/// The request ended with a failure of the gateway.
+/// Logs that the request ended with a failure of the gateway.
 pub fn failed(id: &str, job: Option<&Job>, history: &RequestHistory, failure: &Failure) {
     log::info!(
         target: TARGET,
@@ -121,7 +121,7 @@
     );
 }
 
-/// The request ended with a server's response.
+/// Logs that the request ended with a server's response.
 pub fn answered(job: &Job, history: &RequestHistory, status: u16) {
     log::info!(
         target: TARGET,
@@ -134,7 +134,7 @@
     );
 }
 
-/// A stream broke and is resumed on another server.
+/// Logs that a stream broke and is resumed on another server.
 pub fn stream_broken(
     job: &Job,
     history: &RequestHistory,
@@ -195,7 +195,7 @@
     }
 }
 
-/// A server that broke off responses no longer accepts connections, so it has crashed while
+/// Logs that a server that broke off responses no longer accepts connections: it has crashed while
 /// the listed requests ran.
 fn server_ended(server: &str, runs: &[InterruptedRequest]) {
     let request_names: Vec<String> =
@@ -207,7 +207,7 @@
     );
 }
 
-/// A stream ended, completely or not.
+/// Logs that a stream ended, completely or not.
 pub fn stream_ended(
     job: &Job,
     history: &RequestHistory,
--- a/lib/src/gateway/event.rs
+++ b/lib/src/gateway/event.rs
@@ -4,7 +4,7 @@
 /// An event for the control thread.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The operator requests a stop. A second one means at once.
+    /// The operator requests a stop. A second request ends the process at once.
     Stop,
     /// The settings may have changed.
     Reload,
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -41,7 +41,7 @@
 /// receive it.
 const REWRITE_GAP: Duration = Duration::from_secs(1);
 /// Maximum number of verdicts in one call.
-const MAX_BATCH: usize = 16;
+const MAX_VERDICTS_PER_CALL: usize = 16;
 /// Maximum pause between attempts to write while the store is unavailable.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
@@ -138,11 +138,11 @@
 
 /// Parses the store key of a verdict.
 fn parse_verdict_key(key: &str) -> Option<Target> {
-    let (content, who) = key.strip_prefix(QUARANTINE)?.split_once('/')?;
+    let (content, caller_part) = key.strip_prefix(QUARANTINE)?.split_once('/')?;
     let content = u64::from_str_radix(content, 16).ok()?;
-    let caller = match who {
+    let caller = match caller_part {
         ANY_CALLER => None,
-        who => Some(u64::from_str_radix(who, 16).ok()?),
+        caller_part => Some(u64::from_str_radix(caller_part, 16).ok()?),
     };
     Some(Target { content, caller })
 }
@@ -153,7 +153,7 @@
         shared.verdicts.notified().await;
         let mut pause = store::RETRY_DELAY;
         loop {
-            let targets = lock(&shared.quarantine).unwritten_verdicts(MAX_BATCH);
+            let targets = lock(&shared.quarantine).unwritten_verdicts(MAX_VERDICTS_PER_CALL);
             if targets.is_empty() {
                 break;
             }
@@ -193,8 +193,13 @@
 
 fn to_row(target: Target, lease: u64) -> KeyWrite {
     let Target { content, caller } = target;
-    let who = caller.map_or_else(|| ANY_CALLER.to_owned(), |caller| format!("{caller:016x}"));
+    let caller_part =
+        caller.map_or_else(|| ANY_CALLER.to_owned(), |caller| format!("{caller:016x}"));
     // Serializing two numbers can't fail.
     let value = serde_json::to_vec(&StoredVerdict { content, caller }).unwrap_or_default();
-    KeyWrite { key: format!("{QUARANTINE}{content:016x}/{who}"), value: Bytes::from(value), lease }
+    KeyWrite {
+        key: format!("{QUARANTINE}{content:016x}/{caller_part}"),
+        value: Bytes::from(value),
+        lease,
+    }
 }
--- a/lib/src/gateway/replica.rs
+++ b/lib/src/gateway/replica.rs
@@ -72,9 +72,9 @@
 
     /// Removes all keys that a full read doesn't list.
     pub fn retain_keys(&mut self, keys: &BTreeSet<String>) {
-        let gone: Vec<String> =
+        let removed_keys: Vec<String> =
             self.entries.keys().filter(|key| !keys.contains(*key)).cloned().collect();
-        for key in gone {
+        for key in removed_keys {
             self.drop_entry(&key);
         }
         // The revisions of these removals are unknown.
@@ -108,9 +108,9 @@
     pub fn removed_after(&self, after: Position) -> Option<impl Iterator<Item = u64>> {
         let Position { era, revision } = after;
         let is_complete_since = |after| era == self.version.position.era && revision >= after;
-        let known = self.removals.complete_after.is_some_and(is_complete_since);
+        let is_complete = self.removals.complete_after.is_some_and(is_complete_since);
         let log = self.removals.log.iter();
-        known.then(|| log.filter(move |(at, _)| *at > revision).map(|(_, hash)| *hash))
+        is_complete.then(|| log.filter(move |(at, _)| *at > revision).map(|(_, hash)| *hash))
     }
 
     /// Digests of all entries, each over key, revision and value.
--- a/lib/src/gateway/shared.rs
+++ b/lib/src/gateway/shared.rs
@@ -110,7 +110,7 @@
     pub quarantine: Mutex<Quarantine>,
     /// When the store responded to this box again after an outage.
     pub store_recovered_at: Mutex<Option<Instant>>,
-    /// Eras that the store has reported to this box.
+    /// Newest era of the store that was reported to this box.
     pub eras: NewestEra,
     /// Notified when the other boxes of the region must get a report at once.
     pub region_update: Notify,
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -50,7 +50,7 @@
 const MAX_QUERY_BYTES: usize = 1 << 20;
 /// Maximum wait for one box: two round trips to the farthest region.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before the next box is queried as well: longer than one such round trip.
+/// Delay before the next box is queried in parallel: longer than one such round trip.
 const NEXT_SEED_DELAY: Duration = Duration::from_millis(150);
 
 /// The state that the requesting box already has.
@@ -215,12 +215,12 @@
     };
     let keys = if removed.is_some() { Vec::new() } else { replica.key_hashes().collect() };
     let version = replica.version();
-    let known = lock(&shared.freshness).version();
+    let known_version = lock(&shared.freshness).version();
     // This box may know a newer position than its replica has: other boxes may have reported that
     // nothing changed since.
-    let same_digest = known.digest == version.digest;
+    let same_digest = known_version.digest == version.digest;
     let position =
-        if same_digest { version.position.max(known.position) } else { version.position };
+        if same_digest { version.position.max(known_version.position) } else { version.position };
     let recovered_ago = *lock(&shared.store_recovered_at);
     let recovered_ago = recovered_ago.map(clock::since).filter(|ago| *ago < ROLLBACK_GRACE);
     let returned_ms = recovered_ago.map(|ago| ago.as_millis() as u64);
--- a/lib/tests/common/propagation.rs
+++ b/lib/tests/common/propagation.rs
@@ -320,7 +320,7 @@
     fn query_peer(&mut self, number: usize) {
         let node = &self.boxes[number];
         let allowed_lag = if node.watches { Duration::from_millis(1200) } else { Duration::ZERO };
-        let Some(address) = node.freshness.peer_to_ask(allowed_lag, self.now) else { return };
+        let Some(address) = node.freshness.peer_to_query(allowed_lag, self.now) else { return };
         if node.query_pending {
             return;
         }
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -79,7 +79,7 @@
     assert_eq!(freshness.age(later), Some(SECOND + LATENCY));
     freshness.record_peer(&peer(2, version(4), Duration::ZERO), later);
     assert_eq!(freshness.age(later), Some(LATENCY));
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, later), None);
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, later), None);
 }
 
 #[test]
@@ -92,10 +92,10 @@
     freshness.record_peer(&peer(3, version(5), Duration::ZERO), now + SECOND);
     let later = now + 2 * SECOND;
     assert_eq!(freshness.age(later), Some(2 * SECOND));
-    assert_eq!(freshness.peer_to_ask(3 * SECOND, later), None);
-    assert_eq!(freshness.peer_to_ask(2 * SECOND, later), Some(address(1)));
+    assert_eq!(freshness.peer_to_query(3 * SECOND, later), None);
+    assert_eq!(freshness.peer_to_query(2 * SECOND, later), Some(address(1)));
     freshness.record_state(version(7), Some(now), later);
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, later), None);
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, later), None);
 }
 
 #[test]
@@ -106,7 +106,7 @@
         confirmed_by_store(&mut freshness, version(revision), now);
         freshness.record_peer(&peer(1, version(revision + 1), Duration::ZERO), now);
         now += SECOND;
-        assert_eq!(freshness.peer_to_ask(2 * SECOND, now), None);
+        assert_eq!(freshness.peer_to_query(2 * SECOND, now), None);
     }
 }
 
@@ -117,9 +117,9 @@
     confirmed_by_store(&mut freshness, version(5), now);
     freshness.record_peer(&peer(1, version(7), Duration::ZERO), now);
     freshness.forget_newer_peer();
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), None);
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, now), None);
     freshness.record_peer(&peer(2, version(6), Duration::ZERO), now);
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, now), Some(address(2)));
 }
 
 fn item(key: &str, revision: Revision) -> KeyValue {
@@ -289,10 +289,10 @@
     confirmed_by_store(&mut freshness, version_in(1, 9), now);
     assert!(!freshness.record_peer(&peer(1, version_in(0, 20), Duration::ZERO), now));
     assert!(freshness.record_peer(&peer(2, version_in(2, 7), Duration::ZERO), now));
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, now), Some(address(2)));
     // Between two newer states, the later era counts as well.
     freshness.record_peer(&peer(3, version_in(1, 12), Duration::ZERO), now);
-    assert_eq!(freshness.peer_to_ask(Duration::ZERO, now), Some(address(2)));
+    assert_eq!(freshness.peer_to_query(Duration::ZERO, now), Some(address(2)));
 }
 
 #[test]
--- a/lib/tests/test_unlisted.rs
+++ b/lib/tests/test_unlisted.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use copperweir_lib::coordination::unlisted::MAX_NAMED;
+use copperweir_lib::coordination::unlisted::MAX_NAMED_BOXES;
 use copperweir_lib::coordination::unlisted::Neighbor;
 use copperweir_lib::coordination::unlisted::Unlisted;
 
@@ -63,5 +63,5 @@
     }
     let named = unlisted.neighbor_records(begin + Duration::from_millis(1100));
     let hashes: Vec<u64> = named.iter().map(|named| named.box_hash).collect();
-    assert_eq!(hashes, (0..100).rev().take(MAX_NAMED).collect::<Vec<u64>>());
+    assert_eq!(hashes, (0..100).rev().take(MAX_NAMED_BOXES).collect::<Vec<u64>>());
 }
