--- a/lib/src/coordination/feedback.rs
+++ b/lib/src/coordination/feedback.rs
@@ -197,7 +197,7 @@
     ) {
         let SentRequest { place, request, .. } = sent_request;
         let interrupted =
-            InterruptedRequest { request, sent_at: place.taken_at, interrupted_at: now };
+            InterruptedRequest { request, sent_at: place.reserved_at, interrupted_at: now };
         match self.interrupted.record(place.incarnation, interrupted, now) {
             NextStep::AwaitProbe => {}
             NextStep::Probe => effects.probe = true,
--- a/lib/src/coordination/membership.rs
+++ b/lib/src/coordination/membership.rs
@@ -204,7 +204,7 @@
         true
     }
 
-    /// Records that a call was answered.
+    /// Records that a box responded to a call.
     pub fn call_succeeded(&mut self, peer: SocketAddr) {
         self.failure_rate *= 1.0 - FAILURE_RATE_WEIGHT;
         if let Some(known) =
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Records that a call was not answered. Returns whether its member is dead as a result.
+    /// Records that a box did not respond to a call. Returns whether its member is dead as a
+    /// result.
     pub fn call_failed(&mut self, peer: SocketAddr, now: Instant) -> bool {
         let live = self
             .others
@@ -271,8 +272,8 @@
     }
 
     /// Advances this box's counter and forgets members whose counter has not advanced for long.
-    /// `delay` is how much later than planned the tick came: if this box was frozen, it proves
-    /// nothing that the counters have not advanced until now.
+    /// `delay` is how much later than planned the tick came: if this box was frozen, counters that
+    /// have not advanced until now are no evidence of failures.
     pub fn tick(&mut self, now: Instant, delay: Duration) {
         if delay > self.config.period {
             for known in self.others.values_mut() {
@@ -346,7 +347,7 @@
         targets
     }
 
-    /// Returns the members whose last call was not answered. They are called again.
+    /// Returns the members that did not respond to the last call. They are called again.
     fn unanswered_members(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let unanswered_members = self.live_known(now).filter(|known| known.failures > 0);
         unanswered_members.map(|known| known.member.peer_address).take(self.config.fan_out)
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -96,7 +96,7 @@
     /// Whether the server is or may be cold.
     pub cold: bool,
     /// When the place was reserved.
-    pub taken_at: Instant,
+    pub reserved_at: Instant,
     awaiting_first_byte: bool,
 }
 
@@ -133,7 +133,7 @@
 /// The servers of one service in this region, as one box sees them.
 pub struct Placement {
     servers: BTreeMap<ServerId, Candidate>,
-    sharers: usize,
+    sharing_boxes: usize,
     max_connections: f64,
     health_path: Option<String>,
     /// Requests a second that a cold server may get.
@@ -153,7 +153,7 @@
     pub fn new(started_at: Instant) -> Placement {
         Placement {
             servers: BTreeMap::new(),
-            sharers: 0,
+            sharing_boxes: 0,
             max_connections: 0.0,
             health_path: None,
             cold_rate: 0.0,
@@ -164,15 +164,15 @@
         }
     }
 
-    /// Replaces the known servers; `sharers` is the number of boxes that send to them.
+    /// Replaces the known servers; `sharing_boxes` is the number of boxes that send to them.
     pub fn update(
         &mut self,
         states: Vec<ServerState>,
-        sharers: usize,
+        sharing_boxes: usize,
         service: &Service,
         now: Instant,
     ) {
-        self.sharers = sharers;
+        self.sharing_boxes = sharing_boxes;
         self.health_path.clone_from(&service.health_path);
         self.cold_rate = service.warmup_rate;
         self.max_connections = service.max_connections as f64 * MAX_CONNECTION_FRACTION;
@@ -185,7 +185,7 @@
                     candidate
                 }
                 earlier => {
-                    // Nothing known of the earlier incarnation applies to the new one, but the
+                    // The state of the earlier incarnation does not apply to the new one, but the
                     // server may have received its cold share just before.
                     let restarted_at = earlier.map(|_| now);
                     let removed_at = self.removed_at.get(&id).copied();
@@ -205,7 +205,7 @@
         self.servers.values().any(|candidate| candidate.is_usable())
     }
 
-    /// Chooses a server and takes a place there.
+    /// Chooses a server and reserves a place there.
     pub fn choose(
         &mut self,
         request: PlacementRequest<'_>,
@@ -213,7 +213,9 @@
         rng: &mut impl Rng,
     ) -> Result<Place, Blocked> {
         let selection = Selection {
-            unreported_boxes: self.sharers.saturating_sub(1 + request.loads.reporting_boxes()),
+            unreported_boxes: self
+                .sharing_boxes
+                .saturating_sub(1 + request.loads.reporting_boxes()),
             home: self.home(request.parts),
             // Servers without a health path cannot be probed; they would be limited for as long as
             // the store is away.
@@ -302,7 +304,7 @@
             candidates,
             at_home,
             cold: candidate.is_cold(selection.stale, selection.now),
-            taken_at: selection.now,
+            reserved_at: selection.now,
             awaiting_first_byte: true,
         }
     }
--- a/lib/src/coordination/placement/status.rs
+++ b/lib/src/coordination/placement/status.rs
@@ -118,7 +118,7 @@
     /// The usable servers that may turn cold.
     pub fn probe_targets(&mut self, now: Instant) -> impl Iterator<Item = ProbeTarget<'_>> {
         // All boxes are assumed to use a server equally.
-        let (rate, sharers) = (self.cold_rate, self.sharers.max(1) as f64);
+        let (rate, sharing_boxes) = (self.cold_rate, self.sharing_boxes.max(1) as f64);
         let usable = self.servers.iter_mut().filter(|(_, candidate)| candidate.is_usable());
         // A server that is resting gets nothing, so it does not matter whether it is cold.
         let rest_periods = &self.rest_periods;
@@ -131,7 +131,10 @@
             address: candidate.state.server.address,
             hash: candidate.hash,
             incarnation: candidate.incarnation,
-            probe_interval: warmup::probe_interval(rate, candidate.sent_per_second(now) * sharers),
+            probe_interval: warmup::probe_interval(
+                rate,
+                candidate.sent_per_second(now) * sharing_boxes,
+            ),
         })
     }
 
--- a/lib/src/coordination/placement/utilization.rs
+++ b/lib/src/coordination/placement/utilization.rs
@@ -22,7 +22,7 @@
     /// Utilization of the servers. A server with a rate limit counts with the slots that this rate
     /// occupies; a server that is resting does not count.
     pub fn utilization(&self, loads: &Loads, throttles: &Throttles, now: Instant) -> Utilization {
-        let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
+        let unreported_boxes = self.sharing_boxes.saturating_sub(1 + loads.reporting_boxes());
         let mut utilization = Utilization::default();
         for candidate in self.servers.values() {
             if candidate.is_usable()
@@ -43,7 +43,7 @@
     /// Whether no server currently accepts requests by its own report: each server is leaving,
     /// resting, or has its rate limit used up.
     pub fn is_closed(&mut self, loads: &Loads, throttles: &Throttles, now: Instant) -> bool {
-        let unreported_boxes = self.sharers.saturating_sub(1 + loads.reporting_boxes());
+        let unreported_boxes = self.sharing_boxes.saturating_sub(1 + loads.reporting_boxes());
         let (mut resting, mut throttled, mut saturated) = (false, false, false);
         for candidate in self.servers.values_mut().filter(|candidate| candidate.is_usable()) {
             let load = candidate.load(loads, unreported_boxes);
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -325,8 +325,8 @@
         let mut candidates = Vec::with_capacity(self.servers.len());
         let (mut load, mut slots) = (0.0, 0.0);
         for (id, server) in &self.servers {
-            let rest_periods = !self.rest_periods.admits(server.hash, server.in_flight, now);
-            if !server.is_available() || server.health.is_ejected(now) || rest_periods {
+            let is_resting = !self.rest_periods.admits(server.hash, server.in_flight, now);
+            if !server.is_available() || server.health.is_ejected(now) || is_resting {
                 continue;
             }
             let candidate = server.candidate(id, now);
--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -230,7 +230,7 @@
         Some(if crashes >= CRASHES_FOR_ISOLATION { Audience::AllRegions } else { Audience::Region })
     }
 
-    /// Whether the request was answered after the crash: boxes that do not know this still report
+    /// Whether the request succeeded after the crash. Boxes without that information still report
     /// the crash.
     fn is_outdated(&self, content: ContentHash, crash: &Crash) -> bool {
         let target = Target { content, caller: Some(crash.caller) };
@@ -251,8 +251,8 @@
         targets.into_iter().find(is_expired)
     }
 
-    /// Records that a request was answered with success, so that it does not crash every server.
-    /// Returns whether others must be notified.
+    /// Records that a request succeeded, so that it does not crash every server. Returns whether
+    /// other boxes must be notified.
     pub fn record_success(&mut self, request: Fingerprint, now: Instant) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request.content) else { return false };
         suspect.evidence.clear(request.caller);
@@ -344,8 +344,9 @@
             .chain(self.executions.reserved_by_peers(now))
     }
 
-    /// Those of these servers that must not execute the request at all: with as many crashes as a
-    /// verdict needs, it and another such request would continue to crash servers together.
+    /// Those of [`Quarantine::servers_with_suspects`] that must not execute the request at all: if
+    /// it has as many crashes as a verdict needs, it and another such request would continue to
+    /// crash servers together.
     pub fn reserved_servers(
         &self,
         request: Fingerprint,
@@ -375,7 +376,8 @@
         due.flat_map(|content| self.executions.servers(*content)).cloned().collect()
     }
 
-    /// Records the servers on which another box executes such requests.
+    /// Records the servers on which another box executes requests with as many crashes as a verdict
+    /// needs.
     pub fn receive_reserved_servers(&mut self, sender: u64, servers: &[ServerId], now: Instant) {
         self.executions.receive(sender, servers, now);
     }
@@ -560,8 +562,9 @@
         verdict.stored |= stored;
     }
 
-    /// Crashes for a report: for boxes of this region those that this box observed, for others all
-    /// of suspicious requests. Requests with the most crashes come first.
+    /// Crashes for a report: those that this box observed, and all crashes under requests with at
+    /// least [`CRASHES_FOR_ISOLATION`] of them. Boxes of other regions get only crashes under such
+    /// requests. Requests with the most crashes come first.
     pub fn crash_reports(&self, audience: Audience, now: Instant) -> Vec<wire::CrashReport> {
         let recent =
             self.suspects.iter().filter(|(_, suspect)| now < suspect.last_crash_at + NEWS_DURATION);
--- a/lib/src/coordination/quarantine/evidence.rs
+++ b/lib/src/coordination/quarantine/evidence.rs
@@ -15,7 +15,7 @@
 const MAX_CRASHES: usize = 12;
 
 /// Crashes less than this apart have one cause: machines of one failure domain lose power within
-/// some milliseconds, and boxes learn of it with different latencies.
+/// some milliseconds, and boxes notice it with different latencies.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(40);
 
 /// Crash of a server under a request.
--- a/lib/src/coordination/quarantine/wire.rs
+++ b/lib/src/coordination/quarantine/wire.rs
@@ -30,7 +30,7 @@
     /// Hash of the caller; `None` if requests of all callers are refused.
     #[prost(fixed64, optional, tag = "2")]
     pub caller: Option<u64>,
-    /// How much longer the request is refused, milliseconds; 0 if it was answered and is not the
+    /// How much longer the request is refused, milliseconds; 0 if it succeeded and is not the
     /// cause.
     #[prost(uint32, tag = "3")]
     pub left_ms: u32,
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -43,11 +43,11 @@
 }
 
 impl ColdLimit {
-    /// Share of the box with rank `rank` among `sharers` for the server: an even share, or one
+    /// Share of the box with rank `rank` among `sharing_boxes` for the server: an even share, or one
     /// request for the first boxes if there is less than one for each.
-    pub fn share(&self, sharers: usize, rank: usize) -> u32 {
+    pub fn share(&self, sharing_boxes: usize, rank: usize) -> u32 {
         let total = ((self.rate * self.excess + self.slack) * SAFETY_FACTOR).floor();
-        let even_share = (total / sharers.max(1) as f64).floor();
+        let even_share = (total / sharing_boxes.max(1) as f64).floor();
         if even_share >= 1.0 { even_share as u32 } else { u32::from((rank as f64) < total) }
     }
 }
--- a/lib/src/gateway/box_reports.rs
+++ b/lib/src/gateway/box_reports.rs
@@ -324,8 +324,8 @@
     }
     // This report tells unlisted boxes of other regions about each other, and which box to query
     // for a newer state. They get no reports for a long time while their datagrams do not arrive.
-    // So this report doesn't confirm the age of their state, and they probe servers to learn
-    // whether these are cold.
+    // So this report doesn't confirm the age of their state, and these boxes probe servers to find
+    // out which are cold.
     report.state_age_ms = None;
     let now = clock::now();
     let since = now.checked_sub(REPORT_INTERVAL).unwrap_or(now);
@@ -335,7 +335,7 @@
 }
 
 /// Reduces a report to what boxes of other regions need: the load of this region instead of that of
-/// single servers, and only those server crashes that are suspicious.
+/// single servers, and only server crashes under requests that have seen several.
 fn reduce_for_other_regions<A: Adapter>(shared: &Shared<A>, report: &mut BoxReport) {
     let now = clock::now();
     report.servers.clear();
@@ -368,7 +368,7 @@
         let presence = lock(&shared.presence);
         let boxes = snapshot.boxes.iter().chain(&snapshot.expired_boxes);
         let region_boxes = boxes.filter(|other| other.region == shared.settings.region);
-        // A box that leaves no longer sends once it is silent.
+        // A leaving box no longer sends requests once its datagrams have stopped.
         let is_sending = |other: &&BoxRecord| {
             presence.serves(other) || presence.has_recent_datagram(&other.name, now)
         };
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -184,7 +184,8 @@
             && self.rollback.is_settling(now)
             && before.incarnation == incarnation
         {
-            // The entry comes from the older copy of the store, and is older than what it replaces.
+            // The entry comes from the older copy of the store, and is older than the entry that it
+            // replaces.
             changed_at = before.changed_at;
             cold_until = cold_until.max(before.cold_until);
         }
@@ -479,7 +480,7 @@
     if service.warmup_rate <= 0.0 {
         return None;
     }
-    let bound = warmup::ColdLimit {
+    let limit = warmup::ColdLimit {
         rate: service.warmup_rate,
         excess: context.cold_excess,
         slack: context.cold_slack,
@@ -487,5 +488,5 @@
     let id_hash = candidate::server_hash(&server.id);
     let own_weight = rendezvous::mix(presence::box_hash(&context.own_record.name), id_hash);
     let ranks_ahead = |other: &&u64| rendezvous::mix(**other, id_hash) > own_weight;
-    Some(bound.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
+    Some(limit.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
 }
