--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -11,8 +11,6 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rand::Rng;
-
 use super::invariant;
 use super::invariant::Invariant;
 use super::lending::Borrower;
@@ -21,16 +19,18 @@
 use super::queue::Queue;
 use super::queue::QueuedRequest;
 use super::queue::RequestId;
+use super::token_bucket::TokenBucket;
+
 use super::rest_period::RestPeriods;
 use super::retry_spread::RetrySpread;
 use super::server::Server;
 pub use super::server::ServerSnapshot;
 use super::server::smooth;
-use super::token_bucket::TokenBucket;
 use crate::error::ErrorKind;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
 use crate::protocol::config::Priority;
+use rand::Rng;
 
 /// Number of requests that the even shares of all boxes add up to, as a factor of the pool's slots.
 /// The factor is over 1, because a slot is idle while it waits for the next request. Engines apply
@@ -325,8 +325,8 @@
         let mut candidates = Vec::with_capacity(self.servers.len());
         let (mut load, mut slots) = (0.0, 0.0);
         for (id, server) in &self.servers {
-            let rest_periods = !self.rest_periods.admits(server.hash, server.in_flight, now);
-            if !server.is_available() || server.health.is_ejected(now) || rest_periods {
+            let is_resting = !self.rest_periods.admits(server.hash, server.in_flight, now);
+            if !server.is_available() || server.health.is_ejected(now) || is_resting {
                 continue;
             }
             let candidate = server.candidate(id, now);
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -43,11 +43,11 @@
 }
 
 impl ColdLimit {
-    /// Share of the box with rank `rank` among `sharers` for the server: an even share, or one
+    /// Share of the box with rank `rank` among `sharing_boxes` for the server: an even share, or one
     /// request for the first boxes if there is less than one for each.
-    pub fn share(&self, sharers: usize, rank: usize) -> u32 {
+    pub fn share(&self, sharing_boxes: usize, rank: usize) -> u32 {
         let total = ((self.rate * self.excess + self.slack) * SAFETY_FACTOR).floor();
-        let even_share = (total / sharers.max(1) as f64).floor();
+        let even_share = (total / sharing_boxes.max(1) as f64).floor();
         if even_share >= 1.0 { even_share as u32 } else { u32::from((rank as f64) < total) }
     }
 }
@@ -56,16 +56,16 @@
 /// and the requests of that time count.
 #[derive(Clone, Debug)]
 pub struct Warmup {
-    /// Until when requests may count that this box does not know of.
+    /// Until when requests may count that this box sent before its start and has no record of.
     unknown_until: Option<Instant>,
     sent: VecDeque<Instant>,
 }
 
 impl Warmup {
-    /// Creates the record. Requests before `unknown_before`, the start of the box, are not known. A
-    /// killed box serves again within half a second; with a full share for each incarnation, a
-    /// server that may get 6 requests in a second from all boxes got 7 when these were killed twice
-    /// within a second.
+    /// Creates the record. The box has no record of requests before `unknown_before`, its start. A
+    /// killed box serves again within half a second. With a full share for each incarnation of a
+    /// box, a server that may get 6 requests in a second from all boxes got 7 when the boxes were
+    /// killed twice within a second.
     pub fn new(unknown_before: Option<Instant>) -> Warmup {
         let unknown_until = unknown_before.map(|before| before + RATE_WINDOW);
         Warmup { unknown_until, sent: VecDeque::new() }
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -184,7 +184,8 @@
             && self.rollback.is_settling(now)
             && before.incarnation == incarnation
         {
-            // The entry comes from the older copy of the store, and is older than what it replaces.
+            // The entry comes from the older copy of the store, and is older than the entry that it
+            // replaces.
             changed_at = before.changed_at;
             cold_until = cold_until.max(before.cold_until);
         }
@@ -303,14 +304,14 @@
     /// Removes everything that a full read of the store doesn't list.
     pub fn retain_listed(
         &mut self,
-        seen: &BTreeSet<Subject>,
+        seen_subjects: &BTreeSet<Subject>,
         boxes: &BTreeSet<BoxId>,
         now: Instant,
     ) {
         let servers = self.servers.keys().cloned().map(Subject::Server);
         let evacuated = self.evacuated.keys().cloned().map(Subject::Evacuation);
         let removed: Vec<Subject> =
-            servers.chain(evacuated).filter(|subject| !seen.contains(subject)).collect();
+            servers.chain(evacuated).filter(|subject| !seen_subjects.contains(subject)).collect();
         for subject in removed {
             self.remove(&subject, now);
         }
@@ -367,9 +368,9 @@
     /// such boxes sent 21 requests in a second to a cold server where 17 are allowed. Returns
     /// whether any of them is new.
     pub fn record_senders(&mut self, senders: impl Iterator<Item = u64>, now: Instant) -> bool {
-        let known = self.senders.len();
+        let previous_len = self.senders.len();
         self.senders.extend(senders.map(|sender| (sender, now)));
-        self.senders.len() != known
+        self.senders.len() != previous_len
     }
 
     /// The store's entry about an incarnation of a server.
@@ -479,7 +480,7 @@
     if service.warmup_rate <= 0.0 {
         return None;
     }
-    let bound = warmup::ColdLimit {
+    let limit = warmup::ColdLimit {
         rate: service.warmup_rate,
         excess: context.cold_excess,
         slack: context.cold_slack,
@@ -487,5 +488,5 @@
     let id_hash = candidate::server_hash(&server.id);
     let own_weight = rendezvous::mix(presence::box_hash(&context.own_record.name), id_hash);
     let ranks_ahead = |other: &&u64| rendezvous::mix(**other, id_hash) > own_weight;
-    Some(bound.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
+    Some(limit.share(sharing_boxes.len(), sharing_boxes.iter().filter(ranks_ahead).count()))
 }
