--- a/lib/src/daemon/control/heartbeats.rs
+++ b/lib/src/daemon/control/heartbeats.rs
@@ -46,7 +46,7 @@
         self.update_watcher_role(now);
         let period = self.gossip.membership.config().period;
         lock(&self.shared.limiter).tick(period, now);
-        self.log_members(now);
+        self.apply_member_changes(now);
         self.publish();
         for target in self.gossip.membership.heartbeat_targets(now, &mut self.rng) {
             self.send_heartbeat(target, now);
@@ -143,7 +143,7 @@
         // this box, not by the peer.
         let was_suspended = now.saturating_duration_since(sent_at) > MAX_HEARTBEAT_CALL_DURATION;
         if !was_suspended && self.gossip.membership.call_failed(peer, now) {
-            self.log_members(now);
+            self.apply_member_changes(now);
             self.publish();
             self.send_urgent_heartbeats();
         }
@@ -187,7 +187,7 @@
             self.fetch_configuration_from(peer);
         }
         if effects.members_changed {
-            self.log_members(now);
+            self.apply_member_changes(now);
             self.publish();
         }
         self.pools_dirty |= effects.load_changed;
--- a/lib/src/daemon/control/mod.rs
+++ b/lib/src/daemon/control/mod.rs
@@ -151,13 +151,19 @@
     platform: Platform,
     backend: backend::Client,
     metrics: Option<metrics::StatsdSink>,
+    /// Whether this box watches the store for its region.
     is_watcher: Arc<AtomicBool>,
     fetch_in_progress: Arc<AtomicBool>,
+    /// Name, incarnation and whether it is leaving, of each box as last logged.
     logged_members: BTreeSet<(String, u64, bool)>,
+    /// Whether server states changed since the pools were last refreshed.
     pools_dirty: bool,
+    /// Peers that were queried for the initial configuration.
     queried_peers: BTreeSet<SocketAddr>,
     probe_targets: Vec<servers::ProbeTarget>,
+    /// Number of announcement intervals since the start.
     announce_tick: u32,
+    /// Whether each server is reachable and leaving, as last logged.
     logged_server_states: BTreeMap<ServerId, (bool, bool)>,
     rng: SmallRng,
 }
@@ -345,7 +351,8 @@
         }
     }
 
-    /// Publishes the control state to the traffic threads.
+    /// Publishes the control state to the traffic threads. Once the box is ready,
+    /// its phase becomes [`Phase::Serving`] and it is announced.
     fn publish(&mut self) {
         let now = clock::now();
         let was_ready = self.shared.snapshot.load().ready;
@@ -377,8 +384,9 @@
         }
     }
 
-    /// Logs each appearance, disappearance and phase change of a box once.
-    fn log_members(&mut self, now: Instant) {
+    /// Logs each appearance, disappearance and phase change of a box once, and
+    /// updates the rate limiter and the probes for the live boxes.
+    fn apply_member_changes(&mut self, now: Instant) {
         let logged_key = |member: &Member| {
             (member.name.clone(), member.incarnation, member.phase == Phase::Leaving)
         };
--- a/lib/src/daemon/control/servers.rs
+++ b/lib/src/daemon/control/servers.rs
@@ -45,7 +45,8 @@
 }
 
 impl Control {
-    /// Creates the pools that the configuration declares.
+    /// Creates the pools that the configuration declares and assigns the probes of
+    /// their servers.
     pub(super) fn configure_pools(&mut self) {
         let boxes = self.region_box_count(clock::now());
         let pools =
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -64,6 +64,7 @@
 
 /// Outcome of one attempt.
 enum AttemptOutcome {
+    /// The response head has arrived.
     Responded(Box<RelayedResponse>),
     /// The request did not run; another server may be tried.
     NotRun(Failure),
@@ -83,6 +84,8 @@
     place_and_attempt(shared, request).await.map_err(|failure| request.check_failure(failure))
 }
 
+/// Obtains a slot or another region and makes an attempt there, until one
+/// responds or no retry is allowed.
 async fn place_and_attempt(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -142,14 +145,15 @@
         let in_time = clock::now() < request.deadline;
         let has_attempts_left =
             !tried_servers.is_empty() && tried_servers.len() - resting_count < MAX_ATTEMPTS;
-        if !(may_repeat && in_time && has_attempts_left && may_retry(&pool)) {
+        if !(may_repeat && in_time && has_attempts_left && take_retry(&pool)) {
             return Err(failure_after_attempts(request, failure));
         }
         shared.counters.increment(Counter::Retries);
     }
 }
 
-fn may_retry(pool: &pools::SharedPool) -> bool {
+/// Takes one retry from the pool's retry budget. Returns whether one was left.
+fn take_retry(pool: &pools::SharedPool) -> bool {
     pool.with(|pool| pool.take_retry(clock::now()))
 }
 
@@ -196,6 +200,7 @@
     Ok(())
 }
 
+/// Makes one attempt on the server that the slot belongs to.
 async fn attempt_on_server(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -97,11 +97,15 @@
     }
 }
 
+/// Why a request got no response from another box.
 enum SendError {
+    /// Nothing was sent.
     NotSent(String),
+    /// The box reported a failure, or the request may have run.
     Failed(Failure),
 }
 
+/// Sends a request to a box and waits for the first frame of the response.
 async fn send_to_box(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -192,6 +196,7 @@
     }
 }
 
+/// Creates the response from its first frame, which is a head or a failure.
 fn read_first_frame(
     frames: Streaming<wire::ForwardFrame>,
     first_frame: Option<wire::ForwardFrame>,
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -59,7 +59,8 @@
 const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
 /// Time to live of a claim in the store.
 pub const CLAIM_TTL: Duration = Duration::from_secs(3600);
-/// A request may no longer be sent within this time before its claim expires.
+/// Time before the expiry of a claim from which its request may no longer be
+/// sent.
 const CLAIM_SAFETY_MARGIN: Duration = Duration::from_secs(60);
 /// Number of response parts that are buffered for a slow caller.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
@@ -97,6 +98,9 @@
         lock(&self.inner).ledger.contains(key)
     }
 
+    /// Looks up a key in the ledger and reserves it if it is new. If an earlier
+    /// request with the key is still running, also returns a receiver that
+    /// completes when that request ends.
     fn begin(
         &self,
         key: &Key,
@@ -183,6 +187,8 @@
     Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
+/// Returns the response to a request that does not run: the replayed response,
+/// or why there is none.
 fn response_from_admission(
     shared: &SharedState,
     admission: Admission,
@@ -227,6 +233,7 @@
     }
 }
 
+/// Determines which box may run a keyed request.
 fn key_owner(
     shared: &SharedState,
     request: &ValidatedRequest,
@@ -407,6 +414,8 @@
     dispatch::run(shared, request).await.map(GatewayResponse::from)
 }
 
+/// Claims a key in the store. Returns the ticket in the claim, which is that of
+/// another request if the key was claimed before.
 async fn claim_key(
     shared: &SharedState,
     key: &Key,
--- a/lib/src/daemon/peer_service.rs
+++ b/lib/src/daemon/peer_service.rs
@@ -137,6 +137,8 @@
     }
 }
 
+/// Rejects a forwarded request that has passed through this box before or too
+/// many boxes, or that was sent to another region or incarnation.
 fn check_target(shared: &SharedState, forwarded: &wire::ForwardRequest) -> Result<(), Failure> {
     let name = &shared.settings.name;
     let within_hop_limit =
@@ -205,6 +207,7 @@
 
 /// Frames of a response to another box.
 pub struct ResponseFrames {
+    /// Head or failure, sent before the body.
     first: Option<Frame>,
     body: Option<ResponseBody<Relay>>,
     bytes_sent: u64,
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -166,6 +166,7 @@
         self.grant(placement)
     }
 
+    /// Converts a placement to a grant, which owns the slot that the pool reserved.
     fn grant(self: &Arc<Self>, placement: Placement) -> Result<Grant, Failure> {
         match placement {
             Placement::Region(region) => Ok(Grant::Region(region)),
@@ -179,6 +180,7 @@
         }
     }
 
+    /// Sends grants or refusals to waiting requests.
     fn deliver_grants(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
             let grant = self.grant(wake.placement);
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -84,6 +84,7 @@
 /// Error that ends a truncated stream after its error event was sent.
 struct PendingError {
     error: BodyError,
+    /// Whether the HTTP server had a chance to write the error event.
     flushed: bool,
 }
 
@@ -92,8 +93,10 @@
     source: ResponseSource,
     accounting: RequestAccounting,
     is_event_stream: bool,
+    /// Last bytes of a stream of events.
     tail: Vec<u8>,
     bytes_relayed: u64,
+    /// Time from the arrival of the request to the first byte of the response.
     first_byte: Option<Duration>,
     idle_timeout: Duration,
     last_data_at: Instant,
@@ -158,6 +161,7 @@
         }
     }
 
+    /// Returns whether the source has sent nothing for the idle timeout.
     fn poll_idle_timeout(&mut self, context: &mut Context<'_>) -> bool {
         while self.idle_timer.as_mut().poll(context).is_ready() {
             let deadline = self.last_data_at + self.idle_timeout;
@@ -174,6 +178,7 @@
         !self.is_event_stream || contains(&self.tail, STREAM_END_MARKER)
     }
 
+    /// Accounts for a complete response and releases its connection and slot.
     fn complete(&mut self) {
         self.ended = true;
         let now = clock::now();
@@ -196,6 +201,8 @@
         self.accounting.shared.counters.increment(Counter::Answered);
     }
 
+    /// Accounts for a truncated response. Returns the error, or first an error
+    /// event if the response is a stream of events.
     fn fail(&mut self, error: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.accounting.shared.counters.increment(Counter::Cut);
         if let Some(slot) = &mut self.accounting.slot {
--- a/lib/src/protocol/config/check.rs
+++ b/lib/src/protocol/config/check.rs
@@ -84,6 +84,7 @@
 }
 
 impl Checker {
+    /// Checks each kind of item in all files before the kinds that refer to it.
     fn check(&mut self, files: &[Parsed<'_>]) {
         for (document, raw) in files {
             self.check_regions(document, raw);
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -182,6 +182,7 @@
 const FLAG_LEAVING: u32 = 2;
 const FLAG_LISTED: u32 = 4;
 
+/// Parses reports and drops those older than [`MAX_REPORT_AGE`].
 fn parse_reports(raw: &wire::ServerReports) -> Result<Vec<ServerReport>, MalformedField> {
     let rows = raw.server.len();
     let columns = [raw.load.len(), raw.flags.len(), raw.age_ms.len()];
--- a/lib/src/state/burn.rs
+++ b/lib/src/state/burn.rs
@@ -1,8 +1,8 @@
 //! The burn rate of the error budget of each objective.
 //!
 //! A burn rate of 1 spends exactly the budget; with a rate over 1, the objective will be missed if
-//! the rate persists. Counts are reported for several windows, so that both short bursts and slow
-//! leaks are visible. The counts are kept in time slices in the memory of one box. A replaced box
+//! the rate persists. Counts are reported for several windows, so that both short bursts of failures
+//! and low failure rates that last are visible. The counts are kept in time slices in the memory of one box. A replaced box
 //! starts from zero; the report says for how long it has counted.
 
 use std::collections::BTreeMap;
@@ -118,6 +118,8 @@
         }
     }
 
+    /// Returns the counts of the current slice, which is a new one if the last one has reached its
+    /// length. Drops the slices that have left the longest window.
     fn current_slice(&mut self, objective: &str, now: Instant) -> &mut RequestCounts {
         if !self.slices.contains_key(objective) {
             self.slices.insert(objective.to_owned(), VecDeque::new());
--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -203,6 +203,8 @@
         response.map(|body| PooledBody { body, connection, reuse })
     }
 
+    /// Removes the most recently stored idle connection, preferring one that is ready. Closes idle
+    /// connections that may no longer be reused.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&(traffic_thread::index(), address))?;
--- a/lib/src/transport/peer.rs
+++ b/lib/src/transport/peer.rs
@@ -94,6 +94,8 @@
         request
     }
 
+    /// Converts the status of a failed call. If the box is unavailable, its channel is dropped, so
+    /// that the next call connects again.
     fn call_error(&self, address: SocketAddr, status: Status) -> CallError {
         if status.code() == tonic::Code::Unavailable {
             self.lock().remove(&(traffic_thread::index(), address));
--- a/lib/src/transport/platform.rs
+++ b/lib/src/transport/platform.rs
@@ -72,6 +72,7 @@
         Platform { address, client: Client::default(), counters }
     }
 
+    /// Sends a call and counts it.
     async fn call(&self, call: Call) -> Result<(StatusCode, Bytes), PlatformError> {
         let is_read = call.method == Method::GET;
         self.counters.increment(if is_read { Counter::StoreReads } else { Counter::StoreWrites });
