--- a/lib/src/error.rs
+++ b/lib/src/error.rs
@@ -112,7 +112,7 @@
     RateLimited "rate_limited" 429 "rate_limit_error" NO, Retry::After(1), "The team is over its rate limit.";
     QueueFull "queue_full" 503 "overloaded_error" NO, Retry::After(2), "The pool's queue is full.";
     Throttled "throttled" 503 "overloaded_error" NO, Retry::After(1), "The backend servers are at the rate limits that they report.";
-    WouldBeLate "would_be_late" 503 "overloaded_error" NO, Retry::After(2), "The request cannot be answered before its deadline.";
+    WouldBeLate "would_be_late" 503 "overloaded_error" NO, Retry::After(2), "The response would arrive after the deadline of the request.";
     NoServer "no_server" 503 "overloaded_error" NO, Retry::After(5), "No backend server that may execute the request can be reached.";
     NotReady "not_ready" 503 "unavailable_error" NO, Retry::After(1), "The box has no configuration yet.";
     Leaving "leaving" 503 "unavailable_error" NO, Retry::After(0), "The box is leaving.";
--- a/lib/src/protocol/config/shape.rs
+++ b/lib/src/protocol/config/shape.rs
@@ -4,11 +4,11 @@
 use crate::protocol::schema::Shape;
 
 const PRIORITY: Shape = Shape::Enum(&["low", "normal", "high"]);
-const TEXTS: Shape = Shape::List(&Shape::String);
+const STRINGS: Shape = Shape::List(&Shape::String);
 
 const REGION: Shape = Shape::Object(&[Field::required(
     "failure_domains",
-    TEXTS,
+    STRINGS,
     "Names of the region's failure domains.",
 )]);
 
@@ -30,12 +30,12 @@
     Field::optional(
         "checks_epochs",
         Shape::Boolean,
-        "Whether it rejects orders with an old epoch. Default: false.",
+        "Whether the server rejects orders with an old epoch. Default: false.",
     ),
     Field::optional(
         "leaving",
         Shape::Boolean,
-        "Whether to take it out of service. Default: false.",
+        "Whether to take the server out of service. Default: false.",
     ),
 ]);
 
@@ -79,19 +79,23 @@
 ]);
 
 const RESIDENCY: Shape =
-    Shape::Object(&[Field::required("regions", TEXTS, "Regions that the rule allows.")]);
+    Shape::Object(&[Field::required("regions", STRINGS, "Regions that the rule allows.")]);
 
 const TEAM: Shape = Shape::Object(&[
-    Field::optional("keys_sha256", TEXTS, "SHA-256 of each of the team's keys, in hex."),
+    Field::optional("keys_sha256", STRINGS, "SHA-256 of each of the team's keys, in hex."),
     Field::optional(
         "anonymous",
         Shape::Boolean,
         "Whether requests without a key belong to this team. Default: false.",
     ),
-    Field::optional("models", TEXTS, "Models that the team may use; \"*\" for all. Default: none."),
+    Field::optional(
+        "models",
+        STRINGS,
+        "Models that the team may use; \"*\" for all. Default: none.",
+    ),
     Field::optional(
         "services",
-        TEXTS,
+        STRINGS,
         "Services that the team may use; \"*\" for all. Default: none.",
     ),
     Field::optional(
--- a/lib/src/protocol/events.rs
+++ b/lib/src/protocol/events.rs
@@ -1,7 +1,7 @@
 //! Splits a byte stream of server-sent events into complete events.
 //!
-//! A backend server may break off in the middle of an event. Only complete events are passed on, so
-//! the ID of the last event tells exactly what a caller has received.
+//! The response of a backend server may break off in the middle of an event. Only complete events
+//! are passed on, so a caller has received exactly the events up to the ID of the last one.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -38,8 +38,8 @@
         self.incomplete.is_empty()
     }
 
-    /// Discards an incomplete event, so that another stream can be continued from the last complete
-    /// one.
+    /// Discards an incomplete event, so that another response can continue the stream after the last
+    /// complete one.
     pub fn discard_incomplete(&mut self) {
         self.incomplete.clear();
     }
--- a/lib/src/protocol/peer.rs
+++ b/lib/src/protocol/peer.rs
@@ -178,6 +178,7 @@
     }
 }
 
+// Bits of `wire::ServerReports::flags`.
 const FLAG_REACHABLE: u32 = 1;
 const FLAG_LEAVING: u32 = 2;
 const FLAG_LISTED: u32 = 4;
--- a/lib/src/state/counters.rs
+++ b/lib/src/state/counters.rs
@@ -37,8 +37,8 @@
 
 counters! {
     Requests "requests" "Requests that arrived from callers.";
-    Answered "answered" "Requests answered by a backend server.";
-    Failed "failed" "Requests answered with an error of the gateway.";
+    Answered "answered" "Requests that received a complete response from a backend server.";
+    Failed "failed" "Requests that failed with an error of the gateway.";
     Refused "refused" "Failed requests that were not executed.";
     ServersEnded "servers_ended" "Backend servers found to have crashed while they executed requests of this box.";
     Quarantined "quarantined" "Requests rejected because backend servers had crashed while executing them.";
--- a/lib/src/state/latency.rs
+++ b/lib/src/state/latency.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 
 /// The largest value of a histogram; longer times are recorded as this value.
-const MAX_MS: u64 = 60_000;
+const MAX_RECORDED_MS: u64 = 60_000;
 /// The precision of a histogram, in significant decimal digits.
 const SIGNIFICANT_FIGURES: u8 = 2;
 /// The percentiles on the metrics page, from 0 to 100.
@@ -60,7 +60,7 @@
 impl Default for Latencies {
     fn default() -> Latencies {
         let histogram = || {
-            Histogram::new_with_max(MAX_MS, SIGNIFICANT_FIGURES)
+            Histogram::new_with_max(MAX_RECORDED_MS, SIGNIFICANT_FIGURES)
                 .expect("the bounds are constants that fit")
         };
         let histograms = Timing::ALL.iter().map(|_| histogram()).collect();
@@ -72,7 +72,7 @@
     /// Records a duration.
     pub fn record(&self, timing: Timing, time: Duration) {
         let mut histograms = self.histograms.lock().unwrap_or_else(PoisonError::into_inner);
-        let milliseconds = u64::try_from(time.as_millis()).unwrap_or(MAX_MS);
+        let milliseconds = u64::try_from(time.as_millis()).unwrap_or(MAX_RECORDED_MS);
         histograms[timing as usize].saturating_record(milliseconds);
     }
 
--- a/lib/src/transport/engine.rs
+++ b/lib/src/transport/engine.rs
@@ -121,7 +121,7 @@
         .map_err(|error| OrderError::Failed(error.to_string()))?;
     let result = timer::timeout(timeout, client.fetch(address, request)).await;
     match result {
-        Err(_) => Err(OrderError::Failed("no answer in time".to_owned())),
+        Err(_) => Err(OrderError::Failed("no response in time".to_owned())),
         Ok(Err(error)) => Err(OrderError::Failed(error.to_string())),
         Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Err(OrderError::Fenced),
         Ok(Ok(response)) if response.status().is_success() => Ok(response.into_body()),
--- a/lib/tests/test_once.rs
+++ b/lib/tests/test_once.rs
@@ -49,10 +49,10 @@
         let id = format!("filing-{}", key.len());
         let replies = fleet.block_on(async {
             let mut tasks = Vec::new();
-            for attempt in 0..12 {
+            for number in 0..12 {
                 let (client, key) = (fleet.client.clone(), key.to_owned());
                 let (address, body) =
-                    (plan.callers_address(0, attempt % 3), json!({"id": id}).to_string());
+                    (plan.callers_address(0, number % 3), json!({"id": id}).to_string());
                 tasks.push(tokio::spawn(async move {
                     let headers = [("idempotency-key", key.as_str())];
                     let path = "/services/intake/filings";
