--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -56,7 +56,7 @@
     pub status: StatusCode,
     /// HTTP headers for the caller.
     pub headers: HeaderMap,
-    /// Region that runs the request.
+    /// Region that executes the request.
     pub region: RegionId,
     /// Response body.
     pub relay: Relay,
@@ -66,13 +66,13 @@
 enum AttemptOutcome {
     /// The response head has arrived.
     Responded(Box<RelayedResponse>),
-    /// The request did not run; another server may be tried.
+    /// The request was not executed; another server may be tried.
     NotRun(Failure),
-    /// The request did not run, and the server asked for a rest period. Does
-    /// not count toward the maximum number of attempts, because later requests
+    /// The request was not executed, and the server asked for a rest period.
+    /// Does not count toward the maximum number of attempts, because later requests
     /// skip this server.
     Resting(Failure),
-    /// The request may have run.
+    /// The request may have been executed.
     MayHaveRun(Failure),
 }
 
@@ -113,7 +113,7 @@
                 match forward::to_region(shared, request, &region, in_flight_guard).await {
                     Ok(response) => AttemptOutcome::Responded(Box::new(response)),
                     // A region that is unreachable or refuses the request must not cause
-                    // a refusal if the request can run here: credits of a region stay
+                    // a refusal if this box's own region can execute it: credits of a region stay
                     // usable for seconds after its last heartbeat.
                     Err(failure)
                         if failure.executed() == Executed::No && !request.may_have_been_sent() =>
@@ -157,9 +157,9 @@
     pool.with(|pool| pool.take_retry(clock::now()))
 }
 
-/// Corrects the failure of a request after earlier attempts. If one of them may
-/// have run, the request must not be reported as "not run", whatever happened
-/// later.
+/// Corrects the failure of a request after earlier attempts. If the request may
+/// have been executed in one of them, it must not be reported as not executed,
+/// whatever happened later.
 fn failure_after_attempts(request: &ValidatedRequest, failure: Failure) -> Failure {
     if failure.executed() != Executed::No || !request.may_have_been_sent() {
         return failure;
@@ -186,8 +186,8 @@
     }
 }
 
-/// Fails if the request was forwarded to this region but may not run here, or
-/// may not run anywhere.
+/// Fails if the request was forwarded to this region but may not be executed
+/// here, or if no region may execute it.
 fn check_region(request: &ValidatedRequest) -> Result<(), Failure> {
     let own = &request.snapshot.own.region;
     if request.allowed_regions.contains(own) {
@@ -281,7 +281,7 @@
     }
 }
 
-/// Whether the backend server states that it did not run the request.
+/// Whether the backend server states that it did not execute the request.
 fn server_reports_not_run(response: &Response<PooledBody>) -> bool {
     let status = response.status();
     let is_refusal =
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -1,5 +1,5 @@
 //! Forwards requests to other boxes: to the owner of an idempotency key, or to
-//! another region that may run the request.
+//! another region that may execute the request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -42,7 +42,7 @@
 /// unreachable.
 const MAX_BOXES_TRIED: usize = 2;
 
-/// Forwards a request to a box of another region, which runs it.
+/// Forwards a request to a box of another region, which executes it.
 pub async fn to_region(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -71,7 +71,7 @@
     Err(failure)
 }
 
-/// Forwards a request to the owner of its key, which runs the request or
+/// Forwards a request to the owner of its key, which executes the request or
 /// replays its response.
 pub async fn to_owner(
     shared: &Arc<SharedState>,
@@ -101,7 +101,8 @@
 enum SendError {
     /// Nothing was sent.
     NotSent(String),
-    /// The box reported a failure, or the request may have run.
+    /// The box reported a failure, or the request may have been
+    /// executed.
     Failed(Failure),
 }
 
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -1,10 +1,10 @@
-//! Requests with an idempotency key: each runs at most once, and its response
-//! is replayed.
+//! Requests with an idempotency key: each is executed at most once, and its
+//! response is replayed.
 //!
 //! A ticket is checked against the ledger of the box that issued it. A key
 //! chosen by the caller is first claimed in the platform's store. The value of
 //! a claim is a ticket of the claiming box, so both kinds of key use the same
-//! ledger. Each run is a separate task: it continues if its caller disconnects,
+//! ledger. Each execution is a separate task: it continues if its caller disconnects,
 //! and the caller gets the response on the next request with the same key.
 
 use bytes::Bytes;
@@ -131,7 +131,7 @@
     pub status: StatusCode,
     /// HTTP headers for the caller.
     pub headers: HeaderMap,
-    /// Region that ran the request.
+    /// Region that executed the request.
     pub region: RegionId,
     /// Response body.
     pub body: ResponseBody<Relay>,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Which box may run a keyed request.
+/// Which box may execute a keyed request.
 enum KeyOwner {
     /// This box. The key cannot be presented after `expires_at`.
     Local { expires_at: Instant, needs_claim: bool },
@@ -187,8 +187,8 @@
     Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
-/// Returns the response to a request that does not run: the replayed response,
-/// or why there is none.
+/// Returns the response to a request that is not executed: the replayed
+/// response, or why there is none.
 fn response_from_admission(
     shared: &SharedState,
     admission: Admission,
@@ -233,7 +233,7 @@
     }
 }
 
-/// Determines which box may run a keyed request.
+/// Determines which box may execute a keyed request.
 fn key_owner(
     shared: &SharedState,
     request: &ValidatedRequest,
@@ -279,7 +279,7 @@
         .map(GatewayResponse::from)
 }
 
-/// Guard that concludes the key when dropped, however the run ends.
+/// Guard that concludes the key when dropped, however the execution ends.
 struct RunGuard {
     shared: Arc<SharedState>,
     key: Key,
@@ -323,7 +323,8 @@
         Err(failure) => {
             let not_run_here = needs_claim && request.send_deadline.is_none();
             run_guard.conclusion = match failure.executed() {
-                // The box that owns the key records whether the request ran.
+                // The box that owns the key records whether the request was
+                // executed.
                 _ if not_run_here => Conclusion::NotRun,
                 Executed::No => Conclusion::NotRun,
                 Executed::Unknown => Conclusion::Unknown,
@@ -389,8 +390,8 @@
     ticket: String,
 }
 
-/// Claims a caller's key in the store, then runs the request. If another box
-/// has claimed the key, forwards the request to that box.
+/// Claims a caller's key in the store, then executes the request. If another
+/// box has claimed the key, forwards the request to that box.
 async fn claim_and_run(
     shared: &Arc<SharedState>,
     request: &mut ValidatedRequest,
@@ -408,7 +409,7 @@
         return forward_to_owner(shared, request, &claimant).await;
     }
     // This incarnation holds the claim, from this request or an earlier one. If
-    // an earlier request had run, the ledger would contain its key.
+    // an earlier request had been executed, the ledger would contain its key.
     let claimed_at = shared.started_at + claimant.issued;
     request.send_deadline = Some(claimed_at + CLAIM_TTL - CLAIM_SAFETY_MARGIN);
     dispatch::run(shared, request).await.map(GatewayResponse::from)
--- a/lib/src/daemon/operator_api.rs
+++ b/lib/src/daemon/operator_api.rs
@@ -85,7 +85,7 @@
 pub struct PoolStatus {
     /// Name of the pool.
     pub name: String,
-    /// Number of this box's requests that run on the pool's servers.
+    /// Number of this box's requests that the pool's servers execute.
     pub in_flight: u32,
     /// Number of requests in this box's queue.
     pub waiting: usize,
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -35,7 +35,7 @@
 use crate::protocol::config::Priority;
 use crate::state::clock;
 
-/// Where a request may run.
+/// Where a request may be executed.
 #[derive(Debug)]
 pub enum Grant {
     /// On a backend server of this region, with the slot reserved for it.
--- a/lib/src/daemon/relay.rs
+++ b/lib/src/daemon/relay.rs
@@ -66,7 +66,7 @@
     pub shared: Arc<SharedState>,
     /// Control state that the decisions about the request are based on.
     pub snapshot: Arc<Snapshot>,
-    /// Pool that runs the request.
+    /// Pool that executes the request.
     pub pool: PoolId,
     /// When the request arrived.
     pub arrived_at: Instant,
@@ -75,7 +75,7 @@
     /// Whether the caller sent the request to this box, which then records its
     /// error-budget burn.
     pub from_caller: bool,
-    /// Slot that the request holds; `None` if another box runs it.
+    /// Slot that the request holds; `None` if another box executes it.
     pub slot: Option<Slot>,
     /// Counts the request as in flight.
     pub in_flight_guard: InFlightGuard,
--- a/lib/src/daemon/request.rs
+++ b/lib/src/daemon/request.rs
@@ -1,4 +1,5 @@
-//! A validated request: its target, the regions that may run it and its deadline.
+//! A validated request: its target, the regions that may execute it and its
+//! deadline.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -38,7 +39,7 @@
 /// backend server is chosen.
 const PROMPT_PREFIX_BYTES: usize = 1024;
 /// Maximum number of boxes that a request may pass through before the box that
-/// runs it.
+/// executes it.
 pub const MAX_VISITED_BOXES: usize = 2;
 
 /// How a request reached this box.
@@ -48,7 +49,7 @@
     Caller,
     /// Another box forwarded it because this box owns its idempotency key.
     Owner,
-    /// A box of another region forwarded it to be run in this region.
+    /// A box of another region forwarded it to be executed in this region.
     Region,
 }
 
@@ -80,9 +81,9 @@
     pub incoming: IncomingRequest,
     /// Control state that all decisions about this request are based on.
     pub snapshot: Arc<Snapshot>,
-    /// Pool that runs the request.
+    /// Pool that executes the request.
     pub pool: PoolId,
-    /// Regions where the request may run.
+    /// Regions that may execute the request.
     pub allowed_regions: BTreeSet<RegionId>,
     /// Priority in the queue.
     pub priority: Priority,
@@ -94,7 +95,7 @@
     pub stream: bool,
     /// Path and query for the backend server.
     pub backend_path: String,
-    /// Idempotency key, under which the request runs at most once.
+    /// Idempotency key, under which the request is executed at most once.
     pub key: Option<String>,
     /// The request may not be sent after this time, because its claim in the
     /// store may have expired.
@@ -217,7 +218,7 @@
     }
 
     /// Checks a failure before it is reported: it may state that the request
-    /// did not run only if nothing was sent.
+    /// was not executed only if nothing was sent.
     pub fn check_failure(&self, failure: Failure) -> Failure {
         let claims_not_run = failure.executed() == Executed::No;
         invariant::check(
@@ -229,7 +230,7 @@
     }
 
     /// Undoes one [`record_send`](Self::record_send) of a request of which nothing
-    /// was written or that the receiver did not run.
+    /// was written or that the receiver did not execute.
     pub fn undo_send(&self) {
         self.send_count.fetch_sub(1, Ordering::AcqRel);
     }
