--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -7,9 +7,9 @@
 //! sending, it closes the connection, which tells the backend server that the
 //! response is no longer needed.
 
-use std::sync::Arc;
-use std::time::Instant;
-
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -17,15 +17,14 @@
 use http::Uri;
 use http::header;
 use http_body_util::Full;
+use std::sync::Arc;
+use std::time::Instant;
 
 use super::forward;
 use super::pools;
 use super::pools::Grant;
 use super::pools::Slot;
 use super::relay::Relay;
-use super::relay::RequestAccounting;
-use super::relay::ResponseSource;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::request::is_forwarded_header;
 use super::shared::InFlightGuard;
@@ -56,7 +55,7 @@
     pub status: StatusCode,
     /// HTTP headers for the caller.
     pub headers: HeaderMap,
-    /// Region that runs the request.
+    /// Region that executes the request.
     pub region: RegionId,
     /// Response body.
     pub relay: Relay,
@@ -64,14 +63,15 @@
 
 /// Outcome of one attempt.
 enum AttemptOutcome {
+    /// The response head has arrived.
     Responded(Box<RelayedResponse>),
-    /// The request did not run; another server may be tried.
+    /// The request was not executed; another server may be tried.
     NotRun(Failure),
-    /// The request did not run, and the server asked for a rest period. Does
-    /// not count toward the maximum number of attempts, because later requests
+    /// The request was not executed, and the server asked for a rest period.
+    /// Does not count toward the maximum number of attempts, because later requests
     /// skip this server.
     Resting(Failure),
-    /// The request may have run.
+    /// The request may have been executed.
     MayHaveRun(Failure),
 }
 
@@ -83,6 +83,8 @@
     place_and_attempt(shared, request).await.map_err(|failure| request.check_failure(failure))
 }
 
+/// Obtains a slot or another region and makes an attempt there, until one
+/// responds or no retry is allowed.
 async fn place_and_attempt(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -110,7 +112,7 @@
                 match forward::to_region(shared, request, &region, in_flight_guard).await {
                     Ok(response) => AttemptOutcome::Responded(Box::new(response)),
                     // A region that is unreachable or refuses the request must not cause
-                    // a refusal if the request can run here: credits of a region stay
+                    // a refusal if this box's own region can execute it: credits of a region stay
                     // usable for seconds after its last heartbeat.
                     Err(failure)
                         if failure.executed() == Executed::No && !request.may_have_been_sent() =>
@@ -142,20 +144,21 @@
         let in_time = clock::now() < request.deadline;
         let has_attempts_left =
             !tried_servers.is_empty() && tried_servers.len() - resting_count < MAX_ATTEMPTS;
-        if !(may_repeat && in_time && has_attempts_left && may_retry(&pool)) {
+        if !(may_repeat && in_time && has_attempts_left && take_retry(&pool)) {
             return Err(failure_after_attempts(request, failure));
         }
         shared.counters.increment(Counter::Retries);
     }
 }
 
-fn may_retry(pool: &pools::SharedPool) -> bool {
+/// Takes one retry from the pool's retry budget. Returns whether one was left.
+fn take_retry(pool: &pools::SharedPool) -> bool {
     pool.with(|pool| pool.take_retry(clock::now()))
 }
 
-/// Corrects the failure of a request after earlier attempts. If one of them may
-/// have run, the request must not be reported as "not run", whatever happened
-/// later.
+/// Corrects the failure of a request after earlier attempts. If the request may
+/// have been executed in one of them, it must not be reported as not executed,
+/// whatever happened later.
 fn failure_after_attempts(request: &ValidatedRequest, failure: Failure) -> Failure {
     if failure.executed() != Executed::No || !request.may_have_been_sent() {
         return failure;
@@ -182,8 +185,8 @@
     }
 }
 
-/// Fails if the request was forwarded to this region but may not run here, or
-/// may not run anywhere.
+/// Fails if the request was forwarded to this region but may not be executed
+/// here, or if no region may execute it.
 fn check_region(request: &ValidatedRequest) -> Result<(), Failure> {
     let own = &request.snapshot.own.region;
     if request.allowed_regions.contains(own) {
@@ -196,6 +199,7 @@
     Ok(())
 }
 
+/// Makes one attempt on the server that the slot belongs to.
 async fn attempt_on_server(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -276,7 +280,7 @@
     }
 }
 
-/// Whether the backend server states that it did not run the request.
+/// Whether the backend server states that it did not execute the request.
 fn server_reports_not_run(response: &Response<PooledBody>) -> bool {
     let status = response.status();
     let is_refusal =
--- a/lib/src/daemon/forward.rs
+++ b/lib/src/daemon/forward.rs
@@ -1,5 +1,5 @@
 //! Forwards requests to other boxes: to the owner of an idempotency key, or to
-//! another region that may run the request.
+//! another region that may execute the request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -42,7 +42,7 @@
 /// unreachable.
 const MAX_BOXES_TRIED: usize = 2;
 
-/// Forwards a request to a box of another region, which runs it.
+/// Forwards a request to a box of another region, which executes it.
 pub async fn to_region(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -71,7 +71,7 @@
     Err(failure)
 }
 
-/// Forwards a request to the owner of its key, which runs the request or
+/// Forwards a request to the owner of its key, which executes the request or
 /// replays its response.
 pub async fn to_owner(
     shared: &Arc<SharedState>,
@@ -97,11 +97,16 @@
     }
 }
 
+/// Why a request got no response from another box.
 enum SendError {
+    /// Nothing was sent.
     NotSent(String),
+    /// The box reported a failure, or the request may have been
+    /// executed.
     Failed(Failure),
 }
 
+/// Sends a request to a box and waits for the first frame of the response.
 async fn send_to_box(
     shared: &Arc<SharedState>,
     request: &ValidatedRequest,
@@ -192,6 +197,7 @@
     }
 }
 
+/// Creates the response from its first frame, which is a head or a failure.
 fn read_first_frame(
     frames: Streaming<wire::ForwardFrame>,
     first_frame: Option<wire::ForwardFrame>,
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -1,18 +1,14 @@
-//! Requests with an idempotency key: each runs at most once, and its response
-//! is replayed.
+//! Requests with an idempotency key: each is executed at most once, and its
+//! response is replayed.
 //!
 //! A ticket is checked against the ledger of the box that issued it. A key
 //! chosen by the caller is first claimed in the platform's store. The value of
 //! a claim is a ticket of the claiming box, so both kinds of key use the same
-//! ledger. Each run is a separate task: it continues if its caller disconnects,
+//! ledger. Each execution is a separate task: it continues if its caller disconnects,
 //! and the caller gets the response on the next request with the same key.
 
-use std::collections::HashMap;
-use std::sync::Arc;
-use std::sync::Mutex;
-use std::time::Duration;
-use std::time::Instant;
-
+use super::dispatch::RelayedResponse;
+use super::request::Purpose;
 use bytes::Bytes;
 use bytes::BytesMut;
 use http::HeaderMap;
@@ -21,14 +17,17 @@
 use rapidhash::v3::rapidhash_v3;
 use serde::Deserialize;
 use serde::Serialize;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
 use super::dispatch;
-use super::dispatch::RelayedResponse;
 use super::forward;
 use super::relay::Relay;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
@@ -59,7 +58,8 @@
 const MAX_KEPT_RESPONSE_BYTES: usize = 256 << 10;
 /// Time to live of a claim in the store.
 pub const CLAIM_TTL: Duration = Duration::from_secs(3600);
-/// A request may no longer be sent within this time before its claim expires.
+/// Time before the expiry of a claim from which its request may no longer be
+/// sent.
 const CLAIM_SAFETY_MARGIN: Duration = Duration::from_secs(60);
 /// Number of response parts that are buffered for a slow caller.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
@@ -97,6 +97,9 @@
         lock(&self.inner).ledger.contains(key)
     }
 
+    /// Looks up a key in the ledger and reserves it if it is new. If an earlier
+    /// request with the key is still running, also returns a receiver that
+    /// completes when that request ends.
     fn begin(
         &self,
         key: &Key,
@@ -127,7 +130,7 @@
     pub status: StatusCode,
     /// HTTP headers for the caller.
     pub headers: HeaderMap,
-    /// Region that ran the request.
+    /// Region that executed the request.
     pub region: RegionId,
     /// Response body.
     pub body: ResponseBody<Relay>,
@@ -144,7 +147,7 @@
     }
 }
 
-/// Which box may run a keyed request.
+/// Which box may execute a keyed request.
 enum KeyOwner {
     /// This box. The key cannot be presented after `expires_at`.
     Local { expires_at: Instant, needs_claim: bool },
@@ -183,6 +186,8 @@
     Failure::new(ErrorKind::BackendTimeout, message).with_executed(Executed::Unknown)
 }
 
+/// Returns the response to a request that is not executed: the replayed
+/// response, or why there is none.
 fn response_from_admission(
     shared: &SharedState,
     admission: Admission,
@@ -227,6 +232,7 @@
     }
 }
 
+/// Determines which box may execute a keyed request.
 fn key_owner(
     shared: &SharedState,
     request: &ValidatedRequest,
@@ -272,7 +278,7 @@
         .map(GatewayResponse::from)
 }
 
-/// Guard that concludes the key when dropped, however the run ends.
+/// Guard that concludes the key when dropped, however the execution ends.
 struct RunGuard {
     shared: Arc<SharedState>,
     key: Key,
@@ -316,7 +322,8 @@
         Err(failure) => {
             let not_run_here = needs_claim && request.send_deadline.is_none();
             run_guard.conclusion = match failure.executed() {
-                // The box that owns the key records whether the request ran.
+                // The box that owns the key records whether the request was
+                // executed.
                 _ if not_run_here => Conclusion::NotRun,
                 Executed::No => Conclusion::NotRun,
                 Executed::Unknown => Conclusion::Unknown,
@@ -382,8 +389,8 @@
     ticket: String,
 }
 
-/// Claims a caller's key in the store, then runs the request. If another box
-/// has claimed the key, forwards the request to that box.
+/// Claims a caller's key in the store, then executes the request. If another
+/// box has claimed the key, forwards the request to that box.
 async fn claim_and_run(
     shared: &Arc<SharedState>,
     request: &mut ValidatedRequest,
@@ -401,12 +408,14 @@
         return forward_to_owner(shared, request, &claimant).await;
     }
     // This incarnation holds the claim, from this request or an earlier one. If
-    // an earlier request had run, the ledger would contain its key.
+    // an earlier request had been executed, the ledger would contain its key.
     let claimed_at = shared.started_at + claimant.issued;
     request.send_deadline = Some(claimed_at + CLAIM_TTL - CLAIM_SAFETY_MARGIN);
     dispatch::run(shared, request).await.map(GatewayResponse::from)
 }
 
+/// Claims a key in the store. Returns the ticket in the claim, which is that of
+/// another request if the key was claimed before.
 async fn claim_key(
     shared: &SharedState,
     key: &Key,
--- a/lib/src/daemon/peer_service.rs
+++ b/lib/src/daemon/peer_service.rs
@@ -1,5 +1,9 @@
 //! The gRPC service for other boxes.
 
+use super::idempotency::GatewayResponse;
+use super::request::IncomingRequest;
+use super::request::MAX_VISITED_BOXES;
+use super::request::Purpose;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::Context;
@@ -19,11 +23,7 @@
 use super::dispatch;
 use super::forward;
 use super::idempotency;
-use super::idempotency::GatewayResponse;
 use super::relay::Relay;
-use super::request::IncomingRequest;
-use super::request::MAX_VISITED_BOXES;
-use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use crate::error::ErrorKind;
@@ -137,6 +137,8 @@
     }
 }
 
+/// Rejects a forwarded request that has passed through this box before or too
+/// many boxes, or that was sent to another region or incarnation.
 fn check_target(shared: &SharedState, forwarded: &wire::ForwardRequest) -> Result<(), Failure> {
     let name = &shared.settings.name;
     let within_hop_limit =
@@ -205,6 +207,7 @@
 
 /// Frames of a response to another box.
 pub struct ResponseFrames {
+    /// Head or failure, sent before the body.
     first: Option<Frame>,
     body: Option<ResponseBody<Relay>>,
     bytes_sent: u64,
--- a/lib/src/daemon/pools.rs
+++ b/lib/src/daemon/pools.rs
@@ -35,7 +35,7 @@
 use crate::protocol::config::Priority;
 use crate::state::clock;
 
-/// Where a request may run.
+/// Where a request may be executed.
 #[derive(Debug)]
 pub enum Grant {
     /// On a backend server of this region, with the slot reserved for it.
@@ -166,6 +166,7 @@
         self.grant(placement)
     }
 
+    /// Converts a placement to a grant, which owns the slot that the pool reserved.
     fn grant(self: &Arc<Self>, placement: Placement) -> Result<Grant, Failure> {
         match placement {
             Placement::Region(region) => Ok(Grant::Region(region)),
@@ -179,6 +180,7 @@
         }
     }
 
+    /// Sends grants or refusals to waiting requests.
     fn deliver_grants(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
             let grant = self.grant(wake.placement);
