--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -371,7 +371,7 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Reply {
-        self.block_on(send(&self.client, to, method, path, headers, body)).expect("an answer")
+        self.block_on(send(&self.client, to, method, path, headers, body)).expect("a response")
     }
 
     pub fn get(&self, to: SocketAddr, path: &str) -> Reply {
--- a/lib/tests/common/propagation.rs
+++ b/lib/tests/common/propagation.rs
@@ -32,7 +32,7 @@
 /// One-way latency within a region, and between two.
 const SAME_REGION_LATENCY: Duration = Duration::from_micros(500);
 const CROSS_REGION_LATENCY: Duration = Duration::from_millis(55);
-/// Time that the store or a box takes to response.
+/// Time that the store or a box takes to respond.
 const RESPONSE_TIME: Duration = Duration::from_millis(4);
 /// Time after which lost bytes of a connection are retransmitted.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -292,7 +292,7 @@
                 }
             }
             Event::SyncResponse { by, at, revision } => {
-                // The response contains what the store held when it was asked.
+                // The response contains the contents of the store when it received the call.
                 let now = self.store.version().position.revision;
                 let store = if revision == now { self.store.clone() } else { self.before.clone() };
                 self.apply_store_response(by, at, &store);
--- a/lib/tests/test_departures.rs
+++ b/lib/tests/test_departures.rs
@@ -6,7 +6,7 @@
 use copperweir_lib::coordination::departures::Departures;
 use copperweir_lib::coordination::departures::StoreEntry;
 
-/// Longer than the minimum age of an entry.
+/// Time longer than the minimum age of an entry.
 const LONG_ENOUGH: Duration = Duration::from_secs(3);
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -1,4 +1,4 @@
-//! How recent a box's state is, and which box it asks for a newer one.
+//! How recent a box's state is, and which box it queries for a newer one.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -28,7 +28,7 @@
     Version { position: position(revision), digest: revision }
 }
 
-/// Address at which a box can be asked.
+/// Address at which a box can be queried for its state.
 fn address(sender: u64) -> SocketAddr {
     ([10, 0, 0, sender as u8], 80).into()
 }
@@ -169,7 +169,7 @@
     assert_eq!(one.version(), other.version());
 }
 
-/// Transfers what one replica lacks from the other, as boxes do.
+/// Transfers the entries that one replica lacks from the other, as boxes do.
 fn catch_up(behind: &mut Replica, ahead: &Replica) {
     let after = behind.version().position;
     let removed: HashSet<u64> = ahead.removed_after(after).expect("not long ago").collect();
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -83,7 +83,7 @@
         tokio::spawn(connection);
         let uri = format!("http://{address}/v1/chat/completions");
         let request = Request::post(uri).body(Full::new(Bytes::from(body))).expect("a request");
-        let response = sender.send_request(request).await.expect("an answer");
+        let response = sender.send_request(request).await.expect("a response");
         assert_eq!(response.status(), StatusCode::OK);
         response.into_body().collect().await.expect("a whole body").to_bytes()
     });
@@ -240,7 +240,7 @@
             &[],
             &body,
         ));
-        assert!(whole.is_err(), "a broken answer was accepted as complete");
+        assert!(whole.is_err(), "a broken response was accepted as complete");
     }
 }
 
@@ -351,7 +351,7 @@
         }
         let mut replies = Vec::new();
         for (priority, reply) in pending {
-            replies.push((priority, reply.await.expect("a task").expect("an answer")));
+            replies.push((priority, reply.await.expect("a task").expect("a response")));
         }
         replies
     });
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -38,7 +38,7 @@
 const REST_PERIOD: Duration = Duration::from_secs(3);
 const COLD: Duration = Duration::from_secs(5);
 
-/// Kinds of response whose head has arrived, each with the statements of the server.
+/// Events of a response whose head, with the status of the server, has arrived.
 const HEAD_EVENTS: [AttemptEvent; 3] =
     [AttemptEvent::HeadReceived, AttemptEvent::Refused, AttemptEvent::Invalid];
 
@@ -46,7 +46,7 @@
     Fingerprint { content: 1, caller: 2 }
 }
 
-/// One server of one service, and all parts that handle feedback.
+/// One server of one service, and all tables that feedback updates.
 struct Scenario {
     placement: Placement,
     throttles: Throttles,
@@ -193,7 +193,7 @@
     }
 }
 
-/// A server's own response without a rate limit says that there is none; a refusal may omit it.
+/// A server's own response without a rate limit means that there is none; a refusal may omit it.
 #[test]
 fn the_end_of_a_rate_limit_is_read_from_complete_responses() {
     for (event, expected) in [
@@ -225,7 +225,7 @@
     }
 }
 
-/// Another instance at the address says nothing about the server that was meant.
+/// Another instance at the address does not report the status of the intended server.
 #[test]
 fn statements_of_another_instance_are_ignored() {
     let server_status = ServerStatus {
--- a/lib/tests/test_once.rs
+++ b/lib/tests/test_once.rs
@@ -61,7 +61,7 @@
             }
             let mut replies = Vec::new();
             for reply in tasks {
-                replies.push(reply.await.expect("a task").expect("an answer"));
+                replies.push(reply.await.expect("a task").expect("a response"));
             }
             replies
         });
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -246,7 +246,7 @@
     let mut fixture = Fixture::new(placement(12, 64, 1));
     let parts = prompt(5);
     let mut failed: Vec<String> = Vec::new();
-    // While any server is healthy, the next choice is one that has not failed.
+    // While any server is healthy, the next choice is a server that has not failed.
     for _ in 0..12 {
         let mut place = fixture.choose(&parts).expect("a place");
         assert!(!failed.contains(&place.server), "{} after {failed:?}", place.server);
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -365,7 +365,7 @@
 
 proptest! {
     /// Whatever is executed beside it: a request that crashes each server is refused after five
-    /// consecutive crashes, and one that is answered every second time is not refused for long.
+    /// consecutive crashes, and a request that succeeds every second time is not refused for long.
     #[test]
     fn the_cause_is_refused_and_others_are_served(
         beside in prop::collection::vec(prop::collection::vec(10_u64..40, 0..12), 5..9),
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -214,7 +214,7 @@
         reply.code() == "leaving" && reply.header("copperweir-ran") == "no"
     });
     for stream in streams {
-        let reply = fleet.block_on(stream).expect("a task").expect("a whole answer");
+        let reply = fleet.block_on(stream).expect("a task").expect("a complete response");
         assert!(reply.body.ends_with(b"data: [DONE]\n\n"));
     }
     assert_eq!(stopping.join().expect("a stop"), StopOutcome::Done);
--- a/lib/tests/test_serve_rest.rs
+++ b/lib/tests/test_serve_rest.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 
 /// Guards against ignoring the rest period that a service requests: each of
-/// eight requests was sent to the resting service, and callers were told to
+/// eight requests was sent to the resting service, and callers were asked to
 /// retry after five seconds regardless of the period.
 #[test]
 fn resting_service_gets_no_requests_and_callers_get_retry_after() {
--- a/lib/tests/test_throttle.rs
+++ b/lib/tests/test_throttle.rs
@@ -437,7 +437,7 @@
 fn outdated_rate_is_ignored() {
     let now = Instant::now();
     let mut one = Throttles::new(0.0);
-    assert!(one.record_rate(SERVER, SERVICE, Some(3.0), now), "the other boxes must be told");
+    assert!(one.record_rate(SERVER, SERVICE, Some(3.0), now), "the other boxes must be notified");
     assert!(!one.record_rate(SERVER, SERVICE, Some(3.0), now), "the rate has not changed");
     let older = one.next_report(now);
     assert!(one.record_rate(SERVER, SERVICE, None, now + Duration::from_millis(100)));
@@ -450,8 +450,8 @@
     assert_eq!(one.rate(SERVER), None);
 }
 
-/// Refused callers are asked to retry one after the other. If each were told to retry after half of
-/// the latency objective, 0.25 s, all would retry at once and be refused again.
+/// Refused callers are asked to retry one after the other. If each were asked to retry after half
+/// of the latency objective, 0.25 s, all would retry at once and be refused again.
 #[test]
 fn refused_callers_retry_one_after_the_other() {
     let now = Instant::now();
