--- a/lib/src/coordination/quota.rs
+++ b/lib/src/coordination/quota.rs
@@ -32,7 +32,7 @@
 use crate::protocol::RegionId;
 use crate::protocol::team::RateLimit;
 
-/// Identifies a team in datagrams.
+/// Hash that identifies a team in datagrams.
 pub type TeamHash = u64;
 
 /// Time for which an unreachable box or region keeps its share. It is longer than any window that a
--- a/lib/src/coordination/throttle/exchange.rs
+++ b/lib/src/coordination/throttle/exchange.rs
@@ -88,7 +88,7 @@
     }
 
     /// Merges the report of another box of the region. Returns whether the incarnation of that box
-    /// is new to this one, so that it should be sent the known rates.
+    /// is new to this one; that box should then be sent all rates that this one has.
     pub fn receive_report(
         &mut self,
         report_id: ReportId,
--- a/lib/src/gateway/lease.rs
+++ b/lib/src/gateway/lease.rs
@@ -24,7 +24,7 @@
 use crate::transport::store;
 use crate::transport::timer;
 
-/// Duration of the lease. Other boxes drop a box that is gone within this time.
+/// Time to live of the lease. Other boxes drop a box that is gone within this time.
 const LEASE_TTL: Duration = Duration::from_secs(4);
 /// Interval of renewals. Two may be lost before the lease expires.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1200);
@@ -45,7 +45,8 @@
 
 impl Lease {
     /// Whether the store may have been restored from a copy that lacks this lease. The id may
-    /// belong to another box by now, so that a successful renewal proves nothing.
+    /// belong to another box by now, so a successful renewal does not show that the lease still
+    /// exists.
     fn may_be_lost(&self, era: Era) -> bool {
         let age = self.confirmed_at.saturating_duration_since(self.granted_at);
         era != self.era && age < MAX_ROLLBACK_AGE
@@ -149,8 +150,8 @@
     }
 }
 
-/// Removes the record from the store by ending its lease, so that others need not wait for it to
-/// expire.
+/// Removes the record from the store by ending its lease, so that other boxes need not wait for it
+/// to expire.
 async fn end_lease<A: Adapter>(store: &store::Client<A>, lease: Option<Lease>) {
     let Some(lease) = lease.filter(|lease| !lease.may_be_lost(store.newest_era())) else { return };
     if let Err(error) = store.call(&Operation::Revoke(lease.id)).await {
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/relay.rs
@@ -40,7 +40,7 @@
     pub history: RequestHistory,
     /// Counts the request as in progress.
     pub in_flight_guard: InFlightGuard<A>,
-    /// When the events arrived.
+    /// Times at which the events arrived, for the log.
     pub stream_timing: StreamTiming,
 }
 
