--- a/lib/src/coordination/placement/status.rs
+++ b/lib/src/coordination/placement/status.rs
@@ -27,8 +27,8 @@
 }
 
 impl Placement {
-    /// Whether the server of a place would still get the request. Statements of the server and
-    /// changes in the store after the choice count until the request is sent.
+    /// Whether the server of a place would still get the request. Reports of the server and changes
+    /// in the store after the choice are taken into account until the request is sent.
     pub fn still_admits(&self, place: &Place, now: Instant) -> bool {
         let Some(candidate) = self.servers.get(&place.server) else { return false };
         let is_resting = self.rest_periods.until(place.incarnation, now).is_some();
@@ -120,7 +120,7 @@
         // All boxes are assumed to use a server equally.
         let (rate, sharing_boxes) = (self.cold_rate, self.sharing_boxes.max(1) as f64);
         let usable = self.servers.iter_mut().filter(|(_, candidate)| candidate.is_usable());
-        // A server that is resting gets nothing, so it does not matter whether it is cold.
+        // A server that is resting gets no requests, so it does not matter whether it is cold.
         let rest_periods = &self.rest_periods;
         let probed = usable.filter(move |(_, candidate)| {
             candidate.state.cold_share.is_some()
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -325,8 +325,8 @@
 
     /// Whether to poll the store now, because this box has just written its record or because a
     /// call failed for the first time a short while ago. A broken connection is not an outage, and
-    /// without this poll a watching box would do without the store until it is drawn, 7 s on
-    /// average among 295 boxes.
+    /// without this poll a watching box would not call the store until it is drawn to poll it, 7 s
+    /// on average among 295 boxes.
     fn take_due_check(&mut self, now: Instant) -> bool {
         self.next_check_at.take_if(|at| now >= *at).is_some()
     }
@@ -398,19 +398,19 @@
                     self.rewrite_outdated_record(&record);
                     self.cluster_state.apply_box(record);
                 }
-                Err(error) => self.unreadable_keys.note(&item.key, &error.to_string()),
+                Err(error) => self.unreadable_keys.record(&item.key, &error.to_string()),
             }
             return;
         }
         if item.key.starts_with(QUARANTINE) {
             if let Err(error) = quarantine::apply_stored_verdict(&self.shared, &item.value) {
-                self.unreadable_keys.note(&item.key, &error.to_string());
+                self.unreadable_keys.record(&item.key, &error.to_string());
             }
             return;
         }
         if item.key.starts_with(RATES) {
             if let Err(error) = throttle::apply_stored_rate(&self.shared, &item.value) {
-                self.unreadable_keys.note(&item.key, &error.to_string());
+                self.unreadable_keys.record(&item.key, &error.to_string());
             }
             return;
         }
@@ -427,7 +427,7 @@
                 if let Subject::Server(id) = &subject {
                     self.cluster_state.discard_server(id);
                 }
-                self.unreadable_keys.note(&item.key, &error);
+                self.unreadable_keys.record(&item.key, &error);
             }
         }
     }
--- a/lib/src/gateway/control/unreadable_keys.rs
+++ b/lib/src/gateway/control/unreadable_keys.rs
@@ -14,7 +14,7 @@
 
 impl UnreadableKeys {
     /// Logs that the value of `key` can't be read.
-    pub fn note(&mut self, key: &str, error: &str) {
+    pub fn record(&mut self, key: &str, error: &str) {
         if self.logged.contains(key) {
             return;
         }
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -315,7 +315,7 @@
     admitted
 }
 
-/// Counts the request for the retry budget, at the box that its caller asked.
+/// Counts the request for the retry budget, at the box that received it from the caller.
 fn count_first_send<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job) {
     if job.origin == Origin::Caller {
         shared.with_service(&job.service, |service| service.budget.record_first_send(clock::now()));
--- a/lib/src/gateway/job.rs
+++ b/lib/src/gateway/job.rs
@@ -158,8 +158,9 @@
         self.deadline.saturating_duration_since(now)
     }
 
-    /// Maximum number of servers that this box may send the request to. The box that the caller
-    /// asked counts the sends, so a box that a request was forwarded to sends it only once.
+    /// Maximum number of servers that this box may send the request to. The box that received the
+    /// request from the caller counts the sends, so a box that it was forwarded to sends it only
+    /// once.
     pub fn max_attempts(&self) -> usize {
         match self.origin {
             Origin::Caller => self.route.max_attempts,
--- a/lib/src/gateway/probe.rs
+++ b/lib/src/gateway/probe.rs
@@ -101,14 +101,14 @@
     let mut targets = Vec::new();
     for (service, state) in lock(&shared.services).iter_mut() {
         let Some(path) = state.placement.health_path().map(str::to_owned) else { continue };
-        targets.extend(state.placement.probe_targets(now).map(|turning| ProbeTarget {
+        targets.extend(state.placement.probe_targets(now).map(|target| ProbeTarget {
             service: service.clone(),
-            server: turning.server.clone(),
-            hash: turning.hash,
-            incarnation: turning.incarnation,
-            address: turning.address,
+            server: target.server.clone(),
+            hash: target.hash,
+            incarnation: target.incarnation,
+            address: target.address,
             path: path.clone(),
-            interval: turning.probe_interval,
+            interval: target.probe_interval,
         }));
     }
     let own_hash = presence::box_hash(&shared.settings.name);
@@ -129,14 +129,14 @@
         shared.with_service(service, |state| state.placement.mark_replaced(server));
         return;
     }
-    let speaker = ServerRef {
+    let server_ref = ServerRef {
         server,
         incarnation: target.incarnation,
         service: throttle::service_hash(service),
     };
     let is_refusal = response.status() != StatusCode::OK;
     let effects = feedback::with_feedback_handler(&shared, service, |handler| {
-        handler.handle_probe_response(speaker, &metadata.server_status, is_refusal, now)
+        handler.handle_probe_response(server_ref, &metadata.server_status, is_refusal, now)
     });
     feedback::publish_effects(&shared, server, &effects);
 }
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -281,8 +281,8 @@
     }
 }
 
-/// Requests from one box what this one lacks. Returns `None` if that box has no state or doesn't
-/// response.
+/// Requests from one box the entries that this one lacks. Returns `None` if that box has no state
+/// or doesn't respond.
 pub async fn fetch_from(
     client: &backend::Client,
     address: SocketAddr,
--- a/lib/tests/test_learning.rs
+++ b/lib/tests/test_learning.rs
@@ -254,9 +254,9 @@
     let mut scenario = Scenario::new();
     let place = scenario.choose().expect("a place");
     let now = scenario.now;
-    let speaker =
+    let server_ref =
         ServerRef { server: &place.server, incarnation: place.incarnation, service: SERVICE };
-    let effects = scenario.handler().handle_probe_response(speaker, &server_status, true, now);
+    let effects = scenario.handler().handle_probe_response(server_ref, &server_status, true, now);
     assert_eq!((effects.notify, effects.observations.len()), (Some(Audience::Region), 4));
     assert!(
         scenario.departures.is_leaving(place.incarnation) && scenario.placement.resting(now) == 1
