--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -563,7 +563,7 @@
     }
 
     /// Crashes for a report: those that this box observed, and all crashes under requests with at
-    /// least [`CRASHES_FOR_ISOLATION`] of them. Boxes of other regions get only crashes under such
+    /// least `CRASHES_FOR_ISOLATION` of them. Boxes of other regions get only crashes under such
     /// requests. Requests with the most crashes come first.
     pub fn crash_reports(&self, audience: Audience, now: Instant) -> Vec<wire::CrashReport> {
         let recent =
