--- a/cli/src/commands/gateway.rs
+++ b/cli/src/commands/gateway.rs
@@ -39,7 +39,7 @@
 logged; changed settings take effect at the next start.
 ";
 
-/// Log levels without `--log`.
+/// Log levels if `--log` is not given.
 const DEFAULT_LOG_LEVELS: &str = "info";
 
 /// Runs the command.
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -16,9 +16,9 @@
     Invalid(String),
     /// Another operator changed the configuration first.
     Conflict(String),
-    /// It is unknown whether the change was made.
+    /// It is unknown whether the platform made the change.
     Unresolved(String),
-    /// An address gave no response, or an unsuccessful one.
+    /// A request to a box or the platform got no response, or an unsuccessful one.
     Unreachable(String),
     /// The stop aborted this many requests in progress.
     Aborted(usize),
--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -51,7 +51,7 @@
     pub max_gap: Duration,
     /// Region that executed the request, from the response headers.
     pub region: String,
-    /// Value of the header that says whether a failed request was executed.
+    /// Value of the header that states whether a failed request was executed.
     pub ran_header: String,
 }
 
--- a/cli/src/load/report.rs
+++ b/cli/src/load/report.rs
@@ -25,7 +25,7 @@
     pub sent: usize,
     /// Number of requests with a successful response.
     pub completed: usize,
-    /// Number of error responses that say that the request was not executed.
+    /// Number of error responses that state that the request was not executed.
     pub refused: usize,
     /// Number of all other failures, including truncated responses.
     pub failed: usize,
--- a/cli/src/log_writer.rs
+++ b/cli/src/log_writer.rs
@@ -18,7 +18,8 @@
 use flexi_logger::writers::LogWriter;
 use log::Record;
 
-/// Maximum number of lines of one kind per second. A box at twice its usual traffic stays below.
+/// Maximum number of lines of one kind per second. A box at twice its usual traffic logs fewer
+/// lines.
 const MAX_LINES_PER_KIND: u32 = 250;
 /// Size limit of the buffer in bytes, enough for some seconds of a busy box.
 const MAX_BUFFER_BYTES: usize = 1 << 20;
--- a/cli/tests/test_processes.rs
+++ b/cli/tests/test_processes.rs
@@ -1,7 +1,7 @@
 //! Runs nine boxes as processes under load while random faults occur: killed, frozen and stopped
-//! boxes, regions cut off, and a failing platform. The callers record what the responses said, and
-//! the records are compared with what the service executed. This guards against filings that run
-//! twice, and against responses that misreport whether a filing ran.
+//! boxes, regions cut off, and a failing platform. The callers record the responses, and the
+//! records are compared with what the service executed. This guards against filings that run twice,
+//! and against responses that misreport whether a filing ran.
 
 #[path = "../../lib/tests/common/mod.rs"]
 mod common;
@@ -47,7 +47,7 @@
     completion_counts: Mutex<(u64, u64)>,
 }
 
-/// What the response to a filing says about its execution.
+/// What the response to a filing states about its execution.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Outcome {
     Executed,
