--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -48,7 +48,7 @@
     pub calls_per_second: usize,
     /// Number of upcoming writes that take effect but get no response.
     pub lose_answers: u32,
-    /// Reads return the value before the last write.
+    /// Makes reads return the value before the last write.
     pub stale: bool,
     /// Age of the list of boxes, in milliseconds.
     pub list_lag_ms: u64,
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -32,7 +32,7 @@
     pub slow_ms: u64,
     /// Number of upcoming filings that are executed but get no response.
     pub lose_answers: u32,
-    /// Refuses filings with a header that says that they were not executed.
+    /// Refuses filings with a header that states that they were not executed.
     pub refuse: bool,
     /// Value of `Retry-After` in refusals, in seconds.
     pub rest_s: Option<f64>,
