--- a/cli/benches/failures.rs
+++ b/cli/benches/failures.rs
@@ -36,7 +36,7 @@
     boxes: BoxProcesses,
 }
 
-/// Region and number of every box.
+/// Returns the region and number of every box.
 fn all_boxes(plan: Plan) -> impl Iterator<Item = (usize, usize)> {
     (0..plan.regions).flat_map(move |region| (0..plan.boxes).map(move |number| (region, number)))
 }
@@ -47,12 +47,12 @@
         reply.ok().filter(|reply| reply.status == StatusCode::OK)
     }
 
-    fn version(&self, (region, number): (usize, usize)) -> u64 {
+    fn configuration_version(&self, (region, number): (usize, usize)) -> u64 {
         let status = self.get(self.fleet.plan.operators_address(region, number), "/status");
         status.and_then(|reply| reply.json()["version"].as_u64()).unwrap_or(0)
     }
 
-    /// Number of boxes that a box lists for callers.
+    /// Returns the number of boxes that a box lists for callers.
     fn listed_boxes(&self, (region, number): (usize, usize)) -> usize {
         let reply = self.get(self.fleet.plan.callers_address(region, number), "/v1/boxes");
         reply.and_then(|reply| reply.json()["boxes"].as_array().map(Vec::len)).unwrap_or(0)
@@ -73,16 +73,18 @@
         self.wait_until(|| others().all(|at| self.listed_boxes(at) == count))
     }
 
-    /// Time from a change of the configuration until it is in force on all boxes.
+    /// Measures the time from a change of the configuration until it is in force on all boxes.
     fn time_configuration(&self) -> Duration {
         let file = self.fleet.plan.configuration();
         let started_at = Instant::now();
         let version = self.fleet.apply("main", &file).expect("applied");
-        self.wait_until(|| all_boxes(self.fleet.plan).all(|at| self.version(at) >= version));
+        self.wait_until(|| {
+            all_boxes(self.fleet.plan).all(|at| self.configuration_version(at) >= version)
+        });
         started_at.elapsed()
     }
 
-    /// Time from the kill of a box until no other box lists it.
+    /// Measures the time from the kill of a box until no other box lists it.
     fn time_kill(&mut self, trial: usize) -> Duration {
         let at = (trial % 3, trial / 3 % 3);
         self.boxes.send_signal(at, "-KILL");
@@ -93,7 +95,7 @@
         time
     }
 
-    /// Time from the start of a planned stop of a box until no other box lists it.
+    /// Measures the time from the start of a planned stop of a box until no other box lists it.
     fn time_stop(&mut self, trial: usize) -> Duration {
         let at = (trial % 3, trial / 3 % 3);
         self.boxes.send_signal(at, "-TERM");
@@ -104,8 +106,8 @@
         time
     }
 
-    /// Time from an engine's first report that it is leaving until its last new request, under a
-    /// steady load.
+    /// Measures the time from an engine's first report that it is leaving until its last new
+    /// request, under a steady load.
     fn time_leaving_engine(&self) -> Duration {
         let engine = &self.fleet.engines[0][0];
         engine.set_faults(engine::Faults { leaving: true, ..Default::default() });
@@ -128,7 +130,8 @@
         last_request
     }
 
-    /// Time from the end of a region cut until the newest configuration is in force in the region.
+    /// Measures the time from the end of a network partition of a region until the newest
+    /// configuration is in force in the region.
     fn time_rejoin(&self) -> Duration {
         self.fleet.set_region_partitioned(2, true);
         std::thread::sleep(SETTLE_TIME);
@@ -136,7 +139,7 @@
         let version = self.fleet.apply("main", &file).expect("applied");
         std::thread::sleep(SETTLE_TIME);
         self.fleet.set_region_partitioned(2, false);
-        self.wait_until(|| (0..3).all(|number| self.version((2, number)) >= version))
+        self.wait_until(|| (0..3).all(|number| self.configuration_version((2, number)) >= version))
     }
 
     /// Prints CPU, network and memory use of idle boxes, and their calls to the platform.
--- a/cli/src/load/mod.rs
+++ b/cli/src/load/mod.rs
@@ -86,8 +86,8 @@
     let (sender, mut receiver) = mpsc::channel(SAMPLE_CHANNEL_CAPACITY);
     let plan = Arc::new(plan);
     match plan.mode {
-        LoadMode::Rate(rate) => drop(tokio::spawn(open_loop(Arc::clone(&plan), rate, sender))),
-        LoadMode::Concurrency(count) => closed_loop(&plan, count, sender),
+        LoadMode::Rate(rate) => drop(tokio::spawn(run_open_loop(Arc::clone(&plan), rate, sender))),
+        LoadMode::Concurrency(count) => run_closed_loop(&plan, count, sender),
     }
     let mut samples = Vec::new();
     while let Some(sample) = receiver.recv().await {
@@ -96,7 +96,7 @@
     samples
 }
 
-async fn open_loop(plan: Arc<LoadPlan>, rate: f64, samples: mpsc::Sender<Sample>) {
+async fn run_open_loop(plan: Arc<LoadPlan>, rate: f64, samples: mpsc::Sender<Sample>) {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let client = Client::default();
     let start = Instant::now();
@@ -120,7 +120,7 @@
     }
 }
 
-fn closed_loop(plan: &Arc<LoadPlan>, count: usize, samples: mpsc::Sender<Sample>) {
+fn run_closed_loop(plan: &Arc<LoadPlan>, count: usize, samples: mpsc::Sender<Sample>) {
     let client = Client::default();
     let rng = Arc::new(Mutex::new(SmallRng::seed_from_u64(plan.seed)));
     let deadline = Instant::now() + plan.duration;
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -153,17 +153,17 @@
         self.lock().faults = faults;
     }
 
-    /// Number of completions started, including those whose response was lost.
+    /// Returns the number of completions started, including those whose response was lost.
     pub fn completions_started(&self) -> u64 {
         self.lock().completions_started
     }
 
-    /// Number of orders refused because their epoch was older than the current one.
+    /// Returns the number of orders refused because their epoch was older than the current one.
     pub fn refused_stale_orders(&self) -> u64 {
         self.lock().refused_stale_orders
     }
 
-    /// Names and versions of the models that the last accepted order listed.
+    /// Returns the names and versions of the models that the last accepted order listed.
     pub fn loaded_models(&self) -> Vec<serde_json::Value> {
         self.lock().loaded.models.clone()
     }
@@ -330,15 +330,15 @@
     http1::json(StatusCode::OK, &body)
 }
 
-/// FNV-1a hash of a request body, from which the tokens of the response derive. Clients compute
-/// the same hash to check a response.
+/// Returns the FNV-1a hash of a request body, from which the tokens of the response derive. Clients
+/// compute the same hash to check a response.
 pub fn prompt_hash(body: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     body.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// Text of the token at `index` in the response to a prompt with this hash.
+/// Returns the text of the token at `index` in the response to a prompt with this hash.
 pub fn token_text(hash: u64, index: u64) -> String {
     format!("{:04x}-{index} ", (hash >> 16) & 0xffff)
 }
