--- a/lib/src/coordination/candidate.rs
+++ b/lib/src/coordination/candidate.rs
@@ -32,9 +32,7 @@
 const HOME_MISS_FRACTION: f64 = 0.1;
 /// Cost of computing a shared prefix again at another server, per token. The prefix then occupies
 /// memory twice and evicts something else, and all streams of that engine wait, some ten at an
-/// engine in use. Compared with a factor of 2, the mean value of a day rose from 0.722 to 0.730 at
-/// the solar association, from 0.627 to 0.644 at the utility and from 0.823 to 0.833 at the ticket
-/// host, and a quarter to a third fewer shared tokens were computed again.
+/// engine in use. A low cost such as 2 lets servers compute many more shared tokens again.
 const DUPLICATE_PREFILL_COST: f64 = 10.0;
 
 /// How long a server counts as warm after it reported so, if there is no newer report. The probing
--- a/lib/src/coordination/departures.rs
+++ b/lib/src/coordination/departures.rs
@@ -145,8 +145,8 @@
         self.len() == 0
     }
 
-    /// Notices for the next report to the other boxes of the region: new ones, or else an old one
-    /// in turn.
+    /// Notices for the next report to the other boxes of the region: the new ones. If there are
+    /// none, some reports contain one of the old ones, in turn.
     pub fn next_notices(&mut self, now: Instant) -> Vec<DepartureNotice> {
         self.report_number = self.report_number.wrapping_add(1);
         let mut active: Vec<(ServerIncarnation, &mut Departure)> = self
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -23,9 +23,8 @@
 /// one.
 const INITIAL_CHECKERS: f64 = 2.0;
 /// Expected number of boxes that try to reach an unavailable store in each [`CHECK_INTERVAL`]:
-/// forty calls a second from all boxes together. When each box tried every 0.3 s, a day of 54 s
-/// with an outage of 8 s cost 295 boxes 22,001 calls, most of them during the outage; with this
-/// value, and few watchers, it cost 6,297.
+/// forty calls a second from all boxes together. If each box tried at a fixed interval, the calls
+/// during an outage would grow with the fleet.
 const RECONNECTING_BOXES: f64 = 8.0;
 /// Interval between checks of the state's age.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
--- a/lib/src/coordination/presence.rs
+++ b/lib/src/coordination/presence.rs
@@ -13,13 +13,13 @@
 use crate::protocol::Incarnation;
 use crate::protocol::fleet::BoxRecord;
 
-/// How long a leaving box may still be named to callers: it accepts requests for 2.5 s after its
-/// announcement, and callers cache the response for one more second.
-const ACCEPTS_AFTER_LEAVING: Duration = Duration::from_millis(1500);
+/// How long after its announcement a leaving box may still be named to callers. It accepts requests
+/// for 2.5 s, and callers use a cached response that names it for up to one more second.
+const NAMED_AFTER_LEAVING: Duration = Duration::from_millis(1500);
 
-/// How long a leaving announcement applies: the longest stop and a start. Incarnations follow the
-/// clock, so that after a backward clock jump a newer incarnation looks older until the
-/// announcement expires.
+/// How long a leaving announcement applies: as long as the slowest stop and the following start
+/// take together. Incarnations follow the clock, so after a backward clock jump a newer incarnation
+/// is taken for an older one until the announcement expires.
 const LEAVING_TTL: Duration = Duration::from_secs(15);
 
 /// How long a datagram from a box counts as recent. Each box of the region gets five a
@@ -97,10 +97,11 @@
         }
     }
 
-    /// Whether a leaving box still accepts requests because it announced this only recently.
+    /// Whether a leaving box may still be named to callers: it announced that it is leaving only
+    /// recently, and accepts their requests for some time yet.
     pub fn accepts(&self, record: &BoxRecord, now: Instant) -> bool {
         let since = self.announcement(record).and_then(|announcement| announcement.leaving_since);
-        since.is_some_and(|since| now < since + ACCEPTS_AFTER_LEAVING)
+        since.is_some_and(|since| now < since + NAMED_AFTER_LEAVING)
     }
 
     /// The announcement that overrides a record: one of the same incarnation only if the box is
--- a/lib/src/coordination/quarantine.rs
+++ b/lib/src/coordination/quarantine.rs
@@ -1,8 +1,9 @@
 //! Requests that are refused because they crash every server that executes them.
 //!
 //! A crashing server breaks off all requests that it executes, so one crash is weak evidence
-//! against any of them. Three consecutive crashes do. A request that succeeds is not the cause,
-//! whatever servers crashed while executing it. Requests that have seen two crashes are executed on
+//! against any of them. After three consecutive crashes of servers that executed a request, the
+//! request is taken to be their cause. A request that succeeds is not the cause, whichever servers
+//! crashed while executing it. Requests that have seen two crashes are executed on
 //! different servers, so that the next crash tells them apart. If several requests have still seen
 //! the same crashes, the cause is the request that is executed on the fewest running servers;
 //! requests with equal counts are held back and admitted one after the other.
@@ -68,7 +69,7 @@
 const MAX_VERDICTS: usize = 1024;
 /// How long each datagram repeats a new crash or verdict: five or more reports, of which some are
 /// lost.
-const NEWS_DURATION: Duration = Duration::from_millis(1200);
+const REPEAT_DURATION: Duration = Duration::from_millis(1200);
 /// Maximum number of crashes in a datagram, some 35 bytes each: a box may lose 60 responses with
 /// one server.
 const MAX_CRASHES_PER_REPORT: usize = 128;
@@ -566,8 +567,10 @@
     /// least `CRASHES_FOR_ISOLATION` of them. Boxes of other regions get only crashes under such
     /// requests. Requests with the most crashes come first.
     pub fn crash_reports(&self, audience: Audience, now: Instant) -> Vec<wire::CrashReport> {
-        let recent =
-            self.suspects.iter().filter(|(_, suspect)| now < suspect.last_crash_at + NEWS_DURATION);
+        let recent = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| now < suspect.last_crash_at + REPEAT_DURATION);
         let mut recent: Vec<(usize, ContentHash, &Suspect)> = recent
             .map(|(content, suspect)| {
                 (suspect.evidence.consecutive_crashes(None), *content, suspect)
@@ -599,12 +602,12 @@
 
     /// Verdicts for a report: new ones, some older ones, and requests that were cleared recently.
     pub fn verdict_reports(&self, now: Instant, rng: &mut impl Rng) -> Vec<wire::VerdictReport> {
-        let is_new = |verdict: &Verdict| now < verdict.issued_at + NEWS_DURATION;
+        let is_new = |verdict: &Verdict| now < verdict.issued_at + REPEAT_DURATION;
         let new = self.verdicts.iter().filter(|(_, verdict)| is_new(verdict));
         let others = self.verdicts.iter().filter(|(_, verdict)| !is_new(verdict));
         let others = others.choose_multiple(rng, OTHER_VERDICTS_PER_REPORT);
         let reported = new.take(MAX_NEW_VERDICTS_PER_REPORT).chain(others);
-        let cleared = self.cleared.iter().filter(|(_, at)| now < **at + NEWS_DURATION);
+        let cleared = self.cleared.iter().filter(|(_, at)| now < **at + REPEAT_DURATION);
         let cleared = cleared
             .take(OTHER_VERDICTS_PER_REPORT)
             .map(|(target, _)| verdict_report(*target, Duration::ZERO));
--- a/lib/src/coordination/quarantine/evidence.rs
+++ b/lib/src/coordination/quarantine/evidence.rs
@@ -11,7 +11,7 @@
 use crate::coordination::fingerprint::CallerHash;
 use crate::coordination::interrupted::ServerIncarnation;
 
-/// Maximum number of crashes kept for one request: more than certainty needs.
+/// Maximum number of crashes kept for one request: more than a certain verdict needs.
 const MAX_CRASHES: usize = 12;
 
 /// Crashes less than this apart have one cause: machines of one failure domain lose power within
--- a/lib/src/coordination/rate.rs
+++ b/lib/src/coordination/rate.rs
@@ -3,11 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Lower limit for the weight by which the rate of a new box is divided to correct for the short
-/// observation.
+/// Lower limit of the divisor in [`Rate::bias_corrected`], so that a rate observed only for an
+/// instant is not extrapolated without bound.
 const MIN_OBSERVED_WEIGHT: f64 = 0.1;
 
-/// Exponentially smoothed rate: the weight of each unit decays, and its weights sum up to one.
+/// Exponentially smoothed rate: the weight of each unit decays with its age, and the integral of
+/// that weight over time is one.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     per_second: f64,
--- a/lib/src/coordination/shared_prefix.rs
+++ b/lib/src/coordination/shared_prefix.rs
@@ -8,13 +8,10 @@
 use super::rendezvous;
 use crate::protocol::adapter::PromptSegment;
 
-/// Length from which a prefix is processed at its home in whichever region that is, tokens. The
-/// round trip of 110 to 160 ms is regained twice: the prefix is not processed again, and homes are
-/// spread evenly over engines of all regions, whose busy hours differ. With homes only within each
-/// region, the mean value of a day was 0.678 instead of 0.730 at the solar association, 0.540
-/// instead of 0.644 at the utility and 0.775 instead of 0.833 at the ticket host. Prefixes of 90
-/// tokens are processed in 2 ms. Limits between 100 and 1,500 differed by less than 0.01 there, and
-/// 100 instead of 500 gained 0.007 at the association's 90 engines.
+/// Minimum length, in tokens, of a prefix that is processed at its home even if the home is in
+/// another region. The round trip of 110 to 160 ms is outweighed: the prefix is not processed
+/// again, and homes are spread evenly over the engines of all regions, whose busy hours differ. A
+/// shorter prefix is not worth the round trip: 90 tokens are processed in 2 ms.
 const CROSS_REGION_MIN_TOKENS: u32 = 100;
 
 /// A prefix shared by several prompts.
--- a/lib/src/coordination/urgency.rs
+++ b/lib/src/coordination/urgency.rs
@@ -1,8 +1,8 @@
 //! Urgency of a request at the engines.
 //!
-//! The rank of the team comes before that of the route. Among requests of equally ranked teams the
-//! route decides: without the route's rank, short prompts of 400 tokens waited behind prompts of
-//! 17,000 wherever engines were scarce, and most teams have the same rank.
+//! The rank of the team comes before that of the route. Most teams have the same rank, and among
+//! their requests the rank of the route decides. Without it, short prompts of 400 tokens waited
+//! behind prompts of 17,000 wherever engines were scarce.
 
 /// Number of ranks that an engine distinguishes; 0 is the most urgent.
 const ENGINE_RANKS: u8 = 10;
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -20,7 +20,7 @@
     pub rate: f64,
     /// Factor by which that rate may be exceeded.
     pub excess: f64,
-    /// Number of requests beyond that.
+    /// Number of requests that are allowed in addition.
     pub slack: f64,
 }
 
--- a/lib/src/gateway/box_reports.rs
+++ b/lib/src/gateway/box_reports.rs
@@ -167,9 +167,9 @@
     }
 }
 
-/// Records a datagram from a box, and the unlisted boxes that have sent datagrams to it. Two boxes
-/// that each assumed to be the only one of their region sent 28 requests in a second to a cold
-/// server where 17 are allowed.
+/// Records a datagram from a box, and the unlisted boxes that have sent datagrams to it.
+/// Without this, two boxes that each assumed to be the only one of their region sent 28 requests in
+/// a second to a cold server where 17 are allowed.
 fn apply_unlisted_boxes<A: Adapter>(
     shared: &Shared<A>,
     report: &BoxReport,
--- a/lib/src/gateway/cluster_state.rs
+++ b/lib/src/gateway/cluster_state.rs
@@ -102,7 +102,7 @@
     pub just_started: bool,
     /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
-    /// Requests to a cold server beyond that.
+    /// Number of requests that a cold server may get in addition.
     pub cold_slack: f64,
 }
 
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -44,11 +44,11 @@
 /// Share of the store's read rate that the watches of all boxes may use while changes are frequent.
 /// Changes that fall into the resulting gap between two watches cost one call.
 const WATCH_READ_SHARE: f64 = 0.01;
-/// Maximum of that gap as a share of the propagation limit. After a lost call there is time for
-/// another one.
+/// Maximum gap between two watches, as a share of the propagation limit. It leaves time for another
+/// call if one is lost.
 const MAX_WATCH_GAP_SHARE: f64 = 0.3;
 
-/// Minimum of that gap. Changes in quick succession, as in a rolling restart of the boxes, cost
+/// Minimum gap between two watches. Changes in quick succession, as in a rolling restart of the boxes, cost
 /// each watching box one call.
 const MIN_WATCH_GAP: Duration = Duration::from_millis(200);
 
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Records that the known state is now that of the store.
+    /// Records that the state known to this box matches the store now.
     fn mark_current(&self) {
         let version = lock(&self.shared.replica).version();
         let now = clock::now();
@@ -311,8 +311,7 @@
 
     /// Draws whether this box polls the store: a waiting watch may have died unnoticed, and no box
     /// has recently reported that nothing changed. Without this, watches that died at all boxes at
-    /// once hid an evacuation for 11 s. It costs four calls a second over all boxes: 206 calls
-    /// became 381 on a calm day with nine boxes, and 1,350 became 1,571 on one with 69.
+    /// once hid an evacuation for 11 s. The polls of all boxes together cost four calls a second.
     fn draw_poll(&self) -> bool {
         let fleet_size = self.shared.snapshot.load().fleet_size;
         let freshness = lock(&self.shared.freshness);
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -19,7 +19,7 @@
 use super::job::Job;
 use super::job::Origin;
 use super::quarantine;
-use super::quarantine::Trial;
+use super::quarantine::Isolation;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::shared::lock;
@@ -235,7 +235,7 @@
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
     };
-    let Trial { suspicion, occupied, reserved } = quarantine::trial(shared, job, now);
+    let Isolation { suspicion, occupied, reserved } = quarantine::isolation(shared, job, now);
     let choose_except = |servers: &[ServerId]| choose(&[&history.tried[..], servers].concat());
     let place = match choose_except(&occupied) {
         // Sharing a server with another suspect is better than no server: at times, all servers run
--- a/lib/src/gateway/quarantine.rs
+++ b/lib/src/gateway/quarantine.rs
@@ -69,9 +69,10 @@
     Err(Failure::new(ErrorKind::Quarantined, message).with_retry_after(remaining))
 }
 
-/// The crashes recorded for a request before it is sent, and the servers that it must avoid.
+/// How a request that may crash servers is kept apart from others: its recorded crashes, and the
+/// servers that it must avoid.
 #[derive(Debug, Default)]
-pub struct Trial {
+pub struct Isolation {
     /// Crashes of servers that ran the request, if there were any.
     pub suspicion: Option<Suspicion>,
     /// Servers that the request should avoid.
@@ -80,17 +81,17 @@
     pub reserved: Vec<ServerId>,
 }
 
-/// Looks up the crashes of a request before it is sent, and the servers that it must avoid.
-pub fn trial<A: Adapter>(shared: &Shared<A>, job: &Job, now: Instant) -> Trial {
+/// Determines, before a request is sent, its recorded crashes and the servers that it must avoid.
+pub fn isolation<A: Adapter>(shared: &Shared<A>, job: &Job, now: Instant) -> Isolation {
     let request = job.fingerprint;
     let quarantine = lock(&shared.quarantine);
     let suspicion = quarantine.suspicion(request);
     if !quarantine.needs_isolation(request) {
-        return Trial { suspicion, ..Trial::default() };
+        return Isolation { suspicion, ..Isolation::default() };
     }
     let occupied = quarantine.servers_with_suspects(request, now).cloned().collect();
     let reserved = quarantine.reserved_servers(request, now).cloned().collect();
-    Trial { suspicion, occupied, reserved }
+    Isolation { suspicion, occupied, reserved }
 }
 
 /// Decides the verdicts that are due.
--- a/lib/src/gateway/quotas.rs
+++ b/lib/src/gateway/quotas.rs
@@ -13,7 +13,7 @@
 use crate::protocol::team::Team;
 use crate::state::clock;
 
-/// The units that a request was charged to its team's account.
+/// The units of a request that were charged to its team's account.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     team: TeamHash,
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/settings.rs
@@ -49,7 +49,7 @@
     pub retries: retries::RetryLimit,
     /// Factor by which the request rate of a cold server may be exceeded.
     pub cold_excess: f64,
-    /// Requests to a cold server beyond that.
+    /// Number of requests that a cold server may get in addition.
     pub cold_slack: f64,
     /// Time from the request to stop until the process ends by force.
     pub stop_limit: Duration,
