--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -143,7 +143,7 @@
         self.newest_era = self.newest_era.max(era);
     }
 
-    /// Whether the store has returned to an older copy since this state was read.
+    /// Whether the store was restored from an older copy after this state was read.
     pub fn is_superseded(&self) -> bool {
         self.version.position.era < self.newest_era
     }
@@ -187,8 +187,8 @@
     }
 
     /// Records that at `at` no newer state was known to `sender`. This is ignored while some box
-    /// has a newer state, or if the state is from before the store returned to an older copy: boxes
-    /// with the old history cannot know newer states.
+    /// has a newer state, or if the state is from before the store was restored from an older copy:
+    /// boxes with the old history cannot know newer states.
     fn confirm(&mut self, sender: u64, at: Instant) {
         if self.newer_peer.is_none() && !self.is_superseded() && Some(at) > self.confirmed_at {
             self.confirmed_at = Some(at);
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -140,7 +140,7 @@
     cold_rate: f64,
     started_at: Instant,
     /// When servers were removed. A server that returns may have received its cold share just
-    /// before: entries expire and return while the store is away.
+    /// before: entries expire and return while the store is unavailable.
     removed_at: BTreeMap<ServerId, Instant>,
     /// Rest periods that servers requested from this box. They are kept while the servers' entries
     /// expire and return.
@@ -218,7 +218,7 @@
                 .saturating_sub(1 + request.loads.reporting_boxes()),
             home: self.home(request.parts),
             // Servers without a health path cannot be probed; they would be limited for as long as
-            // the store is away.
+            // the store is unavailable.
             stale: request.stale && self.health_path.is_some(),
             random_bits: rng.random(),
             now,
--- a/lib/src/coordination/presence.rs
+++ b/lib/src/coordination/presence.rs
@@ -99,7 +99,7 @@
 
     /// Whether a leaving box may still be named to callers: it announced that it is leaving only
     /// recently, and accepts their requests for some time yet.
-    pub fn accepts(&self, record: &BoxRecord, now: Instant) -> bool {
+    pub fn may_be_named(&self, record: &BoxRecord, now: Instant) -> bool {
         let since = self.announcement(record).and_then(|announcement| announcement.leaving_since);
         since.is_some_and(|since| now < since + NAMED_AFTER_LEAVING)
     }
--- a/lib/src/coordination/store_rollback.rs
+++ b/lib/src/coordination/store_rollback.rs
@@ -1,4 +1,4 @@
-//! Transition after the store has returned to an older copy.
+//! Transition after the store was restored from an older copy (a rollback).
 //!
 //! The copy may show a server as serving that has left since, or a failure domain as evacuated that
 //! serves again. The server or operator that wrote the newer state writes it again within seconds,
@@ -14,8 +14,8 @@
 
 /// Time after the rollback within which lost entries are written again.
 pub const ROLLBACK_GRACE: Duration = Duration::from_millis(2200);
-/// Maximum age of a copy that the store returns to: some seconds, and as much again for drills in
-/// close succession.
+/// Maximum age of a copy that the store is restored from: some seconds, and as much again in case
+/// the store is restored twice in close succession, as in drills.
 pub const MAX_ROLLBACK_AGE: Duration = Duration::from_secs(30);
 /// Maximum number of removals remembered.
 const MAX_REMOVALS: usize = 1024;
@@ -38,7 +38,7 @@
 }
 
 impl StoreRollback {
-    /// Records that the store returned to an older copy at `at`.
+    /// Records that the store was restored from an older copy at `at`.
     pub fn record_rollback(&mut self, at: Instant) {
         self.rolled_back_at = self.rolled_back_at.max(Some(at));
     }
--- a/lib/src/coordination/throttle/demand.rs
+++ b/lib/src/coordination/throttle/demand.rs
@@ -8,8 +8,8 @@
 /// Smoothing time of the recent demand. It spans several reports and follows the traffic of a
 /// region.
 const SMOOTHING_TIME: Duration = Duration::from_secs(1);
-/// Smoothing time of the usual demand. It is longer than a lull, after which all boxes get requests
-/// at once.
+/// Smoothing time of the usual demand. It is longer than a pause in the traffic, after which all
+/// boxes get requests at once.
 const USUAL_SMOOTHING_TIME: Duration = Duration::from_secs(20);
 /// Number of standard deviations by which the recent demand must exceed the usual demand to count
 /// as an increase.
--- a/lib/src/coordination/warmup.rs
+++ b/lib/src/coordination/warmup.rs
@@ -43,8 +43,9 @@
 }
 
 impl ColdLimit {
-    /// Share of the box with rank `rank` among `sharing_boxes` for the server: an even share, or one
-    /// request for the first boxes if there is less than one for each.
+    /// Share, in requests a second, of the box with rank `rank` among the `sharing_boxes` for the
+    /// server: an even share, or one request for each of the first boxes if there are fewer
+    /// requests than boxes.
     pub fn share(&self, sharing_boxes: usize, rank: usize) -> u32 {
         let total = ((self.rate * self.excess + self.slack) * SAFETY_FACTOR).floor();
         let even_share = (total / sharing_boxes.max(1) as f64).floor();
--- a/lib/src/gateway/control/store_sync.rs
+++ b/lib/src/gateway/control/store_sync.rs
@@ -48,8 +48,8 @@
 /// call if one is lost.
 const MAX_WATCH_GAP_SHARE: f64 = 0.3;
 
-/// Minimum gap between two watches. Changes in quick succession, as in a rolling restart of the boxes, cost
-/// each watching box one call.
+/// Minimum gap between two watches. Changes in quick succession, as in a rolling restart of the
+/// boxes, cost each watching box one call.
 const MIN_WATCH_GAP: Duration = Duration::from_millis(200);
 
 /// A call to the store for the changes since the known position.
--- a/lib/src/gateway/directory.rs
+++ b/lib/src/gateway/directory.rs
@@ -87,7 +87,7 @@
     let mut serving: Vec<&BoxRecord> =
         boxes.clone().filter(|record| presence.serves(record)).collect();
     let mut accepting: Vec<&BoxRecord> =
-        boxes.filter(|record| presence.accepts(record, now)).collect();
+        boxes.filter(|record| presence.may_be_named(record, now)).collect();
     match snapshot.stage {
         Stage::Serving => serving.push(own_record),
         Stage::Announced => accepting.push(own_record),
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -36,8 +36,8 @@
 use crate::state::counters::Counter;
 
 /// Maximum number of failed sends of a request, as counted by
-/// [`RequestHistory::repeatable_failures`]. Each may take as long as a connection timeout.
-const MAX_REPEATABLE_FAILURES: usize = 4;
+/// [`RequestHistory::recurring_failures`]. Each may take as long as a connection timeout.
+const MAX_RECURRING_FAILURES: usize = 4;
 /// Divides the latency objective into the delay after which a refused caller is asked to retry.
 const RETRY_AFTER_DIVISOR: u32 = 2;
 /// Delay after which a caller is asked to retry if all servers are leaving. Their replacements need
@@ -295,7 +295,7 @@
 /// refused at the first server that was full or had been replaced: 2,325 requests in 8 s while 22
 /// of 128 servers came back under new names.
 fn may_continue<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
-    if history.repeatable_failures() >= MAX_REPEATABLE_FAILURES {
+    if history.recurring_failures() >= MAX_RECURRING_FAILURES {
         return false;
     }
     history.arrivals() == 0 || take_retry(shared, job, history)
--- a/lib/src/gateway/history.rs
+++ b/lib/src/gateway/history.rs
@@ -34,7 +34,7 @@
     /// rest period is excluded because it affects only one request. When it was included, the first
     /// requests after four servers had asked for a rest period were refused while a fifth had
     /// capacity.
-    pub fn repeatable_failures(&self) -> usize {
+    pub fn recurring_failures(&self) -> usize {
         self.unsent + self.refused - self.rest_refusals
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,6 +1,7 @@
 //! Core library of copperweir, a multi-region inference gateway.
 //!
-//! The library has four layers. Each uses only the layers below it:
+//! The library has four layers. All of them use the types of [`protocol`], which uses none of the
+//! others:
 //!
 //! - [`transport`]: sockets; HTTP for callers and backend servers, gRPC between boxes.
 //! - [`protocol`]: messages, headers and files; codecs and validated types.
@@ -8,8 +9,10 @@
 //!   its own: each component takes events and an instant, and returns actions.
 //! - [`state`]: the data that decisions are based on.
 //!
-//! [`daemon`] assembles the layers into the process that runs on each box. [`operators`] implements
-//! the operators' commands. The library neither reads from nor writes to a terminal.
+//! Two modules assemble the layers into a process that runs on each box. [`daemon`] has an API and
+//! configuration files of its own; [`gateway`] uses the store, headers and configuration of a
+//! platform, through an [`Adapter`](protocol::adapter::Adapter). [`operators`] implements the
+//! operators' commands. The library neither reads from nor writes to a terminal.
 
 pub mod coordination;
 pub mod daemon;
--- a/lib/src/protocol/events.rs
+++ b/lib/src/protocol/events.rs
@@ -38,8 +38,8 @@
         self.incomplete.is_empty()
     }
 
-    /// Discards an incomplete event, so that another response can continue the stream after the last
-    /// complete one.
+    /// Discards an incomplete event, so that another response can continue the stream after the
+    /// last complete event.
     pub fn discard_incomplete(&mut self) {
         self.incomplete.clear();
     }
--- a/lib/src/protocol/schema.rs
+++ b/lib/src/protocol/schema.rs
@@ -1,9 +1,9 @@
 //! Schemas of files: the fields, their types and their meaning.
 //!
-//! A [`Shape`] finds all unknown, missing and wrongly typed fields of a file in one pass. The reference page for operators
-//! is generated from the same shape, so the two cannot diverge. What a shape cannot express (names
-//! that must exist elsewhere, ranges) is checked by the `TryFrom` implementation of the type that
-//! the file is converted to.
+//! A [`Shape`] finds all unknown, missing and wrongly typed fields of a file in one pass. The
+//! reference page for operators is generated from the same shape, so the two cannot diverge. What a
+//! shape cannot express (ranges, names that must be defined elsewhere in the configuration) is
+//! checked by the `TryFrom` implementation of the type that the file is converted to.
 
 use std::fmt::Write;
 
--- a/lib/src/state/burn.rs
+++ b/lib/src/state/burn.rs
@@ -2,8 +2,8 @@
 //!
 //! A burn rate of 1 spends exactly the budget; with a rate over 1, the objective will be missed if
 //! the rate persists. Counts are reported for several windows, so that both short bursts of failures
-//! and low failure rates that last are visible. The counts are kept in time slices in the memory of one box. A replaced box
-//! starts from zero; the report says for how long it has counted.
+//! and low failure rates that last are visible. Each box keeps its counts in time slices in memory.
+//! A replaced box starts from zero; its report gives the time for which it has counted.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
--- a/lib/src/state/clock.rs
+++ b/lib/src/state/clock.rs
@@ -1,7 +1,7 @@
 //! A monotonic clock that keeps running while the machine is suspended.
 //!
 //! [`Instant::now`] stands still while a machine is suspended. A box that resumed after ten seconds
-//! would treat an expired lease as held, outdated state as fresh, and deadlines of callers that have
+//! would treat an expired lease as held, outdated state as fresh, and callers' deadlines that have
 //! passed as not yet reached. Instants from [`now`] include the time of suspensions, so comparisons
 //! with them are correct after a suspension. Timers that were started before a suspension are
 //! handled in `transport::timer`.
--- a/lib/src/state/load.rs
+++ b/lib/src/state/load.rs
@@ -94,8 +94,8 @@
         listed || self.get(server).is_some_and(|observation| observation.leaving)
     }
 
-    /// Returns the reports to send to other boxes: entries of the platform's list, which take at most
-    /// half of the limit, then leaving servers, then the newest observations.
+    /// Returns the reports to send to other boxes: entries of the platform's list, which take at
+    /// most half of the limit, then leaving servers, then the newest observations.
     pub fn reports_to_share(
         &self,
         limit: usize,
--- a/lib/src/transport/backend.rs
+++ b/lib/src/transport/backend.rs
@@ -135,7 +135,8 @@
         Client { idle: IdleConnections::default(), connect_timeout }
     }
 
-    /// Sends a request and waits for the head of the response. If `fresh` is set, uses a new connection.
+    /// Sends a request and waits for the head of the response. If `fresh` is set, uses a new
+    /// connection.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/lib/src/transport/listen.rs
+++ b/lib/src/transport/listen.rs
@@ -1,5 +1,5 @@
-//! HTTP servers: accept connections, limit their number, serve them, and shut down without cutting
-//! off responses.
+//! HTTP servers of the daemon: accept connections, limit their number, serve them, and shut down
+//! without cutting off responses.
 
 use std::convert::Infallible;
 use std::future::Future;
