--- a/lib/src/gateway/control/peer_sync.rs
+++ b/lib/src/gateway/control/peer_sync.rs
@@ -10,7 +10,7 @@
 use crate::coordination::unlisted::Neighbor;
 use crate::gateway::shared::lock;
 use crate::gateway::state_transfer;
-use crate::gateway::state_transfer::PeerState;
+use crate::gateway::state_transfer::FetchedState;
 use crate::gateway::state_transfer::RemovedKeys;
 use crate::gateway::state_transfer::StateScope;
 use crate::protocol::adapter::Adapter;
@@ -38,7 +38,7 @@
         if let Some(state) =
             state_transfer::fetch_from_any(&self.shared.peers, seeds, &self.own_neighbor()).await
         {
-            self.apply_peer_state(state);
+            self.apply_fetched_state(state);
         }
     }
 
@@ -75,7 +75,7 @@
         if let Some(state) =
             state_transfer::fetch_from_any(&self.shared.peers, &seeds, &self.own_neighbor()).await
         {
-            self.apply_peer_state(state);
+            self.apply_fetched_state(state);
         }
     }
 
@@ -99,7 +99,7 @@
                 lock(&self.shared.freshness).forget_newer_peer();
                 return;
             };
-            if self.apply_peer_state(state) {
+            if self.apply_fetched_state(state) {
                 return;
             }
             scope = self.differing_entries();
@@ -125,8 +125,8 @@
     }
 
     /// Applies the state of another box. Returns whether this box then has the same state.
-    fn apply_peer_state(&mut self, state: PeerState) -> bool {
-        let PeerState { source, version, age, recovered_ago, written, removed_keys, verdicts } =
+    fn apply_fetched_state(&mut self, state: FetchedState) -> bool {
+        let FetchedState { source, version, age, recovered_ago, written, removed_keys, verdicts } =
             state;
         let mut quarantine = lock(&self.shared.quarantine);
         verdicts.iter().for_each(|verdict| quarantine.receive_verdict(verdict, clock::now()));
--- a/lib/src/gateway/state_transfer.rs
+++ b/lib/src/gateway/state_transfer.rs
@@ -116,9 +116,9 @@
     revision: u64,
 }
 
-/// The state of another box, as far as the requesting box lacks it.
+/// The state fetched from another box, as far as the requesting box lacks it.
 #[derive(Clone, Debug)]
-pub struct PeerState {
+pub struct FetchedState {
     /// The queried box.
     pub source: SocketAddr,
     /// Version of its state.
@@ -260,7 +260,7 @@
     client: &backend::Client,
     seeds: &[SocketAddr],
     requester: &Neighbor,
-) -> Option<PeerState> {
+) -> Option<FetchedState> {
     let mut seeds = seeds.to_vec();
     seeds.shuffle(&mut rand::rng());
     let mut seeds = seeds.into_iter();
@@ -288,7 +288,7 @@
     address: SocketAddr,
     scope: &StateScope,
     requester: Option<&Neighbor>,
-) -> Option<PeerState> {
+) -> Option<FetchedState> {
     let error = match timer::timeout(PEER_TIMEOUT, request_state(client, address, scope, requester))
         .await
     {
@@ -305,7 +305,7 @@
     address: SocketAddr,
     scope: &StateScope,
     requester: Option<&Neighbor>,
-) -> Result<Option<PeerState>, String> {
+) -> Result<Option<FetchedState>, String> {
     let mut request = Request::post(STATE_PATH).header(http::header::HOST, address.to_string());
     if let Some(requester) = requester {
         request = request
@@ -328,7 +328,7 @@
         revision: entry.revision,
     };
     let position = Position { era: reply.era, revision: reply.revision };
-    Ok(Some(PeerState {
+    Ok(Some(FetchedState {
         source: address,
         version: Version { position, digest: reply.digest },
         recovered_ago: reply.returned_ms.map(Duration::from_millis),
