--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -23,9 +23,8 @@
 /// one.
 const INITIAL_CHECKERS: f64 = 2.0;
 /// Expected number of boxes that try to reach an unavailable store in each [`CHECK_INTERVAL`]:
-/// forty calls a second from all boxes together. When each box tried every 0.3 s, a day of 54 s
-/// with an outage of 8 s cost 295 boxes 22,001 calls, most of them during the outage; with this
-/// value, and few watchers, it cost 6,297.
+/// forty calls a second from all boxes together. If each box tried at a fixed interval, the calls
+/// during an outage would grow with the fleet.
 const RECONNECTING_BOXES: f64 = 8.0;
 /// Interval between checks of the state's age.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -144,7 +143,7 @@
         self.newest_era = self.newest_era.max(era);
     }
 
-    /// Whether the store has returned to an older copy since this state was read.
+    /// Whether the store was restored from an older copy after this state was read.
     pub fn is_superseded(&self) -> bool {
         self.version.position.era < self.newest_era
     }
@@ -188,8 +187,8 @@
     }
 
     /// Records that at `at` no newer state was known to `sender`. This is ignored while some box
-    /// has a newer state, or if the state is from before the store returned to an older copy: boxes
-    /// with the old history cannot know newer states.
+    /// has a newer state, or if the state is from before the store was restored from an older copy:
+    /// boxes with the old history cannot know newer states.
     fn confirm(&mut self, sender: u64, at: Instant) {
         if self.newer_peer.is_none() && !self.is_superseded() && Some(at) > self.confirmed_at {
             self.confirmed_at = Some(at);
--- a/lib/src/gateway/dispatch.rs
+++ b/lib/src/gateway/dispatch.rs
@@ -19,7 +19,7 @@
 use super::job::Job;
 use super::job::Origin;
 use super::quarantine;
-use super::quarantine::Trial;
+use super::quarantine::Isolation;
 use super::shared::Reservation;
 use super::shared::Shared;
 use super::shared::lock;
@@ -36,8 +36,8 @@
 use crate::state::counters::Counter;
 
 /// Maximum number of failed sends of a request, as counted by
-/// [`RequestHistory::repeatable_failures`]. Each may take as long as a connection timeout.
-const MAX_REPEATABLE_FAILURES: usize = 4;
+/// [`RequestHistory::recurring_failures`]. Each may take as long as a connection timeout.
+const MAX_RECURRING_FAILURES: usize = 4;
 /// Divides the latency objective into the delay after which a refused caller is asked to retry.
 const RETRY_AFTER_DIVISOR: u32 = 2;
 /// Delay after which a caller is asked to retry if all servers are leaving. Their replacements need
@@ -235,7 +235,7 @@
         });
         chosen.unwrap_or(Err(Blocked::NoServer))
     };
-    let Trial { suspicion, occupied, reserved } = quarantine::trial(shared, job, now);
+    let Isolation { suspicion, occupied, reserved } = quarantine::isolation(shared, job, now);
     let choose_except = |servers: &[ServerId]| choose(&[&history.tried[..], servers].concat());
     let place = match choose_except(&occupied) {
         // Sharing a server with another suspect is better than no server: at times, all servers run
@@ -295,7 +295,7 @@
 /// refused at the first server that was full or had been replaced: 2,325 requests in 8 s while 22
 /// of 128 servers came back under new names.
 fn may_continue<A: Adapter>(shared: &Arc<Shared<A>>, job: &Job, history: &RequestHistory) -> bool {
-    if history.repeatable_failures() >= MAX_REPEATABLE_FAILURES {
+    if history.recurring_failures() >= MAX_RECURRING_FAILURES {
         return false;
     }
     history.arrivals() == 0 || take_retry(shared, job, history)
