--- a/lib/src/coordination/identity.rs
+++ b/lib/src/coordination/identity.rs
@@ -5,10 +5,10 @@
 //! boxes disagree, the one with the newer configuration version decides. Only digests of keys are
 //! sent between boxes.
 
-use crate::error::Failure;
 use std::sync::Arc;
 
 use crate::error::ErrorKind;
+use crate::error::Failure;
 use crate::protocol::Version;
 use crate::protocol::routing::Route;
 use crate::protocol::routing::Routing;
--- a/lib/src/coordination/pool.rs
+++ b/lib/src/coordination/pool.rs
@@ -19,13 +19,12 @@
 use super::queue::Queue;
 use super::queue::QueuedRequest;
 use super::queue::RequestId;
-use super::token_bucket::TokenBucket;
-
 use super::rest_period::RestPeriods;
 use super::retry_spread::RetrySpread;
 use super::server::Server;
 pub use super::server::ServerSnapshot;
 use super::server::smooth;
+use super::token_bucket::TokenBucket;
 use crate::error::ErrorKind;
 use crate::protocol::RegionId;
 use crate::protocol::ServerId;
--- a/lib/src/daemon/dispatch.rs
+++ b/lib/src/daemon/dispatch.rs
@@ -7,9 +7,9 @@
 //! sending, it closes the connection, which tells the backend server that the
 //! response is no longer needed.
 
-use super::relay::RequestAccounting;
-use super::relay::ResponseSource;
-use super::request::Purpose;
+use std::sync::Arc;
+use std::time::Instant;
+
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -17,14 +17,15 @@
 use http::Uri;
 use http::header;
 use http_body_util::Full;
-use std::sync::Arc;
-use std::time::Instant;
 
 use super::forward;
 use super::pools;
 use super::pools::Grant;
 use super::pools::Slot;
 use super::relay::Relay;
+use super::relay::RequestAccounting;
+use super::relay::ResponseSource;
+use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::request::is_forwarded_header;
 use super::shared::InFlightGuard;
--- a/lib/src/daemon/idempotency.rs
+++ b/lib/src/daemon/idempotency.rs
@@ -7,8 +7,12 @@
 //! ledger. Each execution is a separate task: it continues if its caller disconnects,
 //! and the caller gets the response on the next request with the same key.
 
-use super::dispatch::RelayedResponse;
-use super::request::Purpose;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
+
 use bytes::Bytes;
 use bytes::BytesMut;
 use http::HeaderMap;
@@ -17,17 +21,14 @@
 use rapidhash::v3::rapidhash_v3;
 use serde::Deserialize;
 use serde::Serialize;
-use std::collections::HashMap;
-use std::sync::Arc;
-use std::sync::Mutex;
-use std::time::Duration;
-use std::time::Instant;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
 use super::dispatch;
+use super::dispatch::RelayedResponse;
 use super::forward;
 use super::relay::Relay;
+use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use super::shared::lock;
--- a/lib/src/daemon/peer_service.rs
+++ b/lib/src/daemon/peer_service.rs
@@ -1,9 +1,5 @@
 //! The gRPC service for other boxes.
 
-use super::idempotency::GatewayResponse;
-use super::request::IncomingRequest;
-use super::request::MAX_VISITED_BOXES;
-use super::request::Purpose;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::Context;
@@ -23,7 +19,11 @@
 use super::dispatch;
 use super::forward;
 use super::idempotency;
+use super::idempotency::GatewayResponse;
 use super::relay::Relay;
+use super::request::IncomingRequest;
+use super::request::MAX_VISITED_BOXES;
+use super::request::Purpose;
 use super::request::ValidatedRequest;
 use super::shared::SharedState;
 use crate::error::ErrorKind;
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,12 +1,12 @@
 //! Which backend server gets a request, without sockets or a clock.
 
-use copperweir_lib::coordination::candidate::ServerState;
 use std::sync::Arc;
 use std::time::Duration;
 use std::time::Instant;
 use std::time::SystemTime;
 
 use copperweir_lib::coordination::candidate::Outcome;
+use copperweir_lib::coordination::candidate::ServerState;
 use copperweir_lib::coordination::candidate::server_hash;
 use copperweir_lib::coordination::loads::BoxReport;
 use copperweir_lib::coordination::loads::Load;
